--- a/src/bendshed/adapters/durable_file.py
+++ b/src/bendshed/adapters/durable_file.py
@@ -12,7 +12,7 @@
     """The file's digest does not fit its content."""
 
 
-def write_kept(path: Path, content: bytes) -> None:
+def write_durable(path: Path, content: bytes) -> None:
     """Replace a file durably; raise ``OSError``."""
     beside = path.with_suffix(".new")
     with beside.open("wb") as file:
@@ -23,7 +23,7 @@
     _sync_folder(path.parent)
 
 
-def read_kept(path: Path) -> bytes:
+def read_durable(path: Path) -> bytes:
     """Read a file; raise ``OSError`` or ``FileDamaged``."""
     whole = path.read_bytes()
     digest, content = whole[:DIGEST_BYTES], whole[DIGEST_BYTES:]
--- a/src/bendshed/adapters/tcp_transport.py
+++ b/src/bendshed/adapters/tcp_transport.py
@@ -192,8 +192,8 @@
                 finally:
                     connection.waiting.pop(request_id, None)
                 now_s = asyncio.get_running_loop().time()
-                way_s = now_s - sent_s - reply.served_us / 1_000_000
-                self.round_trips.note(peer, way_s, now_s)
+                expected_round_trip_s = now_s - sent_s - reply.served_us / 1_000_000
+                self.round_trips.note(peer, expected_round_trip_s, now_s)
                 return reply.payload
         except TimeoutError as error:
             raise PeerUnreachable(f"{peer} did not answer {method} in time") from error
--- a/src/bendshed/admission/access.py
+++ b/src/bendshed/admission/access.py
@@ -1,6 +1,6 @@
 """Who asks: which tenant holds a credential, and how urgent its requests are. Pure."""
 
-from bendshed.model.principal import Asker
+from bendshed.model.principal import Principal
 from bendshed.model.service_document import Route, ServiceDocument
 
 
@@ -18,14 +18,14 @@
         self._has_tenants = bool(document.tenants)
         self._num_ranks = 1 + max((route.priority for route in document.routes), default=0)
 
-    def asker(self, route: Route, credential: str) -> Asker | None:
+    def principal(self, route: Route, credential: str) -> Principal | None:
         """Who asks on a route; ``None``: the route wants a credential that is not known.
 
         The tenant's priority comes first, the route's decides between equals.
         """
         if not self._has_tenants:
-            return Asker(None, route.priority, is_unasked=True)
+            return Principal(None, route.priority, is_unasked=True)
         tenant = self._by_credential.get(credential) if credential else None
         if tenant is not None:
-            return Asker(tenant, tenant.priority * self._num_ranks + route.priority)
-        return Asker(None, route.priority) if route.is_public else None
+            return Principal(tenant, tenant.priority * self._num_ranks + route.priority)
+        return Principal(None, route.priority) if route.is_public else None
--- a/src/bendshed/admission/cold_permits.py
+++ b/src/bendshed/admission/cold_permits.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(slots=True)
-class ColdGrants:
+class ColdPermitCounts:
     """What one process has granted, over all of its terms.
 
     Attributes:
--- a/src/bendshed/admission/quota_allowance.py
+++ b/src/bendshed/admission/quota_allowance.py
@@ -2,10 +2,11 @@
 
 from dataclasses import dataclass, field
 
-from bendshed.admission.sliding_window import NO_LEAVE, TimedLeave
+from bendshed.admission.sliding_window import NO_PERMIT, TimedPermit
 
 USABLE_S = 0.9
-"""An allowance is used for so long; whoever granted it counts it longer (``admission/quota_ledger.py``)."""
+"""An allowance is used for so long; whoever granted it counts it longer
+(``admission/quota_ledger.py``)."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,12 +34,12 @@
     reported: int = 0
     ceiling: int = 0
     lapsed_ceiling: int = 0
-    leave: TimedLeave = NO_LEAVE
+    leave: TimedPermit = NO_PERMIT
     untold_since_s: float = 0.0
 
 
 @dataclass(slots=True)
-class SpendingGate:
+class LocalAllowances:
     """Allowances of one node by tenant.
 
     Invariant: without a grant for the very request, no more is let through than the newest
@@ -93,7 +94,7 @@
         if ceiling > account.total:
             is_open = account.leave.is_valid(now_s)
             account.ceiling = max(account.ceiling, ceiling) if is_open else ceiling
-            account.leave = TimedLeave(now_s + USABLE_S)
+            account.leave = TimedPermit(now_s + USABLE_S)
             self._allowed[tenant] = None
 
     def news(self, now_s: float) -> list[Spending]:
--- a/src/bendshed/admission/quota_ledger.py
+++ b/src/bendshed/admission/quota_ledger.py
@@ -13,7 +13,7 @@
 
 from bendshed.admission.quota_limits import TenantLimit
 from bendshed.admission.quota_usage import UsageWindows
-from bendshed.admission.retry_schedule import ReturnTimes
+from bendshed.admission.retry_schedule import RetrySchedule
 
 GUARD_MS = 100
 """Requests arrive at their runner this much later than they were allowed, but for those that a
@@ -119,7 +119,7 @@
     _granted: dict[tuple[str, str], int] = field(default_factory=dict)
     _num_calls: Counter[str] = field(default_factory=Counter)
     _giving: dict[str, dict[str, int]] = field(default_factory=dict)
-    _returns: dict[str, ReturnTimes] = field(default_factory=dict)
+    _returns: dict[str, RetrySchedule] = field(default_factory=dict)
 
     def begin_term(self, term: int) -> None:
         """What an earlier term granted is not known to be true any more."""
@@ -264,7 +264,7 @@
         tenant = request.tenant
         rank = request.rank if self.puts_programs_first else Rank.CALL
         used = self._level(tenant, usage, now_ms)
-        returning = self._returns.setdefault(tenant, ReturnTimes())
+        returning = self._returns.setdefault(tenant, RetrySchedule())
         num_returning = returning.num_others(request.returns_as, now_ms)
         wanted = used + 1 + (num_returning if rank is Rank.NEW_PROGRAM else 0)
         excess = wanted - rank.most(limit)
--- a/src/bendshed/admission/retry_schedule.py
+++ b/src/bendshed/admission/retry_schedule.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class ReturnTimes:
+class RetrySchedule:
     """Lines of one tenant that were refused in the midst of their program."""
 
     _until_ms: dict[Returner, int] = field(default_factory=dict)
--- a/src/bendshed/admission/sliding_window.py
+++ b/src/bendshed/admission/sliding_window.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimedLeave:
+class TimedPermit:
     """Leave to send that runs out on its holder's steady clock.
 
     Whoever gave it counts it for longer than its holder may use it.
@@ -85,4 +85,4 @@
         return now_s < self.until_s
 
 
-NO_LEAVE = TimedLeave()
+NO_PERMIT = TimedPermit()
--- a/src/bendshed/catalog/codec.py
+++ b/src/bendshed/catalog/codec.py
@@ -11,7 +11,7 @@
 from bendshed.model.address import Address
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.model.service_document import ServiceDocument
-from bendshed.placement.zones import ClosedZones, ZoneWord
+from bendshed.placement.zones import ClosedZones, ZoneUpdate
 from bendshed.ports.registry import ReplicaNode
 from bendshed.wire import catalog_pb2 as wire
 
@@ -66,16 +66,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptCatalog:
+class StoredCatalog:
     """What a replica machine keeps on its disk between lives."""
 
     catalog: Catalog = field(default_factory=Catalog)
     replicas: tuple[ReplicaNode, ...] = ()
     fronts: tuple[Address, ...] = ()
-    zones: ZoneWord = field(default_factory=ZoneWord)
+    zones: ZoneUpdate = field(default_factory=ZoneUpdate)
 
 
-def encode_kept(kept: KeptCatalog) -> bytes:
+def encode_kept(kept: StoredCatalog) -> bytes:
     """Write what is kept."""
     everything = write_reply(kept.catalog, since=0, known_version=0)
     everything.replicas.extend(to_wire(node) for node in kept.replicas)
@@ -84,20 +84,20 @@
     return everything.SerializeToString()
 
 
-def decode_kept(content: bytes | None) -> KeptCatalog:
+def decode_kept(content: bytes | None) -> StoredCatalog:
     """Read what was kept; nothing, or what another version of the program wrote, is no harm."""
     if content is None:
-        return KeptCatalog()
+        return StoredCatalog()
     try:
         everything = wire.CatalogReply.FromString(content)
-        return KeptCatalog(
+        return StoredCatalog(
             _read_catalog(everything),
             tuple(from_wire(hello) for hello in everything.replicas),
             tuple(read_peer(front) for front in everything.fronts),
             read_zones(everything),
         )
     except (DecodeError, DocumentUnreadable):
-        return KeptCatalog()
+        return StoredCatalog()
 
 
 def _read_catalog(reply: wire.CatalogReply) -> Catalog:
@@ -110,7 +110,7 @@
     return catalog
 
 
-def add_zones(reply: wire.CatalogReply, word: ZoneWord, known_at: int) -> None:
+def add_zones(reply: wire.CatalogReply, word: ZoneUpdate, known_at: int) -> None:
     """Add closed zones; which they are only where the asker knows an older revision."""
     reply.zones_at = word.zones.at
     if word.zones.at <= known_at:
@@ -120,10 +120,10 @@
         reply.reopened.add(zone=zone, ago_ms=int(ago_s * 1000))
 
 
-def read_zones(reply: wire.CatalogReply) -> ZoneWord:
+def read_zones(reply: wire.CatalogReply) -> ZoneUpdate:
     """Read closed zones of a reply whose revision is above the asker's."""
     zones = ClosedZones(reply.zones_at, frozenset(reply.closed_zones))
-    return ZoneWord(zones, {row.zone: row.ago_ms / 1000 for row in reply.reopened})
+    return ZoneUpdate(zones, {row.zone: row.ago_ms / 1000 for row in reply.reopened})
 
 
 def _write_runner(known: KnownRunner, cold_left_ms: int) -> wire.CatalogRunner:
--- a/src/bendshed/catalog/cold_runner_tracker.py
+++ b/src/bendshed/catalog/cold_runner_tracker.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class ColdTracker:
+class ColdRunnerTracker:
     """Follows the list of runners.
 
     Attributes:
--- a/src/bendshed/catalog/file.py
+++ b/src/bendshed/catalog/file.py
@@ -3,7 +3,7 @@
 import asyncio
 from pathlib import Path
 
-from bendshed.adapters.durable_file import FileDamaged, read_kept, write_kept
+from bendshed.adapters.durable_file import FileDamaged, read_durable, write_durable
 from bendshed.logs import PartLog
 from bendshed.ports.catalog_storage import CatalogStorage
 
@@ -23,7 +23,7 @@
         if not self._path.exists():
             return None
         try:
-            return read_kept(self._path)
+            return read_durable(self._path)
         except (OSError, FileDamaged) as error:
             log.say("what was kept cannot be read", reason=repr(error))
             return None
@@ -31,6 +31,6 @@
     async def save(self, content: bytes) -> None:
         """Write it on a thread, since the disk may take its time."""
         try:
-            await asyncio.to_thread(write_kept, self._path, content)
+            await asyncio.to_thread(write_durable, self._path, content)
         except OSError as error:
             log.say("was not kept", reason=str(error))
--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -20,7 +20,7 @@
     read_runner,
     read_zones,
 )
-from bendshed.catalog.reader_choice import Asker, choose_teller
+from bendshed.catalog.reader_choice import RequestingNode, choose_catalog_source
 from bendshed.catalog.server import CATALOG_METHOD, MIN_SHARED_ASKERS, NEVER_CONFIRMED_MS
 from bendshed.catalog.state import KnownRunner
 from bendshed.catalog.times import CatalogTimes
@@ -30,7 +30,7 @@
 from bendshed.model.address import Address
 from bendshed.model.service_document import ServiceDocument
 from bendshed.paths.neighbours import Neighbours
-from bendshed.placement.zones import ZoneWord
+from bendshed.placement.zones import ZoneUpdate
 from bendshed.ports.transport import PeerUnreachable, Requests, Transport
 from bendshed.wire import catalog_pb2 as wire
 from bendshed.wire import turns_pb2 as wire_turns
@@ -74,7 +74,7 @@
     def list_runners(self, runners: list[KnownRunner], at: int, is_trusted: bool) -> None:
         """Take the whole list."""
 
-    def take_zones(self, word: ZoneWord) -> None:
+    def take_zones(self, word: ZoneUpdate) -> None:
         """Take which zones are closed; an older word changes nothing."""
 
     def confirm_all(self, age_s: float, runners_at: int) -> None:
@@ -136,7 +136,7 @@
         self._is_replica = is_replica
         self._is_cut = is_cut
         self._neighbours = neighbours if neighbours is not None else Neighbours()
-        self._asker = Asker(me, self._neighbours.zone, self._neighbours.places, is_replica)
+        self._asker = RequestingNode(me, self._neighbours.zone, self._neighbours.places, is_replica)
         self.num_behind: Callable[[], int] = lambda: 0
         self.num_askers_told = 0
         self.told = asyncio.Event()
@@ -182,7 +182,7 @@
                 await self._knows_more.wait()
 
     def _is_relayed(self, target: Address) -> bool:
-        """Whether the next word comes through others, whose patience is short."""
+        """Whether the next word comes through others, whose adaptive_timeout is short."""
         return self._num_failed > 0 or self._is_cut(target)
 
     def _retry_s(self) -> float:
@@ -222,7 +222,7 @@
         ranked = [by_name[name] for name in rendezvous_rank(CATALOG_METHOD, by_name)]
         avoided = {peer for peer, avoidance in self._avoided.items() if avoidance.until_s > now_s}
         if any(node.address not in avoided for node in ranked):
-            return choose_teller(self._asker, ranked, avoided)
+            return choose_catalog_source(self._asker, ranked, avoided)
         addresses = [node.address for node in ranked]
         soonest = min(addresses, key=lambda address: self._avoided[address].until_s, default=None)
         return soonest if soonest != self._me else None
@@ -267,8 +267,10 @@
         )
         # A word that is waited for says nothing of the way meanwhile, so it goes directly.
         ways = self._transport if waits_there else self._requests
-        way_s = self._neighbours.way_s(target.host, self._transport.round_trip_s(target))
-        timeout_s = wait_s + REPLY_MARGIN_S + MARGIN_TRIPS * way_s
+        expected_round_trip_s = self._neighbours.expected_round_trip_s(
+            target.host, self._transport.round_trip_s(target)
+        )
+        timeout_s = wait_s + REPLY_MARGIN_S + MARGIN_TRIPS * expected_round_trip_s
         try:
             content = await ways.request(
                 target, CATALOG_METHOD, request.SerializeToString(), timeout_s
--- a/src/bendshed/catalog/reader_choice.py
+++ b/src/bendshed/catalog/reader_choice.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asker:
+class RequestingNode:
     """Who asks.
 
     Attributes:
@@ -38,8 +38,8 @@
         return self.places.region(node.zone) == self.places.region(self.zone)
 
 
-def choose_teller(
-    asker: Asker, ranked: Sequence[ReplicaNode], avoided: Collection[Address]
+def choose_catalog_source(
+    asker: RequestingNode, ranked: Sequence[ReplicaNode], avoided: Collection[Address]
 ) -> Address | None:
     """Whom to ask; ``None``: nobody, since the asker is the reader or all are avoided.
 
--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 
 from bendshed.catalog.codec import (
-    KeptCatalog,
+    StoredCatalog,
     add_zones,
     decode_kept,
     encode_kept,
@@ -22,21 +22,21 @@
 from bendshed.model.address import Address
 from bendshed.model.service_document import ServiceDocument
 from bendshed.paths.neighbours import Neighbours
-from bendshed.placement.zones import ZoneWord
+from bendshed.placement.zones import ZoneUpdate
 from bendshed.ports.catalog_storage import CatalogStorage
 from bendshed.ports.transport import Transport
 from bendshed.wire import catalog_pb2 as wire
 
 CATALOG_METHOD = "catalog.read"
 FRONTS_METHOD = "catalog.fronts"
-ASKER_KEPT_S = 3.0
+REQUESTER_MEMORY_S = 3.0
 """Who did not ask for this long does not count among the askers."""
 SHARE_INTERVAL_S = 1.0
 SAVE_PACE_S = 1.0
 KEPT_FRONTS_S = 10.0
 """Fronts of the last life that have not asked by then are forgotten."""
 GREETING_INTERVAL_S = 0.3
-SILENT_ASKER_S = 1.2
+SILENT_REQUESTER_S = 1.2
 """A front that has not asked for this long may have started anew and know nobody."""
 GREETED_S = 30.0
 """A front that has been silent for this long is given up."""
@@ -111,7 +111,7 @@
         """Begin to answer, with what the disk held."""
         loop = asyncio.get_running_loop()
         self._forgets_kept_at_s = loop.time() + KEPT_FRONTS_S
-        self.catalog.begin_life(loop.time)
+        self.catalog.begin_incarnation(loop.time)
         self.zones.on_zone_opened.append(self.catalog.cold.reopen)
         self.take_zones(self._kept.zones)
         for node in self._kept.replicas:
@@ -151,7 +151,7 @@
         if self.catalog.remove_runner(runner_id, at, is_trusted):
             self._announce()
 
-    def take_zones(self, word: ZoneWord) -> None:
+    def take_zones(self, word: ZoneUpdate) -> None:
         """Take which zones are closed; an older word changes nothing."""
         if self.zones.take(word):
             self._announce()
@@ -300,15 +300,15 @@
 
     @staticmethod
     def _lately(asked_at_s: dict[Address, float]) -> list[Address]:
-        oldest_s = asyncio.get_running_loop().time() - ASKER_KEPT_S
+        oldest_s = asyncio.get_running_loop().time() - REQUESTER_MEMORY_S
         return [asker for asker, at_s in asked_at_s.items() if at_s >= oldest_s]
 
     def _forget_silent(self) -> None:
         now_s = asyncio.get_running_loop().time()
         for known, kept_s in (
             (self._asked_at_s, GREETED_S),
-            (self._replicas_asked_at_s, ASKER_KEPT_S),
-            (self._relay_list.elsewhere, ASKER_KEPT_S),
+            (self._replicas_asked_at_s, REQUESTER_MEMORY_S),
+            (self._relay_list.elsewhere, REQUESTER_MEMORY_S),
         ):
             for front in [front for front, at_s in known.items() if now_s - at_s > kept_s]:
                 del known[front]
@@ -352,7 +352,7 @@
         silent = [
             front
             for front, at_s in self._asked_at_s.items()
-            if SILENT_ASKER_S < now_s - at_s < GREETED_S
+            if SILENT_REQUESTER_S < now_s - at_s < GREETED_S
         ]
         if now_s < self._forgets_kept_at_s:
             silent += [front for front in self._kept.fronts if front not in self._asked_at_s]
@@ -382,7 +382,7 @@
             fronts = {*self._asked_at_s, *self._relay_list.elsewhere}
             if asyncio.get_running_loop().time() < self._forgets_kept_at_s:
                 fronts.update(self._kept.fronts)
-            kept = KeptCatalog(
+            kept = StoredCatalog(
                 self.catalog,
                 tuple(self._directory.by_name.values()),
                 tuple(sorted(fronts, key=str)),
--- a/src/bendshed/catalog/state.py
+++ b/src/bendshed/catalog/state.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from bendshed.catalog.cold_runner_tracker import ColdTracker
+from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.model.service_document import ServiceDocument
 from bendshed.placement.zones import RunnerFilter
@@ -71,7 +71,7 @@
     document: ServiceDocument | None = None
     runners_at: int = 0
     filter: RunnerFilter = field(default_factory=RunnerFilter)
-    cold: ColdTracker = field(default_factory=ColdTracker)
+    cold: ColdRunnerTracker = field(default_factory=ColdRunnerTracker)
     _runners: dict[str, KnownRunner] = field(default_factory=dict)
     _ready: dict[str, dict[str, ServiceRunner]] = field(default_factory=dict)
     _removed: "OrderedDict[str, Removal]" = field(default_factory=OrderedDict)
@@ -164,7 +164,7 @@
             self._told_from = max(self._told_from, dropped.revision)
         return True
 
-    def begin_life(self, clock: Callable[[], float]) -> None:
+    def begin_incarnation(self, clock: Callable[[], float]) -> None:
         """What is known so far was kept by an earlier life; time passes from now on."""
         self.cold.clock = clock
         for known in self._runners.values():
--- a/src/bendshed/catalog/watcher.py
+++ b/src/bendshed/catalog/watcher.py
@@ -115,7 +115,7 @@
         pace_s: shortest pause between two watches.
         is_known: whether somebody else has told what the kind holds.
         retry_growth: how many times as rarely a lost store is asked in the end; 1: not rarer.
-        is_quick_anew: the first watch after a pause or a change of pace waits just a moment, so
+        is_quick_again: the first watch after a pause or a change of pace waits just a moment, so
             that what was missed, or a dead connection, shows at once; it costs a call.
         failed_at_s: loop time of the last failed call.
         on_trouble: called when the store is lost and again when it is regained: a watch begun in
@@ -135,7 +135,7 @@
     ) -> None:
         self.failed_at_s = float("-inf")
         self.on_trouble: Callable[[], None] = lambda: None
-        self.is_quick_anew = False
+        self.is_quick_again = False
         self._is_anew = False
         self._source = source
         self._kind = kind
@@ -211,7 +211,7 @@
 
     def restart(self) -> None:
         """Give a watch up that may hang on a dead connection, and begin it again."""
-        self._is_anew = self.is_quick_anew
+        self._is_anew = self.is_quick_again
         if self._call is not None:
             self._call.cancel()
 
--- a/src/bendshed/catalog/zones.py
+++ b/src/bendshed/catalog/zones.py
@@ -8,7 +8,7 @@
 
 from bendshed.logs import PartLog
 from bendshed.model.places import Places
-from bendshed.placement.zones import ClosedZones, RunnerFilter, ZoneRecord, ZoneWord
+from bendshed.placement.zones import ClosedZones, RunnerFilter, ZoneRecord, ZoneUpdate
 
 ZoneOpened = Callable[[str, float], None]
 """Called with a zone and the loop time at which it was opened, as far as known."""
@@ -45,7 +45,7 @@
         """Who may get a request now."""
         return RunnerFilter(self.record.zones, self._places)
 
-    def take(self, word: ZoneWord) -> bool:
+    def take(self, word: ZoneUpdate) -> bool:
         """Take a word; ``False``: nothing changed."""
         before = self.record.zones
         since_s = dict(self.record.closed_since_s)
@@ -100,7 +100,7 @@
         return self._clock() - self.confirmed_at_s
 
 
-def word_of_listing(names: frozenset[str], at: int, gone: frozenset[str]) -> ZoneWord:
+def word_of_listing(names: frozenset[str], at: int, gone: frozenset[str]) -> ZoneUpdate:
     """What the registry itself tells.
 
     Args:
@@ -109,4 +109,4 @@
         gone: zones whose closing was taken back since the last word, heard before or not.
 
     """
-    return ZoneWord(ClosedZones(at, names), dict.fromkeys(gone - names, 0.0))
+    return ZoneUpdate(ClosedZones(at, names), dict.fromkeys(gone - names, 0.0))
--- a/src/bendshed/configuration/file_cache.py
+++ b/src/bendshed/configuration/file_cache.py
@@ -4,7 +4,7 @@
 
 from pydantic import ValidationError
 
-from bendshed.adapters.durable_file import FileDamaged, read_kept, write_kept
+from bendshed.adapters.durable_file import FileDamaged, read_durable, write_durable
 from bendshed.configuration.document import Snapshot
 from bendshed.configuration.service import ConfigurationCache
 from bendshed.logs import PartLog
@@ -25,11 +25,11 @@
         if not self._path.exists():
             return None
         try:
-            return Snapshot.model_validate_json(read_kept(self._path))
+            return Snapshot.model_validate_json(read_durable(self._path))
         except (FileDamaged, ValidationError) as error:
             log.say("the kept configuration is damaged and is fetched anew", reason=str(error))
             return None
 
     def save(self, snapshot: Snapshot) -> None:
         """Replace the file; it is whole at any moment."""
-        write_kept(self._path, snapshot.model_dump_json().encode())
+        write_durable(self._path, snapshot.model_dump_json().encode())
--- a/src/bendshed/consensus/bootstrap.py
+++ b/src/bendshed/consensus/bootstrap.py
@@ -85,7 +85,7 @@
     async def _founding_voters(self, group_id: int) -> list[str]:
         """Read the founding record, or write it if there is none; empty: the registry is down."""
         try:
-            voters = await self._registry.founding_voters(group_id)
+            voters = await self._registry.bootstrap_voters(group_id)
             if voters:
                 return voters
             nodes = [DiskNode(n.node_id, n.zone) for n in self._directory.by_name.values()]
--- a/src/bendshed/consensus/group_client.py
+++ b/src/bendshed/consensus/group_client.py
@@ -48,7 +48,7 @@
 
     Attributes:
         leaders: group -> node id of the leader last heard of (a hint).
-        way_s: tells the round trip to a node.
+        expected_round_trip_s: tells the round trip to a node.
 
     While no leader is known, one of the nodes that may lead is asked, the likely ones first.
 
@@ -64,7 +64,7 @@
         likely_nodes: Callable[[int], list[str]] = lambda _group: [],
     ) -> None:
         self.leaders: dict[int, str] = {}
-        self.way_s: Callable[[Address], float] = lambda _peer: 0.0
+        self.expected_round_trip_s: Callable[[Address], float] = lambda _peer: 0.0
         self.group_count = group_count
         self._transport = transport
         self._rng = rng
@@ -101,7 +101,7 @@
         self, request: wire.GroupRequest, left_s: float, wait_s: float
     ) -> wire.GroupReply | None:
         timeout_s = wait_s + REPLY_MARGIN_S
-        answer = await self.ask_leader(
+        answer = await self.request_leader(
             request.group_id, COMMAND_METHOD, request.SerializeToString(), timeout_s, left_s
         )
         if answer is None:
@@ -113,7 +113,7 @@
             self.follow_hint(request.group_id, reply.not_leader_hint, answer.node_id)
         return reply
 
-    async def ask_leader(
+    async def request_leader(
         self,
         group_id: int,
         method: str,
@@ -136,12 +136,12 @@
         if address is None:
             self._forget(group_id, target)
             return None
-        way_s = self.way_s(address)
-        given_s = min(timeout_s + FAR_TRIPS * way_s, most_s)
+        expected_round_trip_s = self.expected_round_trip_s(address)
+        given_s = min(timeout_s + FAR_TRIPS * expected_round_trip_s, most_s)
         try:
             content = await self._transport.request(address, method, payload, given_s)
         except PeerUnreachable as error:
-            if error.is_silent and given_s < max(LEAST_TRIPS * way_s, LEAST_S):
+            if error.is_silent and given_s < max(LEAST_TRIPS * expected_round_trip_s, LEAST_S):
                 return None
             self._forget(group_id, target)
             if error.is_silent:
@@ -150,10 +150,10 @@
         self._silent_until_s.pop(target, None)
         return LeaderAnswer(target, content)
 
-    def way_to_leader_s(self, group_id: int) -> float:
+    def round_trip_to_leader_s(self, group_id: int) -> float:
         """The round trip to the supposed leader: sooner no answer comes; 0: nobody is known."""
         address = self._resolve(self.leaders.get(group_id, ""))
-        return self.way_s(address) if address is not None else 0.0
+        return self.expected_round_trip_s(address) if address is not None else 0.0
 
     def follow_hint(self, group_id: int, hint: str, said_by: str) -> None:
         """A node that does not lead the group named who may; empty: nobody known.
--- a/src/bendshed/consensus/replica_placement.py
+++ b/src/bendshed/consensus/replica_placement.py
@@ -29,7 +29,7 @@
 log = PartLog("placement")
 
 
-class PlacementService:
+class ReplicaPlacement:
     """Runs on disk nodes. The store is needed for the very first placement only."""
 
     def __init__(
--- a/src/bendshed/model/principal.py
+++ b/src/bendshed/model/principal.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asker:
+class Principal:
     """On whose behalf a request runs.
 
     Attributes:
--- a/src/bendshed/node.py
+++ b/src/bendshed/node.py
@@ -13,7 +13,7 @@
 from bendshed.consensus.group_client import GroupClient
 from bendshed.consensus.host import GroupHost
 from bendshed.consensus.raft_types import Role, RoleChanged
-from bendshed.consensus.replica_placement import PlacementService
+from bendshed.consensus.replica_placement import ReplicaPlacement
 from bendshed.dispatch.calls import CallRequest, LiveAnswer
 from bendshed.dispatch.executor import Executor
 from bendshed.errors import ErrorKind, Refusal
@@ -138,7 +138,7 @@
         self.configuration.on_change.append(self._on_configuration)
         self.host: GroupHost | None = None
         self.programs: ProgramService | None = None
-        self._placement: PlacementService | None = None
+        self._placement: ReplicaPlacement | None = None
         if storage is not None:
             self._add_groups(storage)
 
@@ -166,7 +166,7 @@
             self._executor_address,
             retention,
         )
-        self._placement = PlacementService(
+        self._placement = ReplicaPlacement(
             host, storage, ports.store, self.membership, settings.groups
         )
 
--- a/src/bendshed/paths/adaptive_timeout.py
+++ b/src/bendshed/paths/adaptive_timeout.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Patience:
+class AdaptiveTimeout:
     """Bounds for one node's requests.
 
     Attributes:
@@ -45,14 +45,14 @@
         """A peer answered directly."""
         self._answers.note((peer, method), took_s, now_s)
 
-    def way_s(self, peer: Address) -> float:
+    def expected_round_trip_s(self, peer: Address) -> float:
         """The round trip to a peer, or what one of its kind takes."""
-        return self.neighbours.way_s(peer.host, self.round_trip_s(peer))
+        return self.neighbours.expected_round_trip_s(peer.host, self.round_trip_s(peer))
 
     def answer_s(self, peer: Address, method: str, now_s: float) -> float:
         """The quickest answer of a peer to a method: the way and what it does meanwhile."""
         known = self._answers.least_s((peer, method), now_s)
-        return known if known is not None else self.way_s(peer)
+        return known if known is not None else self.expected_round_trip_s(peer)
 
     def direct_s(self, peer: Address, method: str, now_s: float) -> float:
         """So long a direct answer is waited for."""
@@ -64,7 +64,7 @@
         answer_s = self.answer_s(peer, method, now_s)
         if self.neighbours.are_together(relay.host, peer.host):
             near_s = 0.0 if self.neighbours.is_far(relay.host) else answer_s
-            return max(near_s, answer_s - self.way_s(peer))
+            return max(near_s, answer_s - self.expected_round_trip_s(peer))
         return answer_s
 
     def passed_on_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
@@ -73,9 +73,9 @@
 
     def relay_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
         """So long a relay's own answer is waited for; it may have to be connected to first."""
-        to_relay_s = PATIENCE_TIMES * self.way_s(relay)
+        to_relay_s = PATIENCE_TIMES * self.expected_round_trip_s(relay)
         return to_relay_s + self.passed_on_s(relay, peer, method, now_s) + RELAY_MARGIN_S
 
     def least_relay_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
         """Sooner no answer can come through a relay."""
-        return self.way_s(relay) + self.beyond_s(relay, peer, method, now_s)
+        return self.expected_round_trip_s(relay) + self.beyond_s(relay, peer, method, now_s)
--- a/src/bendshed/paths/neighbours.py
+++ b/src/bendshed/paths/neighbours.py
@@ -56,7 +56,7 @@
         """Whether a host is known to stand in another region."""
         return self.distance(host) is Distance.OTHER_REGION
 
-    def way_s(self, host: str, measured_s: float | None) -> float:
+    def expected_round_trip_s(self, host: str, measured_s: float | None) -> float:
         """The round trip to a host as measured, or what one of its kind very likely takes."""
         return measured_s if measured_s is not None else UNMEASURED_S[self.distance(host)]
 
--- a/src/bendshed/paths/relay_search.py
+++ b/src/bendshed/paths/relay_search.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from bendshed.model.address import Address
-from bendshed.paths.adaptive_timeout import Patience
+from bendshed.paths.adaptive_timeout import AdaptiveTimeout
 from bendshed.paths.neighbours import Neighbours
 from bendshed.ports.transport import PeerUnreachable, Transport
 from bendshed.wire import catalog_pb2 as wire
@@ -80,7 +80,7 @@
         transport: Transport,
         rng: random.Random,
         relays: Callable[[], list[Address]],
-        patience: Patience,
+        adaptive_timeout: AdaptiveTimeout,
         neighbours: Neighbours,
         on_word: Callable[[], None],
         on_failure: Callable[[PeerUnreachable, Address], None],
@@ -89,7 +89,7 @@
         self._transport = transport
         self._rng = rng
         self._relays = relays
-        self._patience = patience
+        self._adaptive_timeout = adaptive_timeout
         self._neighbours = neighbours
         self._on_word = on_word
         self._on_failure = on_failure
@@ -130,7 +130,7 @@
     def _late_s(self, relay: Address, search: _Search) -> float:
         """After this long without an answer another relay is asked beside this one."""
         now_s = asyncio.get_running_loop().time()
-        least_s = self._patience.least_relay_s(relay, search.peer, search.method, now_s)
+        least_s = self._adaptive_timeout.least_relay_s(relay, search.peer, search.method, now_s)
         return LATE_TIMES * least_s + LATE_SLACK_S
 
     async def _through(self, way: Way, relay: Address, search: _Search) -> bytes:
@@ -138,17 +138,17 @@
         loop = asyncio.get_running_loop()
         now_s, peer, method = loop.time(), search.peer, search.method
         left_s = search.until_s - now_s
-        least_s = self._patience.least_relay_s(relay, peer, method, now_s)
+        least_s = self._adaptive_timeout.least_relay_s(relay, peer, method, now_s)
         if left_s <= least_s:
             raise PeerUnreachable(f"no time is left to reach {peer} through {relay}")
-        passed_on_s = self._patience.passed_on_s(relay, peer, method, now_s)
+        passed_on_s = self._adaptive_timeout.passed_on_s(relay, peer, method, now_s)
         request = wire.RelayRequest(
             target=wire.PeerAddress(host=peer.host, port=peer.port),
             method=method,
             payload=search.payload,
             timeout_ms=max(1, int(min(passed_on_s, left_s) * 1000)),
         )
-        try_s = min(self._patience.relay_s(relay, peer, method, now_s), left_s)
+        try_s = min(self._adaptive_timeout.relay_s(relay, peer, method, now_s), left_s)
         reply = await self._ask_relay(relay, request, try_s)
         if reply is not None and reply.is_reached:
             way.relay = self._good_relay = relay
--- a/src/bendshed/paths/relayed.py
+++ b/src/bendshed/paths/relayed.py
@@ -11,7 +11,7 @@
 
 from bendshed.logs import PartLog
 from bendshed.model.address import Address
-from bendshed.paths.adaptive_timeout import Patience
+from bendshed.paths.adaptive_timeout import AdaptiveTimeout
 from bendshed.paths.neighbours import Neighbours
 from bendshed.paths.relay_search import RELAY_METHOD, RELAY_SILENT_S, RelaySearch, Way, spawn
 from bendshed.ports.transport import PeerUnreachable, Transport
@@ -52,12 +52,12 @@
         self.num_doubled = 0
         self._transport = transport
         self._neighbours = neighbours if neighbours is not None else Neighbours()
-        self._patience = Patience(transport.round_trip_s, self._neighbours)
+        self._adaptive_timeout = AdaptiveTimeout(transport.round_trip_s, self._neighbours)
         self._search = RelaySearch(
             transport,
             rng,
             relays,
-            self._patience,
+            self._adaptive_timeout,
             self._neighbours,
             self._note_word,
             self._note_failure,
@@ -80,9 +80,9 @@
         is_heard_by_relays = now_s - self._search.heard_s < RELAY_SILENT_S + isolated_s
         return now_s - self._silent_since_s > isolated_s and not is_heard_by_relays
 
-    def way_s(self, peer: Address) -> float:
+    def expected_round_trip_s(self, peer: Address) -> float:
         """The round trip to a peer as measured, or what one of its kind takes."""
-        return self._patience.way_s(peer)
+        return self._adaptive_timeout.expected_round_trip_s(peer)
 
     def is_cut(self, peer: Address) -> bool:
         """Whether only relays reach a peer: it must not be asked to wait before it answers."""
@@ -94,18 +94,18 @@
         way = self._ways.setdefault(peer, Way())
         now_s = asyncio.get_running_loop().time()
         until_s = now_s + timeout_s
-        patience_s = self._patience.direct_s(peer, method, now_s)
+        adaptive_timeout_s = self._adaptive_timeout.direct_s(peer, method, now_s)
         tasks: set[asyncio.Task[bytes]] = set()
         if not way.is_cut or now_s >= way.probe_from_s:
             way.probe_from_s = now_s + DIRECT_PROBE_S
             tasks.add(spawn(self._directly(way, peer, method, payload, timeout_s)))
         try:
             if not way.is_cut and not self._is_likely_cut(way):
-                done, _ = await asyncio.wait(tasks, timeout=min(patience_s, timeout_s))
+                done, _ = await asyncio.wait(tasks, timeout=min(adaptive_timeout_s, timeout_s))
                 if done and not _failed(done):
                     return done.pop().result()
             left_s = until_s - asyncio.get_running_loop().time()
-            if left_s > 0 and self._may_relay(way, patience_s):
+            if left_s > 0 and self._may_relay(way, adaptive_timeout_s):
                 self.num_doubled += not way.is_cut and any(not task.done() for task in tasks)
                 tasks.add(spawn(self._indirectly(way, peer, method, payload, left_s)))
             elif left_s > 0 and way.scouting is not None:
@@ -127,11 +127,11 @@
         """
         return any(way.is_cut for way in self._ways.values())
 
-    def _may_relay(self, way: Way, patience_s: float) -> bool:
+    def _may_relay(self, way: Way, adaptive_timeout_s: float) -> bool:
         if way.is_cut:
             return True
         now_s = asyncio.get_running_loop().time()
-        was_heard = now_s - way.heard_s < patience_s
+        was_heard = now_s - way.heard_s < adaptive_timeout_s
         return not was_heard and way.scouting is None and now_s >= way.no_relay_until_s
 
     async def _directly(
@@ -144,7 +144,7 @@
             self._note_failure(error, peer)
             raise
         way.heard_s = asyncio.get_running_loop().time()
-        self._patience.note(peer, method, way.heard_s - began_s, way.heard_s)
+        self._adaptive_timeout.note(peer, method, way.heard_s - began_s, way.heard_s)
         self._note_word()
         if way.is_cut:
             way.is_cut = False
@@ -201,7 +201,9 @@
         if self._silent_since_s is None:
             self._silent_since_s = asyncio.get_running_loop().time()
             self._silent_way_s = 0.0
-        self._silent_way_s = max(self._silent_way_s, self._patience.way_s(peer))
+        self._silent_way_s = max(
+            self._silent_way_s, self._adaptive_timeout.expected_round_trip_s(peer)
+        )
 
     # --- for others ------------------------------------------------------------------------
 
--- a/src/bendshed/placement/allowed_regions.py
+++ b/src/bendshed/placement/allowed_regions.py
@@ -1,25 +1,25 @@
 """Regions in which a request may run: those of its route and of its tenant. Pure."""
 
 from bendshed.model.places import Places
-from bendshed.model.principal import Asker
+from bendshed.model.principal import Principal
 from bendshed.model.service_document import Route, ServiceDocument
 
 
-def allowed_regions(route: Route, asker: Asker) -> frozenset[str] | None:
+def allowed_regions(route: Route, principal: Principal) -> frozenset[str] | None:
     """Regions that route and tenant both allow.
 
     ``None``: neither names any, so anywhere; empty: they contradict each other, so nowhere.
     """
-    tenant = asker.tenant.allowed_regions if asker.tenant is not None else ()
+    tenant = principal.tenant.allowed_regions if principal.tenant is not None else ()
     named = [frozenset(regions) for regions in (route.allowed_regions, tenant) if regions]
     if not named:
         return None
     return frozenset.intersection(*named)
 
 
-def describe_regions(route: Route, asker: Asker) -> str:
+def describe_regions(route: Route, principal: Principal) -> str:
     """What route and tenant allow, for a refusal."""
-    tenant = asker.tenant.allowed_regions if asker.tenant is not None else ()
+    tenant = principal.tenant.allowed_regions if principal.tenant is not None else ()
     of_route = ", ".join(route.allowed_regions) or "any"
     of_tenant = ", ".join(tenant) or "any"
     return f"the route allows {of_route}, the tenant {of_tenant}"
--- a/src/bendshed/placement/cluster_load.py
+++ b/src/bendshed/placement/cluster_load.py
@@ -178,7 +178,7 @@
         return 0.0
 
 
-class LoadBoard:
+class ClusterLoad:
     """Turns under way by runner.
 
     Invariant: a turn counts at one runner from its advice until its end or its deadline.
--- a/src/bendshed/placement/node_choice.py
+++ b/src/bendshed/placement/node_choice.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from bendshed.admission.sliding_window import NO_LEAVE, TimedLeave
+from bendshed.admission.sliding_window import NO_PERMIT, TimedPermit
 from bendshed.identifiers import rendezvous_rank
 from bendshed.model.places import Places
 from bendshed.placement.runner_health import median_pace
@@ -69,7 +69,7 @@
 
     record: RunnerRecord
     reason: str
-    leave: TimedLeave = NO_LEAVE
+    leave: TimedPermit = NO_PERMIT
 
 
 def choose_runner(
--- a/src/bendshed/placement/spill.py
+++ b/src/bendshed/placement/spill.py
@@ -1,9 +1,10 @@
 """How much work may leave its own region at the same time. Pure.
 
-The costs of `placement/cluster_load.py` say when a runner of another region is the better one. That alone
-would swing: a burst makes the own pool dear for all at once, and the other region's runners and the
-link would get what they can't bear. So the first turns leave only for a clear gain, no more are
-away than the other region has places to spare for, and no more bytes leave than the link carries.
+The costs of `placement/cluster_load.py` say when a runner of another region is the better one. That
+alone would swing: a burst makes the own pool dear for all at once, and the other region's runners
+and the link would get what they can't bear. So the first turns leave only for a clear gain, no
+more are away than the other region has places to spare for, and no more bytes leave than the link
+carries.
 """
 
 from dataclasses import dataclass, field
--- a/src/bendshed/placement/zones.py
+++ b/src/bendshed/placement/zones.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ZoneWord:
+class ZoneUpdate:
     """What one source tells of closed zones.
 
     Attributes:
@@ -127,7 +127,7 @@
     closed_since_s: dict[str, float] = field(default_factory=dict)
     opened_at_s: dict[str, float] = field(default_factory=dict)
 
-    def take(self, word: ZoneWord, now_s: float) -> ZoneChanges:
+    def take(self, word: ZoneUpdate, now_s: float) -> ZoneChanges:
         """Take a word; one older than what is known changes nothing."""
         told = word.zones
         if told.at < self.zones.at or told.at == 0:
@@ -145,7 +145,7 @@
             self.opened_at_s[row.zone] = row.at_s
         return ZoneChanges(closed, opened)
 
-    def _opened_by(self, word: ZoneWord, now_s: float) -> tuple[OpenedZone, ...]:
+    def _opened_by(self, word: ZoneUpdate, now_s: float) -> tuple[OpenedZone, ...]:
         """Zones that were closed here, and such as were closed and opened unheard."""
         open_again = self.zones.closed - word.zones.closed
         heard = {zone: now_s for zone in open_again}
@@ -168,11 +168,11 @@
             del self.opened_at_s[zone]
         return bool(old)
 
-    def word(self, now_s: float) -> ZoneWord:
+    def word(self, now_s: float) -> ZoneUpdate:
         """What this node tells others."""
         reopened = {
             zone: max(0.0, now_s - at_s)
             for zone, at_s in self.opened_at_s.items()
             if now_s - at_s <= REOPENED_TOLD_S
         }
-        return ZoneWord(self.zones, reopened)
+        return ZoneUpdate(self.zones, reopened)
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -98,7 +98,7 @@
         if times.follows_zones:
             handler = KindHandler.of_names(self._take_zones)
             zones = self._watcher(names.ZONE_CLOSURE_KIND, handler, times.zones_wait_s)
-            zones.is_quick_anew = True
+            zones.is_quick_again = True
             self._others.append(zones)
         self._reading = RegistryReading(self._node.catalog, self._runners, self._others)
         self._node.forwarder.is_current = self._is_current
--- a/src/bendshed/platform/registry.py
+++ b/src/bendshed/platform/registry.py
@@ -31,7 +31,7 @@
             return False
         return True
 
-    async def founding_voters(self, group_id: int = 0) -> list[str]:
+    async def bootstrap_voters(self, group_id: int = 0) -> list[str]:
         """Node ids of a group's first voters."""
         try:
             found = await self._api.get(names.GROUP_KIND, names.turn_group_name(group_id))
@@ -45,7 +45,7 @@
             spec = {"voters": voters}
             await self._api.create(names.GROUP_KIND, names.turn_group_name(group_id), spec)
         except VersionConflict:
-            return await self.founding_voters(group_id)
+            return await self.bootstrap_voters(group_id)
         except StoreUnavailable as error:
             raise RegistryUnavailable(str(error)) from error
         return voters
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -95,7 +95,7 @@
             self._rng,
         )
         self._zones = self._watcher(names.ZONE_CLOSURE_KIND, KindHandler.of_names(self._take_zones))
-        self._zones.is_quick_anew = True
+        self._zones.is_quick_again = True
         others = [self._configuration, self._replicas, self._retirements]
         if settings.catalog_times.follows_zones:
             others.append(self._zones)
--- a/src/bendshed/ports/registry.py
+++ b/src/bendshed/ports/registry.py
@@ -43,7 +43,7 @@
         """Write or replace this machine's announcement; raise ``RegistryUnavailable``."""
 
     @abstractmethod
-    async def founding_voters(self, group_id: int = 0) -> list[str]:
+    async def bootstrap_voters(self, group_id: int = 0) -> list[str]:
         """Node ids of a group's first voters; empty: not founded yet.
 
         Raise ``RegistryUnavailable``.
--- a/src/bendshed/rehearsal/site/sim_registry.py
+++ b/src/bendshed/rehearsal/site/sim_registry.py
@@ -39,7 +39,7 @@
         """First voters of the first group."""
         return self.voters_of.get(0, [])
 
-    async def founding_voters(self, group_id: int = 0) -> list[str]:
+    async def bootstrap_voters(self, group_id: int = 0) -> list[str]:
         """Return a group's first voters."""
         await self._reach()
         return self.voters_of.get(group_id, [])
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -13,7 +13,7 @@
 from bendshed.model.address import Address
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.model.service_document import ServiceDocument
-from bendshed.placement.zones import ZoneWord
+from bendshed.placement.zones import ZoneUpdate
 from bendshed.rehearsal.search import Tally
 from bendshed.rehearsal.simulator.loop import SimProcess, VirtualTimeLoop
 from bendshed.rehearsal.simulator.network import Network, SimTransport
@@ -285,7 +285,7 @@
         for node in self.registry.announced.values():
             machine.front.directory.put(node)
 
-    def _told_zones(self, known_at: int) -> ZoneWord:
+    def _told_zones(self, known_at: int) -> ZoneUpdate:
         """What the registry tells of closed zones; while answers are lost, now and then older."""
         if self.registry.rng.random() < self.registry.answer_loss:
             return self.zones.older
--- a/src/bendshed/rehearsal/site/sim_zones.py
+++ b/src/bendshed/rehearsal/site/sim_zones.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from bendshed.placement.zones import ClosedZones, ZoneWord
+from bendshed.placement.zones import ClosedZones, ZoneUpdate
 from bendshed.rehearsal.site.records import Closing, SiteRecords
 
 ZONE_CLOSE_S = 3.0
@@ -24,7 +24,7 @@
     seen: SiteRecords
     next_revision: Callable[[], int]
     closed: frozenset[str] = frozenset()
-    older: ZoneWord = field(default_factory=ZoneWord)
+    older: ZoneUpdate = field(default_factory=ZoneUpdate)
     _opened_at: dict[str, int] = field(default_factory=dict)
     _changed_at: int = 0
 
@@ -46,15 +46,15 @@
                 closing.opened_s = min(closing.opened_s, now_s)
 
     def _change(self, closed: frozenset[str]) -> None:
-        self.older = ZoneWord(ClosedZones(self._changed_at, self.closed))
+        self.older = ZoneUpdate(ClosedZones(self._changed_at, self.closed))
         self._changed_at = self.next_revision()
         self.closed = closed
 
-    def word(self, since: int, at: int) -> ZoneWord:
+    def word(self, since: int, at: int) -> ZoneUpdate:
         """What the registry tells at a revision who knows all up to another."""
         gone = [zone for zone, opened_at in self._opened_at.items() if opened_at > since]
         reopened = dict.fromkeys(set(gone) - self.closed, 0.0)
-        return ZoneWord(ClosedZones(at, self.closed), reopened)
+        return ZoneUpdate(ClosedZones(at, self.closed), reopened)
 
     def mark_kept(self, now_s: float) -> None:
         """Every machine was well and had time to hear of and to keep what is closed now."""
--- a/src/bendshed/routing/monitor.py
+++ b/src/bendshed/routing/monitor.py
@@ -246,7 +246,7 @@
 
     async def _ask_group(self, group_id: int, names: list[str]) -> list[str]:
         question = programs_pb2.AliveRequest(group_id=group_id, program_ids=names)
-        answer = await self._client.ask_leader(
+        answer = await self._client.request_leader(
             group_id, ALIVE_METHOD, question.SerializeToString(), PEER_TIMEOUT_S
         )
         if answer is None:
--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -5,11 +5,11 @@
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass, field
 
-from bendshed.admission.sliding_window import NO_LEAVE, TimedLeave
+from bendshed.admission.sliding_window import NO_PERMIT, TimedPermit
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.logs import PartLog
 from bendshed.model.places import Places
-from bendshed.model.principal import Asker
+from bendshed.model.principal import Principal
 from bendshed.model.service_document import Route
 from bendshed.placement.allowed_regions import describe_regions
 from bendshed.placement.node_choice import Choice, NodeView, choose_runner
@@ -18,7 +18,7 @@
 from bendshed.ports.runner import RunnerProtocol, Sending, ServiceRequest, Verdict
 from bendshed.ports.runner_connections import RunnerConnection, RunnerConnections
 from bendshed.services.metrics import AttemptEnd, ServiceMetrics
-from bendshed.services.permit_client import RunnerAsks, RunnerState, demand_of
+from bendshed.services.permit_client import PermitClient, RunnerState, demand_of
 from bendshed.services.runners import RunnerRecord, RunnerTable
 
 MAX_UNRUN_TRIES = 4
@@ -47,7 +47,7 @@
     rng: random.Random
     metrics: ServiceMetrics
     policy: Policy = EVERYTHING
-    asks: RunnerAsks | None = None
+    asks: PermitClient | None = None
     places: Places = field(default_factory=Places)
 
 
@@ -100,8 +100,8 @@
         service: where it goes.
         deadline_s: loop time after which nothing is sent.
         sticky_key: session or nothing, for the choice of the runner.
-        asker: on whose behalf the request runs.
-        admit_again: asks whether the asker's quota holds another run of a request that may have
+        principal: on whose behalf the request runs.
+        admit_again: asks whether the principal's quota holds another run of a request that may have
             run; ``None``: nobody counts.
         advised: id of the runner that the leader of the turn log advises; empty: no advice.
         regions: where its runners may stand; ``None``: anywhere.
@@ -119,11 +119,11 @@
     body: bytes
     deadline_s: float
     sticky_key: str
-    asker: Asker
+    principal: Principal
     admit_again: Callable[[], Awaitable[Refusal | None]] | None = None
     advised: str = ""
     regions: frozenset[str] | None = None
-    leave: TimedLeave = NO_LEAVE
+    leave: TimedPermit = NO_PERMIT
     answered_by: str = ""
     failed: list[str] = field(default_factory=list)
     num_maybe_run: int = 0
@@ -197,18 +197,18 @@
         return self._refusal(ErrorKind.NO_RUNNER, "this node does not know the permitted runner")
 
     async def _is_admitted_again(self) -> bool:
-        """Every run counts against the asker's quota, the second one of a request too."""
+        """Every run counts against the principal's quota, the second one of a request too."""
         if self.admit_again is not None and await self.admit_again() is not None:
             return False
         self._num_admitted += 1
         return True
 
-    def refuse_if_shut(self) -> Refusal | None:
+    def reject_if_no_eligible_runner(self) -> Refusal | None:
         """Refuse at once what no runner may get, closed zones and allowed regions being so."""
         if self.regions is not None and not self.regions:
-            regions = describe_regions(self.route, self.asker)
+            regions = describe_regions(self.route, self.principal)
             return Refusal(ErrorKind.NO_RUNNER, f"no region is allowed: {regions}")
-        if self.ports.table.is_shut(self.service, self.regions):
+        if self.ports.table.has_no_eligible_runner(self.service, self.regions):
             return Refusal(ErrorKind.NO_RUNNER, self._nobody_takes_it())
         return None
 
@@ -258,7 +258,7 @@
             self.request.thing if self.sticky_key else "",
         )
 
-    def _may_get(self, record: RunnerRecord, leave: TimedLeave, now_s: float) -> bool:
+    def _may_get(self, record: RunnerRecord, leave: TimedPermit, now_s: float) -> bool:
         """Whether a runner may be sent the request now: it stands where it may, and it is warm or
         there is leave for it.
         """
@@ -323,15 +323,17 @@
             self._give_back(choice, connection)
             return None
         left_ms = max(1, int((self.deadline_s - loop.time()) * 1000))
-        asker = self.asker
-        sending = Sending(self.route, runner, asker.name, asker.is_unasked, asker.urgency, left_ms)
+        principal = self.principal
+        sending = Sending(
+            self.route, runner, principal.name, principal.is_unasked, principal.urgency, left_ms
+        )
         sent = self.ports.protocol.request(self.request, self.body, sending)
         self.num_maybe_run += 1
         log.say(
             "sent",
             request=self.request.request_id,
             runner=runner.runner_id,
-            tenant=self.asker.name,
+            tenant=self.principal.name,
             chosen_by=choice.reason,
             in_flight_there=record.in_flight,
             was_connected=was_connected,
--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -8,7 +8,7 @@
 from bendshed.admission.access import AccessIndex
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.logs import PartLog
-from bendshed.model.principal import Asker
+from bendshed.model.principal import Principal
 from bendshed.model.route_index import RouteIndex, choose_target
 from bendshed.model.service_document import EngineFeatures, Route, RouteKind, ServiceDocument
 from bendshed.placement.allowed_regions import allowed_regions
@@ -105,19 +105,19 @@
     ) -> str:
         """Serve or refuse; return the outcome for the metrics."""
         outcome: Refusal | Served
-        asker = self._access.asker(route, request.credential) if route is not None else None
+        principal = self._access.principal(route, request.credential) if route is not None else None
         if index is None:
             outcome = Refusal(ErrorKind.NOT_READY, "this node knows no configuration yet")
         elif route is None:
             outcome = self._refuse_unknown(ErrorKind.NOT_FOUND, "no route takes this host and path")
-        elif asker is None:
+        elif principal is None:
             outcome = self._refuse_unknown(ErrorKind.UNAUTHORIZED, "no tenant has this credential")
         else:
-            outcome = await self._serve_route(request, caller, route, index, asker)
+            outcome = await self._serve_route(request, caller, route, index, principal)
         if isinstance(outcome, Served):
             return outcome.value
         version = index.document.version if index is not None else 0
-        await self._refuse(request, caller, outcome, version, asker.name if asker else "")
+        await self._refuse(request, caller, outcome, version, principal.name if principal else "")
         return outcome.kind.value
 
     def _refuse_unknown(self, kind: ErrorKind, detail: str) -> Refusal:
@@ -132,7 +132,7 @@
         caller: Caller,
         route: Route,
         index: RouteIndex,
-        asker: Asker,
+        principal: Principal,
     ) -> Refusal | Served:
         wait_ms = route.timeout_ms
         if request.wait_ms is not None:
@@ -148,13 +148,13 @@
             request.body,
             deadline_s,
             sticky_key,
-            asker,
-            regions=allowed_regions(route, asker),
+            principal,
+            regions=allowed_regions(route, principal),
         )
-        refusal = attempts.refuse_if_shut()
+        refusal = attempts.reject_if_no_eligible_runner()
         if refusal is not None:
             return refusal
-        attempts.admit_again = partial(self._admit_call, request, asker, deadline_s)
+        attempts.admit_again = partial(self._admit_call, request, principal, deadline_s)
         try:
             async with asyncio.timeout_at(deadline_s + ANSWER_MARGIN_S):
                 if route.kind is RouteKind.STREAM:
@@ -194,12 +194,12 @@
         return request.thing or request.session
 
     async def _admit_call(
-        self, request: ServiceRequest, asker: Asker, deadline_s: float
+        self, request: ServiceRequest, principal: Principal, deadline_s: float
     ) -> Refusal | None:
         """Count a request that is no turn against its tenant's quota."""
         if self._turns is None:
             return None
-        return await self._turns.quotas.admit_call(asker, request, deadline_s)
+        return await self._turns.quotas.admit_call(principal, request, deadline_s)
 
     async def _serve_plain(self, attempts: Attempts, caller: Caller) -> Refusal | Served:
         while True:
--- a/src/bendshed/services/group_search.py
+++ b/src/bendshed/services/group_search.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from bendshed.logs import PartLog
-from bendshed.turns.group_locator import TurnWhereabouts
+from bendshed.turns.group_locator import GroupLocator
 from bendshed.turns.shares import ShareGatherer
 from bendshed.wire import turns_pb2 as wire
 
@@ -29,7 +29,7 @@
 
     """
 
-    whereabouts: TurnWhereabouts
+    group_locator: GroupLocator
     shares: ShareGatherer
     begin: wire.BeginTurn
     group: int
@@ -50,7 +50,7 @@
 
     async def _find_chain(self, reply: Reply) -> Reply:
         """Ask for the turn before; "no such turn" stands when each group has said so."""
-        for other in self.whereabouts.others(self.begin.tenant, self.group):
+        for other in self.group_locator.others(self.begin.tenant, self.group):
             if reply is None or reply.answer != wire.TURN_ANSWER_UNKNOWN_TURN:
                 return reply
             reply = await self._ask(other)
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from bendshed.catalog.cold_runner_tracker import ColdTracker
+from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
 from bendshed.catalog.follower import CatalogFollower
 from bendshed.catalog.server import CATALOG_METHOD
 from bendshed.catalog.state import KnownRunner
@@ -24,7 +24,7 @@
 from bendshed.paths.relayed import RelayedRequests
 from bendshed.placement.allowed_regions import unknown_regions
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
-from bendshed.placement.zones import ZoneWord
+from bendshed.placement.zones import ZoneUpdate
 from bendshed.policy import EVERYTHING, Policy
 from bendshed.ports.runner import RunnerProtocol
 from bendshed.ports.runner_connections import RunnerConnections
@@ -32,12 +32,12 @@
 from bendshed.services.attempts import RunnerPorts
 from bendshed.services.forwarder import Forwarder
 from bendshed.services.metrics import ServiceMetrics
-from bendshed.services.permit_client import RunnerAsks
-from bendshed.services.quota_client import NodeQuotas
+from bendshed.services.permit_client import PermitClient
+from bendshed.services.quota_client import QuotaClient
 from bendshed.services.runners import RunnerTable, RunnerView
 from bendshed.services.turn_record import TurnPorts
 from bendshed.turns.client import TranscriptCache, TurnClient
-from bendshed.turns.group_locator import TurnWhereabouts
+from bendshed.turns.group_locator import GroupLocator
 from bendshed.turns.methods import PREVIEW_METHOD, QUOTA_METHOD, RUNNER_METHOD, TURN_METHOD
 
 TRANSCRIPT_BYTES = 16 * 1024 * 1024
@@ -107,7 +107,9 @@
         self.zones = ZoneKeeper(place.places)
         self._places = place.places
         self._zones_lag_s = times.zones_lag_s
-        self._table = RunnerTable(filter=self.zones.filter, cold=ColdTracker(clock=_loop_time))
+        self._table = RunnerTable(
+            filter=self.zones.filter, cold=ColdRunnerTracker(clock=_loop_time)
+        )
         self.zones.on_zone_opened.append(self._table.cold.reopen)
         self._pool = connections
         self._requests = RelayedRequests(
@@ -133,14 +135,14 @@
             self.directory.node_ids,
             lambda group: self.directory.node_ids_in(groups.home_zones(group)),
         )
-        leaders.way_s = self._requests.way_s
+        leaders.expected_round_trip_s = self._requests.expected_round_trip_s
         home_group = groups.at_home_in(place.zone)
         client = TurnClient(rng, leaders, self._refuses_alone, home_group)
         life = f"{place.address}/{rng.getrandbits(48):012x}"
-        self.quotas = NodeQuotas(life, client, metrics, groups)
+        self.quotas = QuotaClient(life, client, metrics, groups)
         transcripts = TranscriptCache(TRANSCRIPT_BYTES)
-        whereabouts = TurnWhereabouts(groups, home_group)
-        self._turns = TurnPorts(client, transcripts, metrics, self.quotas, policy, whereabouts)
+        group_locator = GroupLocator(groups, home_group)
+        self._turns = TurnPorts(client, transcripts, metrics, self.quotas, policy, group_locator)
         runners = RunnerPorts(
             self._table,
             self._pool,
@@ -150,7 +152,7 @@
             rng,
             metrics,
             policy,
-            RunnerAsks(client, metrics),
+            PermitClient(client, metrics),
             place.places,
         )
         self.forwarder = Forwarder(runners, self._turns)
@@ -275,7 +277,7 @@
         if record is not None and trusted:
             self._pool.forget(record.listed.address)
 
-    def take_zones(self, word: ZoneWord) -> None:
+    def take_zones(self, word: ZoneUpdate) -> None:
         """Take which zones are closed; an older word changes nothing.
 
         What is under way there ends; nothing new is sent there from here on.
@@ -325,7 +327,7 @@
         """Take the whole list."""
         self._node.list_runners([known.runner for known in runners], is_trusted)
 
-    def take_zones(self, word: ZoneWord) -> None:
+    def take_zones(self, word: ZoneUpdate) -> None:
         """Take which zones are closed."""
         self._node.take_zones(word)
 
--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -7,7 +7,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from bendshed.admission.sliding_window import TimedLeave
+from bendshed.admission.sliding_window import TimedPermit
 from bendshed.consensus.group_client import FAR_TRIPS
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.logs import PartLog
@@ -45,7 +45,7 @@
     """Leave for one sending."""
 
     runner_id: str
-    leave: TimedLeave
+    leave: TimedPermit
 
 
 def demand_of(
@@ -73,7 +73,7 @@
     )
 
 
-class RunnerAsks:
+class PermitClient:
     """Asks for one sending at a time."""
 
     def __init__(self, client: TurnClient, metrics: ServiceMetrics) -> None:
@@ -100,7 +100,7 @@
             self._count(ColdAskEnd.REFUSED)
             return Refusal(ErrorKind.NO_RUNNER, "the leader knows no runner either")
         self._count(ColdAskEnd.PERMITTED)
-        return Permit(reply.runner_id, TimedLeave(asked_s + reply.permit_ms / 1000))
+        return Permit(reply.runner_id, TimedPermit(asked_s + reply.permit_ms / 1000))
 
     async def _ask(self, request: ServiceRequest, demand: wire.TurnDemand) -> wire.TurnReply | None:
         if self._client.is_isolated:
@@ -113,7 +113,7 @@
         )
         is_lost = self._client.lost_since_s is not None
         timeout_s = LOST_ASK_TIMEOUT_S if is_lost else ASK_TIMEOUT_S
-        timeout_s += FAR_TRIPS * self._client.way_home_s
+        timeout_s += FAR_TRIPS * self._client.expected_round_trip_home_s
         timeout_s = min(timeout_s, demand.left_ms / 1000)
         reply = await self._client.place(ask, timeout_s)
         log.say(
--- a/src/bendshed/services/quota_client.py
+++ b/src/bendshed/services/quota_client.py
@@ -3,11 +3,11 @@
 import asyncio
 from collections.abc import Callable
 
-from bendshed.admission.quota_allowance import Spending, SpendingGate
+from bendshed.admission.quota_allowance import LocalAllowances, Spending
 from bendshed.consensus.group_client import GroupUnavailable
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.logs import PartLog
-from bendshed.model.principal import Asker
+from bendshed.model.principal import Principal
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.ports.runner import ServiceRequest
 from bendshed.services.metrics import QuotaEnd, ServiceMetrics
@@ -24,7 +24,7 @@
 log = PartLog("quota")
 
 
-class NodeQuotas:
+class QuotaClient:
     """Lets requests through within their tenants' limits.
 
     Turns are counted by the turn log itself and cost no message more; calls go by allowances that
@@ -43,26 +43,26 @@
         self._node = node
         self._client = client
         self._metrics = metrics
-        self._gate = SpendingGate()
+        self._gate = LocalAllowances()
 
     async def admit_call(
-        self, asker: Asker, request: ServiceRequest, deadline_s: float
+        self, principal: Principal, request: ServiceRequest, deadline_s: float
     ) -> Refusal | None:
         """Let a request through that is no turn; return why it may not run."""
-        if not asker.is_limited:
+        if not principal.is_limited:
             return None
         loop = asyncio.get_running_loop()
-        if self._gate.try_spend(asker.name, loop.time()):
+        if self._gate.try_spend(principal.name, loop.time()):
             self._count(QuotaEnd.ALLOWED)
             return None
         ask = wire.QuotaAsk(
-            tenant=asker.name,
+            tenant=principal.name,
             node=self._node,
-            total=self._gate.total(asker.name),
-            reported=self._gate.reported(asker.name),
+            total=self._gate.total(principal.name),
+            reported=self._gate.reported(principal.name),
             request_id=request.request_id,
             program_id=request.program_id,
-            group=self._groups.of_tenant(asker.name),
+            group=self._groups.of_tenant(principal.name),
         )
         timeout_s = min(ASK_TIMEOUT_S, deadline_s - loop.time())
         reply = await self._client.admit_call(ask, timeout_s)
@@ -75,8 +75,8 @@
             self._count(QuotaEnd.REFUSED)
             return refusal_of(reply)
         self._count(QuotaEnd.ASKED)
-        self._gate.spend_granted(asker.name, reply.spend_ceiling, loop.time())
-        self._note_counted(asker.name, reply.spend_ceiling)
+        self._gate.spend_granted(principal.name, reply.spend_ceiling, loop.time())
+        self._note_counted(principal.name, reply.spend_ceiling)
         return None
 
     def _note_counted(self, tenant: str, counted_total: int) -> None:
@@ -85,11 +85,11 @@
         counted = Spending(tenant, total, 0, self._gate.reported(tenant))
         self._gate.note_told([counted], asyncio.get_running_loop().time())
 
-    def take_allowance(self, asker: Asker, ceiling: int) -> None:
+    def take_allowance(self, principal: Principal, ceiling: int) -> None:
         """The end of a turn brought an allowance for the calls that follow it."""
         if ceiling:
             now_s = asyncio.get_running_loop().time()
-            self._gate.take_allowance(asker.name, ceiling, now_s)
+            self._gate.take_allowance(principal.name, ceiling, now_s)
 
     def report(self, command: wire.TurnCommand) -> Callable[[], None]:
         """Add what was let through to a command, of tenants that its group counts.
--- a/src/bendshed/services/runners.py
+++ b/src/bendshed/services/runners.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from bendshed.catalog.cold_runner_tracker import ColdTracker
+from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
 from bendshed.logs import PartLog
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.placement.runner_health import RunnerHealth
@@ -119,7 +119,7 @@
     by_service: dict[str, dict[str, RunnerRecord]] = field(default_factory=dict)
     work_times: WorkTimes = field(default_factory=WorkTimes)
     filter: RunnerFilter = field(default_factory=RunnerFilter)
-    cold: ColdTracker = field(default_factory=ColdTracker)
+    cold: ColdRunnerTracker = field(default_factory=ColdRunnerTracker)
 
     def put(self, runner: ServiceRunner) -> None:
         """Take a line of the list."""
@@ -191,7 +191,7 @@
         listed = [record for record in ready if record.unlisted_at_s is None]
         return listed or ready
 
-    def is_shut(self, service: str, regions: Collection[str] | None) -> bool:
+    def has_no_eligible_runner(self, service: str, regions: Collection[str] | None) -> bool:
         """Whether runners are ready, and all stand where a request may not go."""
         if self.filter.lets_all(regions):
             return False
--- a/src/bendshed/services/turn_record.py
+++ b/src/bendshed/services/turn_record.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import Any
 
-from bendshed.admission.sliding_window import TimedLeave
+from bendshed.admission.sliding_window import TimedPermit
 from bendshed.consensus.group_client import GroupUnavailable
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.logs import PartLog
@@ -18,9 +18,9 @@
 from bendshed.services.group_search import GroupSearch
 from bendshed.services.metrics import ServiceMetrics
 from bendshed.services.permit_client import demand_of, no_room
-from bendshed.services.quota_client import NodeQuotas, refusal_of
+from bendshed.services.quota_client import QuotaClient, refusal_of
 from bendshed.turns.client import TranscriptCache, TurnClient
-from bendshed.turns.group_locator import TurnWhereabouts
+from bendshed.turns.group_locator import GroupLocator
 from bendshed.turns.shares import ShareGatherer
 from bendshed.wire import turns_pb2 as wire
 
@@ -42,7 +42,7 @@
     """What turns need of a node.
 
     Attributes:
-        whereabouts: which group of the turn log is asked first.
+        group_locator: which group of the turn log is asked first.
         late: commands under way that no caller may wait for.
         shares: takes shares between groups whose leaders do not reach each other.
 
@@ -51,14 +51,14 @@
     client: TurnClient
     transcripts: TranscriptCache
     metrics: ServiceMetrics
-    quotas: NodeQuotas
+    quotas: QuotaClient
     policy: Policy = EVERYTHING
-    whereabouts: TurnWhereabouts = field(default_factory=TurnWhereabouts)
+    group_locator: GroupLocator = field(default_factory=GroupLocator)
     late: "set[asyncio.Task[Any]]" = field(default_factory=set)
     shares: ShareGatherer = field(init=False)
 
     def __post_init__(self) -> None:
-        self.shares = ShareGatherer(self.whereabouts.groups, self._send)
+        self.shares = ShareGatherer(self.group_locator.groups, self._send)
 
     async def _send(self, _group: int, command: wire.TurnCommand) -> wire.TurnReply | None:
         """Commit a command in its group; ``None``: no leader answered in time."""
@@ -104,15 +104,15 @@
 
     @property
     def _tenant(self) -> str:
-        return self.attempts.asker.name
+        return self.attempts.principal.name
 
     @property
     def _search(self) -> GroupSearch:
         """The search for the group that commits the begin."""
         if self._searching is None:
-            whereabouts, shares = self.ports.whereabouts, self.ports.shares
+            group_locator, shares = self.ports.group_locator, self.ports.shares
             begin, group = self._begin, self.group
-            self._searching = GroupSearch(whereabouts, shares, begin, group, self._commit_in)
+            self._searching = GroupSearch(group_locator, shares, begin, group, self._commit_in)
         return self._searching
 
     @property
@@ -157,7 +157,7 @@
         began_s = loop.time()
         begin = self._begin = self._begin_command()
         previous = begin.previous_turn
-        self.group = self.ports.whereabouts.group_of(self._tenant, begin.program_id, previous)
+        self.group = self.ports.group_locator.group_of(self._tenant, begin.program_id, previous)
         held = self.ports.transcripts.get((self._tenant, previous)) if previous else None
         begin.held_turn = previous if held is not None else ""
         self._is_begun = True  # from here on the reservation may exist
@@ -196,7 +196,7 @@
         reply = await self.ports.client.preview(asked)
         if reply is not None:
             self.attempts.advised = reply.runner_id
-            self.attempts.leave = TimedLeave(asked_s + reply.permit_ms / 1000)
+            self.attempts.leave = TimedPermit(asked_s + reply.permit_ms / 1000)
         return reply
 
     def _demand(self) -> wire.TurnDemand:
@@ -239,7 +239,7 @@
             most_tokens=turn.most_tokens,
             retention_ms=self.route.retention_ms,
             tenant=self._tenant,
-            num_groups=self.ports.whereabouts.num_groups(self._tenant),
+            num_groups=self.ports.group_locator.num_groups(self._tenant),
         )
 
     def _commit_begin(self, begin: wire.BeginTurn) -> "asyncio.Task[wire.TurnReply | None]":
@@ -262,7 +262,7 @@
 
     def _report_calls(self, command: wire.TurnCommand) -> Callable[[], None]:
         """Tell what this node let through of limited tenants; nothing where nobody is limited."""
-        if not self.attempts.asker.is_limited:
+        if not self.attempts.principal.is_limited:
             return _nothing
         return self.ports.quotas.report(command)
 
@@ -340,8 +340,8 @@
         if reply is None:
             return Refusal(ErrorKind.TURN_LOG_UNAVAILABLE, "the turn log does not answer")
         if reply.answer == wire.TURN_ANSWER_GRANTED:
-            whereabouts = self.ports.whereabouts
-            whereabouts.note_program(self._tenant, self.request.program_id, self.group)
+            group_locator = self.ports.group_locator
+            group_locator.note_program(self._tenant, self.request.program_id, self.group)
             return None
         # Nothing is reserved; one that left all the same is counted by its end.
         self._is_finished = not (self._tenant and self.attempts.may_have_run)
@@ -407,9 +407,9 @@
             return False
         self._is_finished = True
         note_told()
-        self.ports.quotas.take_allowance(self.attempts.asker, reply.spend_ceiling)
+        self.ports.quotas.take_allowance(self.attempts.principal, reply.spend_ceiling)
         if self.route.keeps_turns:
-            self.ports.whereabouts.note_turn(self._tenant, self.request.request_id, self.group)
+            self.ports.group_locator.note_turn(self._tenant, self.request.request_id, self.group)
             said = self.request.body + b"".join(self._output)
             turn = (self._tenant, self.request.request_id)
             self.ports.transcripts.put(turn, self._transcript + said)
--- a/src/bendshed/turns/client.py
+++ b/src/bendshed/turns/client.py
@@ -81,8 +81,8 @@
         """
         loop = asyncio.get_running_loop()
         give_up_at_s = loop.time() + timeout_s
-        way_s = self._groups.way_to_leader_s(command.group)
-        while (left_s := give_up_at_s - loop.time()) > way_s:
+        expected_round_trip_s = self._groups.round_trip_to_leader_s(command.group)
+        while (left_s := give_up_at_s - loop.time()) > expected_round_trip_s:
             before_try()
             payload = command.SerializeToString()
             reply = await self._try_once(command.group, payload, left_s)
@@ -139,9 +139,9 @@
             pause_s = min(FIND_LAST_S, FIND_GROWTH * pause_s)
 
     @property
-    def way_home_s(self) -> float:
+    def expected_round_trip_home_s(self) -> float:
         """The round trip to the home group's supposed leader."""
-        return self._groups.way_to_leader_s(self.home_group)
+        return self._groups.round_trip_to_leader_s(self.home_group)
 
     async def probe(self) -> None:
         """Ask any replica something harmless; ``lost_since_s`` tells the outcome."""
@@ -170,7 +170,7 @@
         self, group: int, method: str, payload: bytes, timeout_s: float, left_s: float = math.inf
     ) -> wire.TurnReply | None:
         """Ask the supposed leader of a group; learn from what it says who leads."""
-        answer = await self._groups.ask_leader(group, method, payload, timeout_s, left_s)
+        answer = await self._groups.request_leader(group, method, payload, timeout_s, left_s)
         if group == self.home_group:
             self._note(answer is not None)
         if answer is None:
--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -4,16 +4,16 @@
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass, field
 
-from bendshed.admission.cold_permits import LEAVE_S, WINDOW_MS, ColdGrants
-from bendshed.admission.retry_schedule import ReturnTimes
-from bendshed.catalog.cold_runner_tracker import ColdTracker
+from bendshed.admission.cold_permits import LEAVE_S, WINDOW_MS, ColdPermitCounts
+from bendshed.admission.retry_schedule import RetrySchedule
+from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
 from bendshed.identifiers import rendezvous_rank
 from bendshed.logs import PartLog
 from bendshed.model.runner import ServiceRunner
 from bendshed.placement.cold_runners import ColdTerms
 from bendshed.turns.metrics import ColdEnd, TurnLogMetrics
 
-LEAVE_MS = int(1000 * LEAVE_S)
+PERMIT_MS = int(1000 * LEAVE_S)
 REFUSED_KEPT_S = 2.0
 """A turn that was refused is remembered for so long: its begin may arrive behind the refusal."""
 MIN_WAIT_MS = 100
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdAsk:
+class PermitRequest:
     """What wants to be sent.
 
     Attributes:
@@ -75,26 +75,28 @@
 
 
 @dataclass(slots=True)
-class ColdPermits:
+class ColdAdmission:
     """Leave to send to cold runners, by this process while it leads.
 
     Programs that were refused in their midst come back; until then what they need is not given to
     new ones.
     """
 
-    tracker: ColdTracker
+    tracker: ColdRunnerTracker
     terms: ColdTerms
     metrics: TurnLogMetrics
     num_leaders: int = 1
-    grants: ColdGrants = field(init=False)
+    grants: ColdPermitCounts = field(init=False)
     _refused: "OrderedDict[str, tuple[float, int]]" = field(default_factory=OrderedDict)
-    _returns: dict[bool, ReturnTimes] = field(init=False)
+    _returns: dict[bool, RetrySchedule] = field(init=False)
 
     def __post_init__(self) -> None:
-        self.grants = ColdGrants(self.terms, self.num_leaders)
-        self._returns = {is_new: ReturnTimes() for is_new in (True, False)}
+        self.grants = ColdPermitCounts(self.terms, self.num_leaders)
+        self._returns = {is_new: RetrySchedule() for is_new in (True, False)}
 
-    def openings(self, runners: Sequence[ServiceRunner], ask: ColdAsk, now_s: float) -> Openings:
+    def openings(
+        self, runners: Sequence[ServiceRunner], ask: PermitRequest, now_s: float
+    ) -> Openings:
         """Leave out the cold runners that have got what they bear.
 
         Whoever asks again for the same request is judged anew.
@@ -110,25 +112,25 @@
         return Openings([r for r in runners if r.runner_id not in is_full], has_room)
 
     def counted_openings(
-        self, runners: Sequence[ServiceRunner], ask: ColdAsk, now_s: float
+        self, runners: Sequence[ServiceRunner], ask: PermitRequest, now_s: float
     ) -> Openings:
         """Hold each runner to the bound, warm or not: the asker may know what is not known here."""
         has_room = self._with_room(runners, ask, now_s)
         return Openings(has_room, {runner.runner_id for runner in has_room})
 
     def _with_room(
-        self, runners: Sequence[ServiceRunner], ask: ColdAsk, now_s: float
+        self, runners: Sequence[ServiceRunner], ask: PermitRequest, now_s: float
     ) -> list[ServiceRunner]:
         kept = self._kept_for_others(ask, now_s) / max(1, len(runners))
         return [runner for runner in runners if self._room(runner, ask, now_s) > kept]
 
-    def _kept_for_others(self, ask: ColdAsk, now_s: float) -> int:
+    def _kept_for_others(self, ask: PermitRequest, now_s: float) -> int:
         """Sendings that programs under way will ask for once more."""
         if not ask.is_new_program:
             return 0
         return self._returns[False].num_others(ask.returns_as, int(1000 * now_s))
 
-    def _room(self, runner: ServiceRunner, ask: ColdAsk, now_s: float) -> int:
+    def _room(self, runner: ServiceRunner, ask: PermitRequest, now_s: float) -> int:
         rate = self.tracker.rate_of(runner.runner_id)
         return self.grants.room(runner.runner_id, rate, ask.is_new_program, now_s)
 
@@ -155,7 +157,7 @@
 
         return min(runners, key=cost).runner_id
 
-    def grant(self, runner_id: str, ask: ColdAsk, now_s: float) -> Placement:
+    def grant(self, runner_id: str, ask: PermitRequest, now_s: float) -> Placement:
         """Permit one sending."""
         self.grants.grant(runner_id, now_s)
         self._refused.pop(ask.request_id, None)
@@ -170,9 +172,11 @@
             most=self.grants.most(self.tracker.rate_of(runner_id), False, now_s),
             cold_for_ms=self.tracker.left_ms(runner_id),
         )
-        return Placement(runner_id, LEAVE_MS)
+        return Placement(runner_id, PERMIT_MS)
 
-    def refuse(self, runners: Sequence[ServiceRunner], ask: ColdAsk, now_s: float) -> Placement:
+    def refuse(
+        self, runners: Sequence[ServiceRunner], ask: PermitRequest, now_s: float
+    ) -> Placement:
         """No runner may take it now: tell when to come back, each behind those told before."""
         self.grants.sweep(now_s)
         now_ms = int(1000 * now_s)
@@ -193,7 +197,7 @@
         return Placement(retry_after_ms=retry_ms)
 
     def _wait_ms(
-        self, runners: Sequence[ServiceRunner], ask: ColdAsk, num_before: int, now_s: float
+        self, runners: Sequence[ServiceRunner], ask: PermitRequest, num_before: int, now_s: float
     ) -> int:
         rates = {runner.runner_id: self.tracker.rate_of(runner.runner_id) for runner in runners}
         is_new = ask.is_new_program
--- a/src/bendshed/turns/group_locator.py
+++ b/src/bendshed/turns/group_locator.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class TurnWhereabouts:
+class GroupLocator:
     """Programs and kept turns that are not where this node would look first.
 
     Attributes:
--- a/src/bendshed/turns/group_peers.py
+++ b/src/bendshed/turns/group_peers.py
@@ -38,7 +38,9 @@
             directory.node_ids,
             lambda group: directory.node_ids_in(groups.home_zones(group)),
         )
-        self._client.way_s = lambda peer: neighbours.way_s(peer.host, transport.round_trip_s(peer))
+        self._client.expected_round_trip_s = lambda peer: neighbours.expected_round_trip_s(
+            peer.host, transport.round_trip_s(peer)
+        )
         self._turns = TurnClient(rng, self._client)
         self._looked_s: dict[int, float] = {}
         self._looking: set[asyncio.Task[None]] = set()
@@ -48,7 +50,7 @@
 
         ``timeout_s`` is for a neighbour; a far leader has more.
         """
-        timeout_s += FAR_TRIPS * self._client.way_to_leader_s(command.group)
+        timeout_s += FAR_TRIPS * self._client.round_trip_to_leader_s(command.group)
         try:
             return await self._turns.command(command, timeout_s)
         except GroupUnavailable:
@@ -57,7 +59,7 @@
     async def ask_emptied(self, group_id: int, node_id: str) -> bool:
         """Whether a group has let a machine go; ``False`` also where its leader does not answer."""
         ask = wire.EmptiedAsk(group=group_id, node_id=node_id)
-        answer = await self._client.ask_leader(
+        answer = await self._client.request_leader(
             group_id, EMPTIED_METHOD, ask.SerializeToString(), EMPTIED_TIMEOUT_S
         )
         if answer is None:
--- a/src/bendshed/turns/led_group.py
+++ b/src/bendshed/turns/led_group.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from bendshed.consensus.host import GroupHost
-from bendshed.turns.quota_counting import TurnQuotas
+from bendshed.turns.quota_counting import QuotaCounting
 from bendshed.turns.state import TurnLogState
 from bendshed.wire import turns_pb2 as wire
 
@@ -36,7 +36,7 @@
 
     """
 
-    def __init__(self, group_id: int, host: GroupHost, quotas: TurnQuotas) -> None:
+    def __init__(self, group_id: int, host: GroupHost, quotas: QuotaCounting) -> None:
         self.group_id = group_id
         self.quotas = quotas
         self._host = host
--- a/src/bendshed/turns/load_exchange.py
+++ b/src/bendshed/turns/load_exchange.py
@@ -4,7 +4,7 @@
 
 from bendshed.consensus.host import GroupHost
 from bendshed.model.address import Address
-from bendshed.placement.cluster_load import LoadBoard
+from bendshed.placement.cluster_load import ClusterLoad
 from bendshed.placement.groups import TurnGroups
 from bendshed.placement.other_loads import OtherLoad
 from bendshed.ports.transport import Transport
@@ -28,7 +28,7 @@
         host: GroupHost,
         groups: TurnGroups,
         peers: GroupPeers,
-        board: LoadBoard,
+        board: ClusterLoad,
     ) -> None:
         self._transport = transport
         self._host = host
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -23,21 +23,21 @@
 from bendshed.placement.cold_runners import ColdTerms
 from bendshed.placement.distance import DistanceCosts, LinkTerms
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
-from bendshed.placement.zones import ZoneWord
+from bendshed.placement.zones import ZoneUpdate
 from bendshed.policy import EVERYTHING, Policy
 from bendshed.ports.catalog_storage import CatalogStorage
 from bendshed.ports.log_storage import LogStorage
 from bendshed.ports.registry import ReplicaNode, ReplicaRegistry
 from bendshed.ports.transport import Transport
 from bendshed.tasks import start_loop
-from bendshed.turns.cold_admission import ColdPermits
+from bendshed.turns.cold_admission import ColdAdmission
 from bendshed.turns.group_peers import GroupPeers
 from bendshed.turns.load_exchange import LoadExchange
 from bendshed.turns.metrics import TurnLogMetrics
-from bendshed.turns.quota_counting import TurnQuotas
+from bendshed.turns.quota_counting import QuotaCounting
 from bendshed.turns.service import TurnService
 from bendshed.turns.state import TurnLogState
-from bendshed.turns.turn_placement import TurnAdvice
+from bendshed.turns.turn_placement import TurnPlacement
 
 TICK_S = 0.025
 """Heartbeats go every 3 ticks; a follower stands for election after 10 to 20 silent ones."""
@@ -138,14 +138,14 @@
         self._echo.on_measured = self._take_distances
         self._distance = DistanceCosts(self.neighbours.places, link_terms or LinkTerms())
         known = self.catalog.catalog
-        cold = ColdPermits(known.cold, cold_terms or ColdTerms(), metrics, groups.count)
-        self._advice = TurnAdvice(known, cold, rng, self._distance)
+        cold = ColdAdmission(known.cold, cold_terms or ColdTerms(), metrics, groups.count)
+        self._advice = TurnPlacement(known, cold, rng, self._distance)
         self._service = TurnService(
             self.host,
             transport,
             metrics,
             self._advice,
-            lambda: TurnQuotas(known, quota_terms, policy.programs_first),
+            lambda: QuotaCounting(known, quota_terms, policy.programs_first),
             groups,
             peers.command,
         )
@@ -240,7 +240,7 @@
         self.catalog.set_lost(is_lost)
         self.follower.note_own_reading(is_lost)
 
-    def take_zones(self, word: ZoneWord) -> None:
+    def take_zones(self, word: ZoneUpdate) -> None:
         """The registry itself told which zones are closed."""
         self.catalog.take_zones(word)
         self.catalog.confirm(CatalogPart.ZONES, word.zones.at)
--- a/src/bendshed/turns/quota_counting.py
+++ b/src/bendshed/turns/quota_counting.py
@@ -10,7 +10,7 @@
 log = PartLog("quota")
 
 
-class TurnQuotas:
+class QuotaCounting:
     """Decides by the newest configuration that this process knows.
 
     A tenant that it does not name, or names without a limit, is not limited here; its requests
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -11,10 +11,10 @@
 from bendshed.turns.led_group import LedGroup
 from bendshed.turns.methods import PREVIEW_METHOD, QUOTA_METHOD, RUNNER_METHOD, TURN_METHOD
 from bendshed.turns.metrics import CommandEnd, TurnLogMetrics
-from bendshed.turns.quota_counting import TurnQuotas
+from bendshed.turns.quota_counting import QuotaCounting
 from bendshed.turns.shares import ShareGatherer
 from bendshed.turns.state import TurnLogState
-from bendshed.turns.turn_placement import TurnAdvice
+from bendshed.turns.turn_placement import TurnPlacement
 from bendshed.wire import turns_pb2 as wire
 
 SHARE_TIMEOUT_S = 0.25
@@ -56,8 +56,8 @@
         host: GroupHost,
         transport: Transport,
         metrics: TurnLogMetrics,
-        advice: TurnAdvice,
-        make_quotas: Callable[[], TurnQuotas],
+        advice: TurnPlacement,
+        make_quotas: Callable[[], QuotaCounting],
         groups: TurnGroups = ONE_GROUP,
         ask_group: AskGroup = _ask_nobody,
     ) -> None:
--- a/src/bendshed/turns/state.py
+++ b/src/bendshed/turns/state.py
@@ -9,7 +9,7 @@
 from bendshed.admission.quota_usage import UsageWindows
 from bendshed.turns.budget import ProgramBudget
 from bendshed.turns.methods import Owned
-from bendshed.turns.stored_turn import KeptTurn
+from bendshed.turns.stored_turn import StoredTurn
 from bendshed.wire import turns_pb2 as wire
 
 PROGRAM_KEPT_FACTOR = 2
@@ -36,7 +36,7 @@
     def __init__(self, group_id: int = 0) -> None:
         self.group_id = group_id
         self.clock_ms = 0
-        self.turns: dict[Owned, KeptTurn] = {}
+        self.turns: dict[Owned, StoredTurn] = {}
         self.programs: dict[Owned, ProgramBudget] = {}
         self.usage = UsageWindows()
 
@@ -88,7 +88,7 @@
         """Replace the state."""
         snapshot = wire.TurnLogSnapshot.FromString(state)
         self.clock_ms = snapshot.clock_ms
-        self.turns = {(row.tenant, row.turn_id): KeptTurn.of_wire(row) for row in snapshot.turns}
+        self.turns = {(row.tenant, row.turn_id): StoredTurn.of_wire(row) for row in snapshot.turns}
         self.programs = {
             (row.tenant, row.program_id): ProgramBudget.of_wire(row) for row in snapshot.programs
         }
@@ -257,7 +257,7 @@
     def _keep(self, finish: wire.FinishTurn) -> None:
         """Keep the turn, and its chain for as long."""
         expires_ms = self.clock_ms + finish.retention_ms
-        self.turns[finish.tenant, finish.turn_id] = KeptTurn(
+        self.turns[finish.tenant, finish.turn_id] = StoredTurn(
             finish.previous_turn, finish.input + finish.output, expires_ms
         )
         earlier = self.turns.get((finish.tenant, finish.previous_turn))
--- a/src/bendshed/turns/stored_turn.py
+++ b/src/bendshed/turns/stored_turn.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class KeptTurn:
+class StoredTurn:
     """One turn that may be continued.
 
     Attributes:
@@ -31,6 +31,6 @@
         )
 
     @classmethod
-    def of_wire(cls, row: wire.KeptTurn) -> "KeptTurn":
+    def of_wire(cls, row: wire.KeptTurn) -> "StoredTurn":
         """Read it from a snapshot."""
         return cls(row.previous_turn, row.transcript, row.expires_ms)
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -7,25 +7,25 @@
 from bendshed.logs import PartLog
 from bendshed.model.prompt import PromptPart
 from bendshed.model.runner import ServiceRunner
-from bendshed.placement.cluster_load import Demand, Ended, LoadBoard
+from bendshed.placement.cluster_load import ClusterLoad, Demand, Ended
 from bendshed.placement.distance import DistanceCosts
-from bendshed.turns.cold_admission import ColdAsk, ColdPermits, Openings, Placement
+from bendshed.turns.cold_admission import ColdAdmission, Openings, PermitRequest, Placement
 from bendshed.wire import turns_pb2 as wire
 
 log = PartLog("placement")
 
 
-class TurnAdvice:
+class TurnPlacement:
     """Advises nodes, and learns from what they report."""
 
     def __init__(
         self,
         catalog: Catalog,
-        cold: ColdPermits,
+        cold: ColdAdmission,
         rng: random.Random,
         distance: DistanceCosts | None = None,
     ) -> None:
-        self.board = LoadBoard(rng, distance)
+        self.board = ClusterLoad(rng, distance)
         self.cold = cold
         self._catalog = catalog
         self._listed_at = 0
@@ -46,7 +46,7 @@
         regions = frozenset(preview.demand.regions) or None
         runners = self._catalog.ready_runners(preview.demand.service, regions)
         begin, line = preview.begin, preview.demand.line
-        ask = ColdAsk(begin.turn_id, begin.program_id, is_new_program, line)
+        ask = PermitRequest(begin.turn_id, begin.program_id, is_new_program, line)
         openings = self.cold.openings(runners, ask, now_s)
         if runners and not openings.runners:
             return self.cold.refuse(runners, ask, now_s)
@@ -68,7 +68,7 @@
         ]
         if not runners:
             return Placement()
-        ask = ColdAsk(asked.request_id, asked.request_id, asked.is_new_program)
+        ask = PermitRequest(asked.request_id, asked.request_id, asked.is_new_program)
         openings = self.cold.counted_openings(runners, ask, now_s)
         if not openings.runners:
             placement = self.cold.refuse(runners, ask, now_s)
--- a/tests/site_cold_defects.py
+++ b/tests/site_cold_defects.py
@@ -1,15 +1,15 @@
 """Planted defects around cold runners, and scenarios that must catch them."""
 
 from bendshed.admission.cold_permits import LeaderTouch
-from bendshed.admission.sliding_window import TimedLeave
-from bendshed.catalog.cold_runner_tracker import ColdTracker
+from bendshed.admission.sliding_window import TimedPermit
+from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
 from bendshed.model.runner import ServiceRunner
 from bendshed.placement.cold_runners import ColdRunners
 from bendshed.rehearsal.site.documents import WIDE
 from bendshed.rehearsal.site.oracle import Rule, Violation
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.sim_world import SiteWorld
-from bendshed.services.permit_client import Permit, RunnerAsks
+from bendshed.services.permit_client import Permit, PermitClient
 from tests.site_defects import Defect, patch, world
 
 LONG_S = 60.0
@@ -84,8 +84,8 @@
     return 1.0
 
 
-async def _ask_nobody(asks: RunnerAsks, request: object, demand: object) -> Permit:
-    return Permit("tool-1", TimedLeave(float("inf")))
+async def _ask_nobody(asks: PermitClient, request: object, demand: object) -> Permit:
+    return Permit("tool-1", TimedPermit(float("inf")))
 
 
 def _note_by_another_clock(
@@ -106,12 +106,14 @@
         Rule.COLD, all_cold_while_leaders_change, patch(LeaderTouch, "share", _whole_share)
     ),
     "a front without a word goes on": Defect(
-        Rule.COLD, all_cold_while_fronts_are_cut, patch(RunnerAsks, "ask", _ask_nobody)
+        Rule.COLD, all_cold_while_fronts_are_cut, patch(PermitClient, "ask", _ask_nobody)
     ),
     "the time left is counted from another clock": Defect(
         Rule.COLD, all_cold_after_a_while, patch(ColdRunners, "_note", _note_by_another_clock)
     ),
     "a runner that has just started counts as warm": Defect(
-        Rule.COLD, one_cold_runner_is_left, patch(ColdTracker, "is_cold", lambda _s, _r: False)
+        Rule.COLD,
+        one_cold_runner_is_left,
+        patch(ColdRunnerTracker, "is_cold", lambda _s, _r: False),
     ),
 }
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from bendshed.admission.access import AccessIndex
-from bendshed.admission.quota_allowance import SpendingGate
+from bendshed.admission.quota_allowance import LocalAllowances
 from bendshed.admission.quota_ledger import QuotaLedger
 from bendshed.admission.quota_usage import UsageWindows
 from bendshed.admission.sliding_window import SlidingCount
@@ -240,7 +240,7 @@
     return usage.in_window(tenant, now_ms, min(ledger._judged_ms, now_ms - began_ms))
 
 
-def _spend_always(gate: SpendingGate, tenant: str, now_s: float) -> bool:
+def _spend_always(gate: LocalAllowances, tenant: str, now_s: float) -> bool:
     gate.spend_granted(tenant, 0, now_s)
     return True
 
@@ -363,7 +363,7 @@
     "a front that is cut off goes on": Defect(
         Rule.QUOTA,
         a_tenant_floods_through_cut_fronts,
-        patch(SpendingGate, "try_spend", _spend_always),
+        patch(LocalAllowances, "try_spend", _spend_always),
     ),
     "windows are fixed spans": Defect(
         Rule.QUOTA, a_tenant_floods_in_bursts, patch(SlidingCount, "_inside", _inside_fixed_span)
--- a/tests/site_zone_defects.py
+++ b/tests/site_zone_defects.py
@@ -5,7 +5,7 @@
 
 from bendshed.catalog import codec
 from bendshed.placement.node_choice import Choice
-from bendshed.placement.zones import RunnerFilter, ZoneChanges, ZoneRecord, ZoneWord
+from bendshed.placement.zones import RunnerFilter, ZoneChanges, ZoneRecord, ZoneUpdate
 from bendshed.rehearsal.site.oracle import Rule, Violation
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.sim_world import SiteWorld
@@ -95,7 +95,7 @@
 _REAL_TAKE = ZoneRecord.take
 
 
-def _take_any_word(record: ZoneRecord, word: ZoneWord, now_s: float) -> ZoneChanges:
+def _take_any_word(record: ZoneRecord, word: ZoneUpdate, now_s: float) -> ZoneChanges:
     """An older word counts like a newer one."""
     changes = _REAL_TAKE(record, word, now_s)
     record.zones = word.zones
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -6,11 +6,11 @@
 import orjson
 
 from bendshed.admission.access import AccessIndex
-from bendshed.catalog.codec import KeptCatalog, decode_kept, encode_kept, read_document
+from bendshed.catalog.codec import StoredCatalog, decode_kept, encode_kept, read_document
 from bendshed.catalog.state import Catalog
 from bendshed.errors import Refusal
 from bendshed.identifiers import credential_digest
-from bendshed.model.principal import Asker
+from bendshed.model.principal import Principal
 from bendshed.model.service_document import ServiceDocument
 from bendshed.platform import names, translate
 from bendshed.platform.caller_protocol import PlatformCallerProtocol
@@ -63,12 +63,12 @@
     return (names.AUTHORIZATION, text.encode())
 
 
-def asker(*headers: tuple[bytes, bytes], path: int = 0) -> Asker | None:
+def asker(*headers: tuple[bytes, bytes], path: int = 0) -> Principal | None:
     known = document()
-    return AccessIndex(known).asker(known.routes[path], request(*headers).credential)
+    return AccessIndex(known).principal(known.routes[path], request(*headers).credential)
 
 
-def headers_at_the_runner(asked: ServiceRequest, who: Asker) -> Headers:
+def headers_at_the_runner(asked: ServiceRequest, who: Principal) -> Headers:
     route = document().routes[0]
     spec = {"service": "s", "addr": "10.0.0.9:80", "state": "ready"}
     runner = translate.read_runner(StoredObject("i-1", 3, spec, None))
@@ -113,7 +113,7 @@
 
     def test_without_tenants_nobody_is_asked(self) -> None:
         plain = document({**SPEC, "tenants": []})
-        found = AccessIndex(plain).asker(plain.routes[0], "")
+        found = AccessIndex(plain).principal(plain.routes[0], "")
         assert found is not None
         self.assertTrue(found.is_unasked)
 
@@ -122,7 +122,7 @@
         index = AccessIndex(known)
         one, two = credential_digest(KEY), credential_digest(OTHER_KEY)
         pairs = [(one, 1), (one, 0), (two, 1), (two, 0)]
-        found = [index.asker(known.routes[place], who) for who, place in pairs]
+        found = [index.principal(known.routes[place], who) for who, place in pairs]
         urgencies = [who.urgency for who in found if who is not None]
         self.assertEqual(urgencies, sorted(urgencies))
         self.assertEqual(len(set(urgencies)), 4)
@@ -141,12 +141,12 @@
 
     def test_a_callers_word_on_its_tenant_never_passes(self) -> None:
         asked = request((names.TENANT, b"two"))
-        sent = headers_at_the_runner(asked, Asker(None, 0))
+        sent = headers_at_the_runner(asked, Principal(None, 0))
         self.assertEqual([v for name, v in sent if name == names.TENANT], [])
 
     def test_without_tenants_the_header_is_the_runners(self) -> None:
         asked = request(authorization("Basic abc"))
-        sent = headers_at_the_runner(asked, Asker(None, 0, is_unasked=True))
+        sent = headers_at_the_runner(asked, Principal(None, 0, is_unasked=True))
         self.assertIn((names.AUTHORIZATION, b"Basic abc"), sent)
 
 
@@ -155,7 +155,7 @@
         known = document()
         catalog = Catalog()
         catalog.take_document(known)
-        kept = encode_kept(KeptCatalog(catalog))
+        kept = encode_kept(StoredCatalog(catalog))
         told = catalog.written(lambda row: orjson.dumps(orjson.loads(_plain(row))))
         asked = request(authorization(f"Token {KEY}"))
         for place in (kept, told, repr(known).encode(), repr(asked).encode()):
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from bendshed.catalog import follower, server
-from bendshed.catalog.codec import KeptCatalog, decode_kept, encode_kept
+from bendshed.catalog.codec import StoredCatalog, decode_kept, encode_kept
 from bendshed.catalog.server import CATALOG_METHOD
 from bendshed.catalog.state import MAX_REMOVED, Catalog, KnownRunner
 from bendshed.identifiers import rendezvous_rank
@@ -63,7 +63,7 @@
         self.catalog.take_document(make_document(4))
         node = ReplicaNode("store-1", "abc", Address("10.0.1.1", 7000), "zone-a")
         front = Address("10.0.2.1", 7000)
-        kept = decode_kept(encode_kept(KeptCatalog(self.catalog, (node,), (front,))))
+        kept = decode_kept(encode_kept(StoredCatalog(self.catalog, (node,), (front,))))
         self.assertEqual((kept.replicas, kept.fronts), ((node,), (front,)))
         read = kept.catalog
         self.assertEqual((read.version, read.runners_at), (4, 6))
--- a/tests/test_cold_runners.py
+++ b/tests/test_cold_runners.py
@@ -13,7 +13,7 @@
     LOOK_GAP_S,
     STALE_S,
     WINDOW_MS,
-    ColdGrants,
+    ColdPermitCounts,
     LeaderTouch,
 )
 from bendshed.model.address import Address
@@ -120,7 +120,7 @@
 class Reign:
     """One leader that grants whatever it may; what it grants leaves as late as it may."""
 
-    grants: ColdGrants = field(default_factory=lambda: ColdGrants(TERMS))
+    grants: ColdPermitCounts = field(default_factory=lambda: ColdPermitCounts(TERMS))
     sent_s: list[float] = field(default_factory=list)
 
     def lead(self, from_s: float, to_s: float, rng: random.Random, term: int) -> None:
@@ -144,17 +144,17 @@
         self.assertEqual(WINDOW_MS, 1000 * (1 + LEAVE_S))
 
     def test_an_established_leader_grants_half_and_a_new_one_a_quarter(self) -> None:
-        grants = ColdGrants(TERMS)
+        grants = ColdPermitCounts(TERMS)
         grants.touch.look(1, True, 0.0)
         self.assertEqual(grants.most(COLD_PER_S, False, 0.1), int(BOUND / 4))
         for tenth in range(1, 30):
             grants.touch.look(1, True, tenth / 10)
         self.assertEqual(grants.most(COLD_PER_S, False, 2.9), int(BOUND / 2))
-        halved = ColdGrants(TERMS, num_leaders=2, touch=grants.touch)
+        halved = ColdPermitCounts(TERMS, num_leaders=2, touch=grants.touch)
         self.assertEqual(halved.most(COLD_PER_S, False, 2.9), int(BOUND / 4))
 
     def test_programs_under_way_have_room_that_new_ones_have_not(self) -> None:
-        grants = ColdGrants(TERMS)
+        grants = ColdPermitCounts(TERMS)
         grants.touch.look(1, True, 0.0)
         while grants.room("r", COLD_PER_S, True, 0.1) > 0:
             grants.grant("r", 0.1)
@@ -205,13 +205,13 @@
         self.assertLessEqual(reign.grants.room("r", COLD_PER_S, False, 3.05), 0)
 
     def test_grants_take_bounded_memory(self) -> None:
-        grants = ColdGrants(TERMS)
+        grants = ColdPermitCounts(TERMS)
         for number in range(10_000):
             grants.grant("r", number / 100)
         self.assertLess(len(grants._granted["r"].spans), 30)
 
     def test_what_no_window_holds_is_forgotten(self) -> None:
-        grants = ColdGrants(TERMS)
+        grants = ColdPermitCounts(TERMS)
         grants.grant("r", 1.0)
         grants.sweep(2.0)
         self.assertEqual(grants.num_granted("r", 2.0), 1)
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -8,19 +8,19 @@
 
 from prometheus_client import CollectorRegistry
 
-from bendshed.admission.sliding_window import NO_LEAVE, TimedLeave
+from bendshed.admission.sliding_window import NO_PERMIT, TimedPermit
 from bendshed.catalog.codec import (
-    KeptCatalog,
+    StoredCatalog,
     decode_kept,
     encode_kept,
     read_runner,
     write_reply,
 )
-from bendshed.catalog.cold_runner_tracker import ColdTracker
+from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
 from bendshed.catalog.state import Catalog, KnownRunner
 from bendshed.errors import ErrorKind, Refusal, WasRun
 from bendshed.model.address import Address
-from bendshed.model.principal import Asker
+from bendshed.model.principal import Principal
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.model.service_document import Route, RouteKind, Service, ServiceDocument
 from bendshed.placement.cold_runners import ColdTerms
@@ -32,13 +32,13 @@
 from bendshed.rehearsal.site.sim_world import SiteWorld
 from bendshed.services.attempts import Attempts, OpenAnswer, RunnerPorts
 from bendshed.services.metrics import ServiceMetrics
-from bendshed.services.permit_client import Permit, RunnerAsks
+from bendshed.services.permit_client import Permit, PermitClient
 from bendshed.services.runners import RunnerTable
 from bendshed.turns.client import TurnClient
-from bendshed.turns.cold_admission import ColdAsk, ColdPermits
+from bendshed.turns.cold_admission import ColdAdmission, PermitRequest
 from bendshed.turns.metrics import TurnLogMetrics
 from bendshed.turns.state import TurnLogState
-from bendshed.turns.turn_placement import TurnAdvice
+from bendshed.turns.turn_placement import TurnPlacement
 from bendshed.wire import turns_pb2 as wire
 from tests.site_cold_defects import LONG_S, cool_all, flood
 from tests.site_defects import world
@@ -69,7 +69,7 @@
     def setUp(self) -> None:
         self.clock = Clock(100.0)
         self.catalog = Catalog()
-        self.catalog.begin_life(self.clock)
+        self.catalog.begin_incarnation(self.clock)
         self.catalog.take_document(DOCUMENT)
 
     def told(self, catalog: Catalog) -> dict[str, int]:
@@ -90,7 +90,7 @@
         rows = write_reply(self.catalog, since=0, known_version=0).runners
         other_clock = Clock(7.0)
         asker = Catalog()
-        asker.begin_life(other_clock)
+        asker.begin_incarnation(other_clock)
         asker.take_document(DOCUMENT)
         asker.list_runners([read_runner(row) for row in rows], 1, is_trusted=True)
         other_clock.now_s += 1.9
@@ -116,9 +116,9 @@
         runners = [KnownRunner(runner("a", 5_000), 1), KnownRunner(runner("b"), 2)]
         self.catalog.list_runners(runners, 2, is_trusted=True)
         self.clock.now_s += 1.0
-        content = encode_kept(KeptCatalog(self.catalog))
+        content = encode_kept(StoredCatalog(self.catalog))
         kept = decode_kept(content).catalog
-        kept.begin_life(Clock(3_600.0))
+        kept.begin_incarnation(Clock(3_600.0))
         self.assertEqual(self.told(kept), {"a": 4_000, "b": 0})
         kept.list_runners([KnownRunner(runner("a"), 1)], 2, is_trusted=True)
         self.assertEqual(self.told(kept), {"a": 0})
@@ -130,14 +130,14 @@
     def setUp(self) -> None:
         self.clock = Clock(0.0)
         catalog = Catalog()
-        catalog.begin_life(self.clock)
+        catalog.begin_incarnation(self.clock)
         catalog.take_document(DOCUMENT)
         runners = [KnownRunner(runner(name, 60_000), 1) for name in ("a", "b")]
         catalog.list_runners(runners, 1, is_trusted=True)
         self.catalog = catalog
         self.metrics = TurnLogMetrics(CollectorRegistry())
-        cold = ColdPermits(catalog.cold, TERMS, self.metrics)
-        self.advice = TurnAdvice(catalog, cold, random.Random(1))
+        cold = ColdAdmission(catalog.cold, TERMS, self.metrics)
+        self.advice = TurnPlacement(catalog, cold, random.Random(1))
         self.num_turns = 0
         self.pass_time(4.0)
 
@@ -256,12 +256,12 @@
 
     def setUp(self) -> None:
         self.clock = Clock(0.0)
-        tracker = ColdTracker(clock=self.clock)
+        tracker = ColdRunnerTracker(clock=self.clock)
         tracker.take_document(DOCUMENT)
         self.pool = [runner(f"r{number}", 60_000) for number in range(self.NUM_RUNNERS)]
         for one in self.pool:
             tracker.put(one)
-        self.cold = ColdPermits(tracker, TERMS, TurnLogMetrics(CollectorRegistry()))
+        self.cold = ColdAdmission(tracker, TERMS, TurnLogMetrics(CollectorRegistry()))
         self.cold.grants.touch.look(1, True, -10.0)
         self.rng = random.Random(1)
 
@@ -281,7 +281,7 @@
             looked_s = self.cold.grants.touch._looked_s
             self.cold.grants.touch.look(1, True, min(now_s, looked_s + 0.1))
         is_new = left == self.TURNS
-        ask = ColdAsk(f"t{program}.{left}", f"p{program}", is_new)
+        ask = PermitRequest(f"t{program}.{left}", f"p{program}", is_new)
         openings = self.cold.openings(self.pool, ask, now_s)
         if not openings.runners:
             self.cold.refuse(self.pool, ask, now_s)
@@ -360,7 +360,7 @@
         """Nothing is kept."""
 
 
-class FakeAsks(RunnerAsks):
+class FakeAsks(PermitClient):
     """Answers in order; remembers which runners were named as tried."""
 
     def __init__(self, *answers: Permit | Refusal) -> None:
@@ -372,7 +372,7 @@
         return self.answers.pop(0)
 
 
-VALID = TimedLeave(float("inf"))
+VALID = TimedPermit(float("inf"))
 
 
 class FakeClient(TurnClient):
@@ -389,7 +389,7 @@
         return False
 
     @property
-    def way_home_s(self) -> float:
+    def expected_round_trip_home_s(self) -> float:
         return 0.0
 
     async def place(self, ask: wire.RunnerAsk, timeout_s: float) -> wire.TurnReply | None:
@@ -404,7 +404,7 @@
 class AsksTest(unittest.IsolatedAsyncioTestCase):
     async def ask(self, reply: wire.TurnReply | None, program_id: str = "") -> Permit | Refusal:
         self.client = FakeClient(reply)
-        asks = RunnerAsks(self.client, ServiceMetrics(CollectorRegistry()))
+        asks = PermitClient(self.client, ServiceMetrics(CollectorRegistry()))
         return await asks.ask(call(program_id), wire.TurnDemand(service="s", left_ms=2_000))
 
     async def test_leave_runs_from_the_question(self) -> None:
@@ -442,7 +442,7 @@
 class SendingTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         loop = asyncio.get_running_loop()
-        self.table = RunnerTable(cold=ColdTracker(clock=loop.time))
+        self.table = RunnerTable(cold=ColdRunnerTracker(clock=loop.time))
         self.table.cold.take_document(DOCUMENT)
         self.pool = FakePool()
         for name in ("a", "b"):
@@ -459,7 +459,7 @@
         request = ServiceRequest(
             "r1", b"POST", b"/", "h", "/", [], b"", None, "", "", "", None, now_s
         )
-        return Attempts(ports, request, ROUTE, "s", b"", now_s + 60, "", Asker(None, 0))
+        return Attempts(ports, request, ROUTE, "s", b"", now_s + 60, "", Principal(None, 0))
 
     async def open(self, attempts: Attempts) -> str:
         """Runner that got it, or the kind of the refusal."""
@@ -482,14 +482,14 @@
     async def test_advice_without_leave_is_not_followed_to_a_cold_runner(self) -> None:
         self.table.put(runner("b"))
         attempts = self.attempts()
-        attempts.advised, attempts.leave = "a", NO_LEAVE
+        attempts.advised, attempts.leave = "a", NO_PERMIT
         self.assertEqual(await self.open(attempts), "b")
         attempts = self.attempts()
         attempts.advised, attempts.leave = "a", VALID
         self.assertEqual(await self.open(attempts), "a")
 
     async def test_leave_that_ran_out_on_the_way_is_not_used(self) -> None:
-        attempts = self.attempts(Permit("a", NO_LEAVE), Permit("a", VALID))
+        attempts = self.attempts(Permit("a", NO_PERMIT), Permit("a", VALID))
         self.assertEqual(await self.open(attempts), "a")
         self.assertEqual(self.asks.tried, [[], []])
         self.assertEqual(attempts.num_maybe_run, 1)
@@ -515,7 +515,7 @@
         self.assertEqual(await self.open(attempts), "no_runner")
 
     async def test_leave_is_asked_for_a_bounded_number_of_times(self) -> None:
-        attempts = self.attempts(*[Permit("a", NO_LEAVE)] * 9)
+        attempts = self.attempts(*[Permit("a", NO_PERMIT)] * 9)
         self.assertEqual(await self.open(attempts), "overloaded")
         self.assertEqual(len(self.asks.tried), 4)
 
--- a/tests/test_distance_placement.py
+++ b/tests/test_distance_placement.py
@@ -7,7 +7,7 @@
 from bendshed.model.places import Distance, Places
 from bendshed.model.prompt import PromptPart
 from bendshed.model.runner import RunnerState, ServiceRunner
-from bendshed.placement.cluster_load import Advice, Demand, Ended, LoadBoard
+from bendshed.placement.cluster_load import Advice, ClusterLoad, Demand, Ended
 from bendshed.placement.distance import DistanceCosts, LinkTerms
 from bendshed.placement.node_choice import NodeView, choose_runner
 from bendshed.placement.spill import BROKEN_GAIN_MS, KEPT_S, MARGIN_MS, SLOTS_SHARE, SpillGate
@@ -34,7 +34,7 @@
     def make(self, terms: LinkTerms) -> None:
         self.distance = DistanceCosts(PLACES, terms)
         self.distance.measured_ms = {Distance.SAME_REGION: 1.0, Distance.OTHER_REGION: TRIP_MS}
-        self.board = LoadBoard(random.Random(1), self.distance)
+        self.board = ClusterLoad(random.Random(1), self.distance)
         self.runners = [runner(name) for name in ZONES]
         self.num_turns = 0
 
--- a/tests/test_follower_ways.py
+++ b/tests/test_follower_ways.py
@@ -11,7 +11,7 @@
 from bendshed.consensus.directory import ReplicaDirectory
 from bendshed.model.address import Address
 from bendshed.model.service_document import ServiceDocument
-from bendshed.placement.zones import ZoneWord
+from bendshed.placement.zones import ZoneUpdate
 from bendshed.ports.registry import ReplicaNode
 from bendshed.rehearsal.simulator.loop import SimProcess, VirtualTimeLoop
 from bendshed.rehearsal.simulator.network import Network, SimTransport
@@ -41,7 +41,7 @@
     def list_runners(self, runners: list[KnownRunner], at: int, is_trusted: bool) -> None:
         self.catalog.list_runners(runners, at, is_trusted)
 
-    def take_zones(self, word: ZoneWord) -> None:
+    def take_zones(self, word: ZoneUpdate) -> None:
         self.zones_taken.append(word.zones.at)
 
     def confirm_all(self, age_s: float, runners_at: int) -> None:
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -10,13 +10,13 @@
 class FoundingTest(unittest.TestCase):
     def setUp(self) -> None:
         self.num_reads = 0
-        read = SimRegistry.founding_voters
+        read = SimRegistry.bootstrap_voters
 
         async def counted(registry: SimRegistry, group_id: int = 0) -> list[str]:
             self.num_reads += 1
             return await read(registry, group_id)
 
-        patch = mock.patch.object(SimRegistry, "founding_voters", counted)
+        patch = mock.patch.object(SimRegistry, "bootstrap_voters", counted)
         patch.start()
         self.addCleanup(patch.stop)
         self.world = SiteWorld.started(1)
--- a/tests/test_group_client.py
+++ b/tests/test_group_client.py
@@ -38,29 +38,29 @@
 
     def ask(self, timeout_s: float, most_s: float) -> float:
         """How long the request was given."""
-        asking = self.client.ask_leader(GROUP, "m", b"", timeout_s, most_s)
+        asking = self.client.request_leader(GROUP, "m", b"", timeout_s, most_s)
         self.assertIsNone(self.loop.run_until_complete(asking))
         return self.silent.given_s[-1]
 
     def test_a_far_leader_has_more_time_and_never_more_than_is_left(self) -> None:
         self.assertEqual(self.ask(0.2, 9.0), 0.2)
-        self.client.way_s = lambda _peer: WAY_S
+        self.client.expected_round_trip_s = lambda _peer: WAY_S
         self.assertAlmostEqual(self.ask(0.2, 9.0), 0.2 + FAR_TRIPS * WAY_S)
         self.assertEqual(self.ask(0.2, 0.25), 0.25)
 
     def test_a_leader_that_had_no_time_to_answer_is_not_forgotten(self) -> None:
-        self.client.way_s = lambda _peer: WAY_S
+        self.client.expected_round_trip_s = lambda _peer: WAY_S
         self.ask(0.2, 1.5 * WAY_S)
         self.assertEqual(self.client.leaders, {GROUP: "far"})
         self.ask(0.2, 9.0)
         self.assertEqual(self.client.leaders, {})
 
     def test_the_way_to_a_leader_that_is_not_known_counts_nothing(self) -> None:
-        self.client.way_s = lambda _peer: WAY_S
-        self.assertEqual(self.client.way_to_leader_s(GROUP), WAY_S)
+        self.client.expected_round_trip_s = lambda _peer: WAY_S
+        self.assertEqual(self.client.round_trip_to_leader_s(GROUP), WAY_S)
         del self.client.leaders[GROUP]
         self.client._resolve = lambda name: Address(name, 1) if name else None
-        self.assertEqual(self.client.way_to_leader_s(GROUP), 0.0)
+        self.assertEqual(self.client.round_trip_to_leader_s(GROUP), 0.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -11,9 +11,9 @@
     FIRST_TURN_MS,
     MAX_CANDIDATES,
     Advice,
+    ClusterLoad,
     Demand,
     Ended,
-    LoadBoard,
 )
 from bendshed.placement.prompt_cache import PromptCache
 from bendshed.placement.runner_health import HALF_LIFE_S, RunnerHealth, median_pace
@@ -29,7 +29,7 @@
 
 class ColdCostTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.board = LoadBoard(random.Random(1))
+        self.board = ClusterLoad(random.Random(1))
         self.num_turns = 0
 
     def place(self, ran_at: str = "") -> str:
@@ -50,13 +50,13 @@
 
     def test_first_turns_come_to_it_sooner_than_those_with_a_history(self) -> None:
         before = [self.place(ran_at="warm") for _ in range(12)].count("warm")
-        self.board = LoadBoard(random.Random(1))
+        self.board = ClusterLoad(random.Random(1))
         self.assertLess([self.place() for _ in range(12)].count("warm"), before)
 
 
 class LoadBoardTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.board = LoadBoard(random.Random(1))
+        self.board = ClusterLoad(random.Random(1))
         self.runners = [runner(name) for name in "abcde"]
         self.num_turns = 0
 
--- a/tests/test_other_loads.py
+++ b/tests/test_other_loads.py
@@ -5,7 +5,7 @@
 
 from bendshed.model.address import Address
 from bendshed.model.runner import RunnerState, ServiceRunner
-from bendshed.placement.cluster_load import Demand, LoadBoard
+from bendshed.placement.cluster_load import ClusterLoad, Demand
 from bendshed.placement.other_loads import KEPT_S, MAX_COUNTED, NO_LOAD, OtherLoad, OtherLoads
 from bendshed.rehearsal.site.layout import TWO_REGIONS
 from bendshed.rehearsal.site.programs import ProgramPlan
@@ -40,7 +40,7 @@
 
     def test_a_board_avoids_what_others_have_filled(self) -> None:
         for full, free in (("a", "b"), ("b", "a")):
-            board = LoadBoard(random.Random(1))
+            board = ClusterLoad(random.Random(1))
             board.others.take("x", 1, [(full, OtherLoad(4, 0))], 0.0)
             demand = Demand("t", "line", (), most_tokens=10, left_s=3.0, zone="z")
             advice = board.advise(demand, RUNNERS, 50_000, 0.0)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -87,7 +87,7 @@
             await registry.found(["one"])
         self.assertEqual(await registry.found(["two"]), ["two"])
         self.model.do_late_writes()
-        self.assertEqual(await registry.founding_voters(), ["two"])
+        self.assertEqual(await registry.bootstrap_voters(), ["two"])
 
     async def test_a_watch_hears_of_changes_and_of_a_lost_history(self) -> None:
         at = (await self.api.list("kind")).at
@@ -129,10 +129,10 @@
         await registry.announce(me)
         await registry.announce(me)
         self.assertEqual(len(self.model.kinds[names.REPLICA_KIND]), 1)
-        self.assertEqual(await registry.founding_voters(), [])
+        self.assertEqual(await registry.bootstrap_voters(), [])
         self.assertEqual(await registry.found(["a", "b"]), ["a", "b"])
         self.assertEqual(await registry.found(["c"]), ["a", "b"])
-        self.assertEqual(await registry.founding_voters(1), [])
+        self.assertEqual(await registry.bootstrap_voters(1), [])
         self.assertEqual(await registry.found(["c"], 1), ["c"])
         self.assertEqual(sorted(self.model.kinds[names.GROUP_KIND]), ["turns", "turns-1"])
         self.model.put(names.RETIREMENT_KIND, "store-1", {})
--- a/tests/test_promised_turns.py
+++ b/tests/test_promised_turns.py
@@ -7,7 +7,7 @@
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.services.stream_exchange import StreamExchange
 from bendshed.services.turn_record import TurnRecord
-from bendshed.turns.group_locator import TurnWhereabouts
+from bendshed.turns.group_locator import GroupLocator
 from bendshed.wire import turns_pb2 as wire
 
 
@@ -36,11 +36,11 @@
 
 class PromisedTurnTest(unittest.IsolatedAsyncioTestCase):
     async def play(self, client: Client, tenant: str) -> Refusal:
-        ports = MagicMock(client=client, whereabouts=TurnWhereabouts(), late=set())
+        ports = MagicMock(client=client, group_locator=GroupLocator(), late=set())
         ports.policy.shared_load = False
         attempts = MagicMock(may_have_run=False, advised="", answered_by="r", failed=[])
-        attempts.asker.name = tenant
-        attempts.asker.is_limited = False
+        attempts.principal.name = tenant
+        attempts.principal.is_limited = False
 
         async def open_answer() -> MagicMock:
             attempts.may_have_run = True
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -6,14 +6,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bendshed.admission.quota_allowance import USABLE_S, SpendingGate
+from bendshed.admission.quota_allowance import USABLE_S, LocalAllowances
 from bendshed.admission.quota_ledger import GUARD_MS, QuotaLedger, QuotaRequest, Rank
 from bendshed.admission.quota_limits import QuotaTerms, TenantLimit, limit_of
 from bendshed.admission.quota_usage import KEPT_MS, UsageWindows
 from bendshed.admission.sliding_window import SPAN_MS
 from bendshed.catalog.state import Catalog
 from bendshed.model.service_document import ServiceDocument, Tenant
-from bendshed.turns.quota_counting import TurnQuotas
+from bendshed.turns.quota_counting import QuotaCounting
 from bendshed.turns.state import TurnLogState
 from bendshed.wire import turns_pb2 as wire
 
@@ -309,7 +309,7 @@
 
 class GateTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.gate = SpendingGate()
+        self.gate = LocalAllowances()
 
     def test_nothing_passes_without_an_allowance_or_after_it(self) -> None:
         self.assertFalse(self.gate.try_spend("t", 0.0))
@@ -369,7 +369,7 @@
     def setUp(self) -> None:
         catalog = Catalog()
         catalog.take_document(ServiceDocument(version=1, tenants=(SMALL,)))
-        self.quotas = TurnQuotas(catalog, TERMS)
+        self.quotas = QuotaCounting(catalog, TERMS)
         self.state = TurnLogState()
         self.state.usage.charge(SMALL.name, 0, 1_000)
 
--- a/tests/test_regions_catalog.py
+++ b/tests/test_regions_catalog.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from bendshed.catalog import follower, server
-from bendshed.catalog.reader_choice import Asker, choose_teller
+from bendshed.catalog.reader_choice import RequestingNode, choose_catalog_source
 from bendshed.catalog.server import CATALOG_METHOD
 from bendshed.identifiers import rendezvous_rank
 from bendshed.model.address import Address
@@ -37,9 +37,9 @@
 
     def asked_by(self, name: str, zone: str, avoided: str = "", places: Places = PLACES) -> str:
         is_replica = any(node.name == name for node in self.ranked)
-        asker = Asker(Address(name, 7000), zone, places, is_replica)
+        asker = RequestingNode(Address(name, 7000), zone, places, is_replica)
         out = {Address(host, 7000) for host in avoided.split()}
-        found = choose_teller(asker, self.ranked, out)
+        found = choose_catalog_source(asker, self.ranked, out)
         return found.host if found is not None else ""
 
     def test_the_first_reads_and_the_other_regions_first_asks_it(self) -> None:
--- a/tests/test_round_trips.py
+++ b/tests/test_round_trips.py
@@ -8,7 +8,7 @@
 from bendshed.adapters.tcp_transport import TcpTransport
 from bendshed.model.address import Address
 from bendshed.model.places import Distance, Places
-from bendshed.paths.adaptive_timeout import PATIENCE_S, Patience
+from bendshed.paths.adaptive_timeout import PATIENCE_S, AdaptiveTimeout
 from bendshed.paths.echo import ROUNDS_UNHEARD, RegionWatch
 from bendshed.paths.neighbours import UNMEASURED_S, Neighbours
 from bendshed.ports.round_trips import KEPT_S, MAX_KEPT, WINDOW_S, RoundTrips
@@ -72,19 +72,24 @@
 
     def test_bounds_are_at_least_those_of_neighbours(self) -> None:
         known = {"h2": 0.001, "h4": 0.06}
-        patience = Patience(lambda peer: known.get(peer.host), self.neighbours)
+        adaptive_timeout = AdaptiveTimeout(lambda peer: known.get(peer.host), self.neighbours)
         near, far = Address("h2", 1), Address("h4", 1)
-        self.assertEqual(patience.direct_s(near, "m", 0.0), PATIENCE_S)
-        self.assertGreater(patience.direct_s(far, "m", 0.0), 2 * 0.06)
-        self.assertGreater(patience.direct_s(Address("h5", 1), "m", 0.0), 2 * 0.06)
-        patience.note(far, "m", 0.12, 0.0)
-        self.assertGreater(patience.direct_s(far, "m", 0.0), 2 * 0.12)
-        self.assertLess(patience.direct_s(far, "another", 0.0), 2 * 0.12)
+        self.assertEqual(adaptive_timeout.direct_s(near, "m", 0.0), PATIENCE_S)
+        self.assertGreater(adaptive_timeout.direct_s(far, "m", 0.0), 2 * 0.06)
+        self.assertGreater(adaptive_timeout.direct_s(Address("h5", 1), "m", 0.0), 2 * 0.06)
+        adaptive_timeout.note(far, "m", 0.12, 0.0)
+        self.assertGreater(adaptive_timeout.direct_s(far, "m", 0.0), 2 * 0.12)
+        self.assertLess(adaptive_timeout.direct_s(far, "another", 0.0), 2 * 0.12)
 
     def test_who_is_not_measured_counts_as_others_of_his_kind(self) -> None:
-        patience = Patience(lambda _peer: None, self.neighbours)
-        self.assertEqual(patience.way_s(Address("h4", 1)), UNMEASURED_S[Distance.OTHER_REGION])
-        self.assertEqual(patience.way_s(Address("nobody", 1)), UNMEASURED_S[None])
+        adaptive_timeout = AdaptiveTimeout(lambda _peer: None, self.neighbours)
+        self.assertEqual(
+            adaptive_timeout.expected_round_trip_s(Address("h4", 1)),
+            UNMEASURED_S[Distance.OTHER_REGION],
+        )
+        self.assertEqual(
+            adaptive_timeout.expected_round_trip_s(Address("nobody", 1)), UNMEASURED_S[None]
+        )
 
 
 class RegionWatchTest(unittest.TestCase):
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -169,7 +169,7 @@
         """What it must know in time it does not wait for on a connection that may be dead."""
         quick_seen: list[int] = []
         quick = self.watcher(quick_seen, WATCH_S)
-        quick.is_quick_anew = True
+        quick.is_quick_again = True
         self.tasks.append(self.loop.create_task(quick.run()))
         self.run_for(1.0)
         quick.pause()
@@ -184,7 +184,7 @@
 
     def test_a_quick_watch_waits_as_long_as_others_afterwards(self) -> None:
         quick = self.watcher([], WATCH_S)
-        quick.is_quick_anew = True
+        quick.is_quick_again = True
         self.tasks.append(self.loop.create_task(quick.run()))
         self.run_for(1.0)
         quick.restart()
--- a/tests/test_zone_ways.py
+++ b/tests/test_zone_ways.py
@@ -42,9 +42,9 @@
 from bendshed.services.runners import RunnerTable
 from bendshed.services.turn_record import TurnPorts
 from bendshed.turns.client import TranscriptCache
-from bendshed.turns.cold_admission import ColdPermits
+from bendshed.turns.cold_admission import ColdAdmission
 from bendshed.turns.metrics import TurnLogMetrics
-from bendshed.turns.turn_placement import TurnAdvice
+from bendshed.turns.turn_placement import TurnPlacement
 from bendshed.wire import turns_pb2 as wire
 from tests.test_runner_answers import RecordingCaller
 
@@ -325,8 +325,8 @@
             runners = [KnownRunner(listed(name), 3) for name in (*SHUT, *OPEN)]
             catalog.list_runners(runners, 4, is_trusted=True)
             metrics = TurnLogMetrics(CollectorRegistry())
-            cold = ColdPermits(catalog.cold, ColdTerms(), metrics)
-            advice = TurnAdvice(catalog, cold, random.Random(1))
+            cold = ColdAdmission(catalog.cold, ColdTerms(), metrics)
+            advice = TurnPlacement(catalog, cold, random.Random(1))
             for number in range(MANY):
                 demand = wire.TurnDemand(service="s", left_ms=4000, zone="b", regions=regions)
                 begin = wire.BeginTurn(turn_id=f"t{number}", most_tokens=9)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from bendshed.catalog.codec import KeptCatalog, add_zones, decode_kept, encode_kept, read_zones
+from bendshed.catalog.codec import StoredCatalog, add_zones, decode_kept, encode_kept, read_zones
 from bendshed.catalog.follower import REPLY_MARGIN_S
 from bendshed.catalog.state import Catalog, KnownRunner
 from bendshed.catalog.times import CatalogTimes
@@ -10,7 +10,7 @@
 from bendshed.catalog.zones import word_of_listing
 from bendshed.model.address import Address
 from bendshed.model.places import Places
-from bendshed.model.principal import Asker
+from bendshed.model.principal import Principal
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.model.service_document import (
     Route,
@@ -27,7 +27,7 @@
     OpenedZone,
     RunnerFilter,
     ZoneRecord,
-    ZoneWord,
+    ZoneUpdate,
 )
 from bendshed.platform.objects import CALL_TIMEOUT_S, WATCH_MARGIN_S
 from bendshed.ports.objects import ObjectEvent, ObjectList, StoredObject
@@ -38,8 +38,8 @@
 ZONE_CLOSE_S = 5.0
 
 
-def word(at: int, *closed: str, **reopened_ago_s: float) -> ZoneWord:
-    return ZoneWord(ClosedZones(at, frozenset(closed)), reopened_ago_s)
+def word(at: int, *closed: str, **reopened_ago_s: float) -> ZoneUpdate:
+    return ZoneUpdate(ClosedZones(at, frozenset(closed)), reopened_ago_s)
 
 
 def runner(name: str, zone: str) -> ServiceRunner:
@@ -131,12 +131,12 @@
 
     def test_a_service_is_shut_only_where_closed_zones_or_regions_are_the_cause(self) -> None:
         table = RunnerTable(filter=self.filter)
-        self.assertFalse(table.is_shut("s", None))
+        self.assertFalse(table.has_no_eligible_runner("s", None))
         table.put(runner("a", "a"))
-        self.assertTrue(table.is_shut("s", None))
+        self.assertTrue(table.has_no_eligible_runner("s", None))
         table.put(runner("c", "c"))
-        self.assertFalse(table.is_shut("s", None))
-        self.assertTrue(table.is_shut("s", frozenset({"west"})))
+        self.assertFalse(table.has_no_eligible_runner("s", None))
+        self.assertTrue(table.has_no_eligible_runner("s", frozenset({"west"})))
 
 
 class HomesTest(unittest.TestCase):
@@ -154,10 +154,10 @@
         )
 
     def test_both_bind(self) -> None:
-        nobody = Asker(None, 0)
+        nobody = Principal(None, 0)
         self.assertIsNone(allowed_regions(self.route(), nobody))
         self.assertEqual(allowed_regions(self.route("west"), nobody), {"west"})
-        tenant = Asker(Tenant("t", allowed_regions=("east", "west")), 0)
+        tenant = Principal(Tenant("t", allowed_regions=("east", "west")), 0)
         self.assertEqual(allowed_regions(self.route(), tenant), {"east", "west"})
         self.assertEqual(allowed_regions(self.route("west", "north"), tenant), {"west"})
         self.assertEqual(allowed_regions(self.route("north"), tenant), frozenset())
@@ -179,12 +179,12 @@
         self.assertEqual((reply.zones_at, list(reply.closed_zones)), (9, []))
 
     def test_they_are_kept_beside_the_rest(self) -> None:
-        kept = decode_kept(encode_kept(KeptCatalog(zones=word(9, "b", a=2.5))))
+        kept = decode_kept(encode_kept(StoredCatalog(zones=word(9, "b", a=2.5))))
         self.assertEqual(kept.zones, word(9, "b", a=2.5))
 
     def test_a_file_of_an_earlier_version_tells_nothing_of_them(self) -> None:
         earlier = wire.CatalogReply(document_version=0, has_runners=True, runners_at=4)
-        self.assertEqual(decode_kept(earlier.SerializeToString()).zones, ZoneWord())
+        self.assertEqual(decode_kept(earlier.SerializeToString()).zones, ZoneUpdate())
 
 
 class NamesOfAKindTest(unittest.TestCase):
