--- a/src/bendshed/adapters/openai_engine.py
+++ b/src/bendshed/adapters/openai_engine.py
@@ -6,7 +6,6 @@
 import orjson
 
 from bendshed.adapters.http import CONNECTION_ERRORS, HttpAnswer, HttpClient, HttpStream, is_refused
-from bendshed.dispatch.stream_summary import summarize
 from bendshed.ports.engine import (
     Engine,
     EngineBroken,
@@ -19,6 +18,7 @@
     StreamSummary,
     StreamUnknown,
 )
+from bendshed.ports.stream_summary import summarize
 
 JSON_HEADERS = {"Content-Type": "application/json"}
 END_OF_EVENT = b"\n\n"
--- a/src/bendshed/dispatch/executor.py
+++ b/src/bendshed/dispatch/executor.py
@@ -17,7 +17,6 @@
 from bendshed.dispatch.group_commands import GroupCommands
 from bendshed.dispatch.history import HistoryCache, HistoryMismatch
 from bendshed.dispatch.retry import RetryBudget, backoff_s
-from bendshed.dispatch.stream_summary import summarize
 from bendshed.errors import ErrorKind, Refusal, parse_kind
 from bendshed.logs import PartLog
 from bendshed.ports.clock import Clock
@@ -31,6 +30,7 @@
     StreamSummary,
     StreamUnknown,
 )
+from bendshed.ports.stream_summary import summarize
 from bendshed.ports.transport import Transport
 from bendshed.programs.service import EXECUTING_METHOD
 from bendshed.routing.scheduler import Scheduler, WaitingCall
--- a/src/bendshed/rehearsal/simulator/callers.py
+++ b/src/bendshed/rehearsal/simulator/callers.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, field
 
 from bendshed.dispatch.calls import Answered, CallRequest, LiveAnswer, Outcome
-from bendshed.dispatch.stream_summary import summarize
 from bendshed.errors import ANSWERS, ErrorKind, Refusal
 from bendshed.identifiers import content_digest
 from bendshed.node import Node
+from bendshed.ports.stream_summary import summarize
 from bendshed.rehearsal.simulator.loop import SimProcess
 from bendshed.rehearsal.simulator.network import MIN_GAP_S
 from bendshed.wire import programs_pb2 as wire
--- a/src/bendshed/rehearsal/simulator/engines.py
+++ b/src/bendshed/rehearsal/simulator/engines.py
@@ -5,7 +5,6 @@
 from dataclasses import dataclass, field
 
 from bendshed.adapters.openai_engine import request_body
-from bendshed.dispatch.stream_summary import summarize
 from bendshed.ports.engine import (
     Engine,
     EngineBroken,
@@ -16,6 +15,7 @@
     StreamSummary,
     StreamUnknown,
 )
+from bendshed.ports.stream_summary import summarize
 from bendshed.rehearsal.engine_model import (
     Cancelled,
     EngineModel,
