--- a/src/bendshed/adapters/tcp_transport.py
+++ b/src/bendshed/adapters/tcp_transport.py
@@ -62,7 +62,6 @@
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
-        self._owner.bytes_received += len(data)
         position = 0
         while len(self._buffer) - position >= LENGTH.size:
             (size,) = LENGTH.unpack_from(self._buffer, position)
@@ -91,9 +90,7 @@
         if self.transport is None:
             return
         content = frame.SerializeToString()
-        self._owner.bytes_sent += len(content) + LENGTH.size
         self._owner.traffic.note(method, self._peer_host, len(content) + LENGTH.size)
-        self._owner.messages_sent += 1
         self.transport.write(LENGTH.pack(len(content)) + content)
 
     @property
@@ -118,9 +115,9 @@
         self._owner = owner
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self._owner.bytes_received += len(data)
         if self._owner.datagram_handler is None:
             return
+        # Anybody may send bytes that are no message of ours; a line for each would flood the log.
         with contextlib.suppress(DecodeError):
             self._owner.datagram_handler(data)
 
@@ -129,7 +126,6 @@
     """The real network.
 
     Attributes:
-        bytes_sent, bytes_received, messages_sent: totals since start, datagrams included.
         traffic: what was sent by kind of message and distance, datagrams left out.
 
     """
@@ -137,9 +133,6 @@
     def __init__(self, host: str, port: int) -> None:
         super().__init__()
         self.connections: set[_Connection] = set()
-        self.bytes_sent = 0
-        self.bytes_received = 0
-        self.messages_sent = 0
         self.traffic = Traffic(
             "bendshed_peer_bytes_sent", "Bytes to other nodes by kind of message and distance"
         )
@@ -219,8 +212,6 @@
     def send_datagram(self, peer: Address, payload: bytes) -> None:
         """Send one datagram."""
         if self._datagrams is not None and not self._datagrams.is_closing():
-            self.bytes_sent += len(payload)
-            self.messages_sent += 1
             self._datagrams.sendto(payload, (peer.host, peer.port))
 
     # --- connections ---------------------------------------------------------------------
--- a/src/bendshed/configuration/document.py
+++ b/src/bendshed/configuration/document.py
@@ -6,7 +6,7 @@
 
 from typing import Annotated, Literal
 
-from pydantic import BaseModel, ConfigDict, Field, TypeAdapter
+from pydantic import BaseModel, ConfigDict, Field
 
 from bendshed.configuration.services import (
     LimitsDeclaration,
@@ -223,9 +223,6 @@
     document: ConfigurationDocument = ConfigurationDocument()
 
 
-CHANGE_ADAPTER: TypeAdapter[AnyChange] = TypeAdapter(AnyChange)
-
-
 class UnknownName(Exception):
     """A change names something that does not exist, or takes away what is still named."""
 
