--- /dev/null
+++ b/src/bendshed/dispatch/call_steps.py
@@ -0,0 +1,136 @@
+"""One call's progress on this node, and the steps that commit it at its program's group."""
+
+import asyncio
+from dataclasses import dataclass
+
+from bendshed.dispatch.calls import CallRequest, LiveAnswer
+from bendshed.dispatch.group_commands import GroupCommands
+from bendshed.dispatch.history import HistoryCache
+from bendshed.errors import ErrorKind
+from bendshed.ports.clock import Clock
+from bendshed.ports.engine import StreamSummary
+from bendshed.routing.scheduler import Scheduler, WaitingCall
+from bendshed.wire import programs_pb2 as wire
+
+BYTES_PER_TOKEN = 4
+"""Of English text in the usual vocabularies; weighs waiting calls against each other only."""
+
+
+@dataclass(slots=True)
+class CallRun:
+    """Progress of one call on this node.
+
+    Attributes:
+        live: what its callers read.
+        order_until_s: loop time until which it may wait for its predecessor.
+        failed_runners: where an attempt failed.
+        known_call, known_digest: history that this node holds.
+        streamed_whole: the live answer holds a stream up to its last event.
+
+    """
+
+    live: LiveAnswer
+    order_until_s: float
+    failed_runners: set[str]
+    known_call: int = 0
+    known_digest: bytes = b""
+    streamed_whole: bool = False
+
+    @property
+    def request(self) -> CallRequest:
+        """The call, as the gateway read it."""
+        return self.live.request
+
+
+class CallSteps:
+    """Submits calls, waits for their runners and commits how they end.
+
+    Methods that commit raise ``GroupUnavailable``.
+
+    Attributes:
+        history: chains of turns that this node has at hand.
+        sent: attempts (program, call number, attempt) that left this process, or never will.
+
+    """
+
+    def __init__(self, group: GroupCommands, scheduler: Scheduler, clock: Clock) -> None:
+        self.history = HistoryCache()
+        self.sent: set[tuple[str, int, int]] = set()
+        self._group = group
+        self._scheduler = scheduler
+        self._clock = clock
+
+    def left_s(self, run: CallRun) -> float:
+        """Seconds until the call's deadline, by the wall clock."""
+        return (run.request.deadline_ms - self._clock.wall_ms()) / 1000
+
+    def may_send(self, run: CallRun, result: wire.CallResult) -> bool:
+        """Whether this process holds the grant and has not used it."""
+        mine = (result.executor, result.request_id) == (
+            self._group.identity,
+            run.request.request_id,
+        )
+        return mine and (*run.request.key, result.attempt) not in self.sent
+
+    async def submit(self, run: CallRun) -> wire.CallResult:
+        """Submit the call; it is granted at once if its turn has come and a runner is free."""
+        request = run.request
+        runner = self._scheduler.try_now(self._waiting_call(run, ""))
+        return await self._group.submit(request, runner, run.known_call, run.known_digest)
+
+    def _waiting_call(self, run: CallRun, last_runner: str) -> WaitingCall:
+        request = run.request
+        loop = asyncio.get_running_loop()
+        kept = self.history.get(request.program_id, request.branch)
+        history_bytes = kept.num_bytes if kept is not None else 0
+        return WaitingCall(
+            program_id=request.program_id,
+            model=request.model,
+            priority=request.priority,
+            attained_tokens=history_bytes // BYTES_PER_TOKEN,
+            history_tokens=history_bytes // BYTES_PER_TOKEN,
+            arrived_s=loop.time(),
+            last_runner=last_runner
+            or self._scheduler.table.last_runner.get(request.program_id, ""),
+            avoid=frozenset(run.failed_runners),
+            chosen=loop.create_future(),
+        )
+
+    async def wait_for_runner(self, run: CallRun, last_runner: str) -> str:
+        """Wait for a free runner until the deadline; empty: none came free."""
+        return await self._scheduler.acquire(self._waiting_call(run, last_runner), self.left_s(run))
+
+    async def dispatch(self, run: CallRun, result: wire.CallResult) -> wire.CallResult:
+        """The call's turn has come: wait for a runner, then request the grant."""
+        runner = await self.wait_for_runner(run, result.last_runner)
+        if not runner:
+            served = self._scheduler.serves(run.request.model)
+            kind = ErrorKind.DEADLINE_EXCEEDED if served else ErrorKind.NO_RUNNER
+            return await self.give_up(run, kind)
+        return await self._group.ask_grant(run.request, runner, replaces_attempt=0)
+
+    async def replace(self, run: CallRun, orphan: wire.CallResult, runner: str) -> wire.CallResult:
+        """Request a new attempt in place of one whose executor is gone."""
+        return await self._group.ask_grant(run.request, runner, replaces_attempt=orphan.attempt)
+
+    async def give_up(self, run: CallRun, kind: ErrorKind) -> wire.CallResult:
+        """Commit that the call was not run; a grant that crossed is handed back."""
+        result = await self._group.abandon(run.request, kind)
+        if result.status == wire.CALL_STATUS_DISPATCHED and self.may_send(run, result):
+            self.sent.add((*run.request.key, result.attempt))  # never send it
+            return await self.finish(
+                run, result, wire.ATTEMPT_OUTCOME_NOT_STARTED, StreamSummary(), kind, final=True
+            )
+        return result
+
+    async def finish(
+        self,
+        run: CallRun,
+        granted: wire.CallResult,
+        outcome: "wire.AttemptOutcome.ValueType",
+        summary: StreamSummary,
+        kind: ErrorKind | None,
+        final: bool,
+    ) -> wire.CallResult:
+        """Commit how an attempt ended; ``final``: the call ends with it."""
+        return await self._group.finish(run.request, granted.attempt, outcome, summary, kind, final)
--- a/src/bendshed/node.py
+++ b/src/bendshed/node.py
@@ -110,16 +110,6 @@
         self.table = RunnerTable()
         self.scheduler = Scheduler(self.table, CacheAwarePolicy(rng))
         self._engines: dict[str, Engine] = {}
-        self.executor = Executor(
-            f"{node_id}@{ports.boot}",
-            self.client,
-            self.scheduler,
-            self.engine_of,
-            self._confirm_runner,
-            ports.transport,
-            ports.clock,
-            rng,
-        )
         self.monitor = RunnerMonitor(
             self.table,
             self.scheduler,
@@ -134,7 +124,17 @@
             settings.platform.machine_list_interval_s,
             rng,
         )
-        self.executor.on_runner_leaving = self.monitor.engine_said_leaving
+        self.executor = Executor(
+            f"{node_id}@{ports.boot}",
+            self.client,
+            self.scheduler,
+            self.engine_of,
+            self.monitor.confirm,
+            self.monitor.engine_said_leaving,
+            ports.transport,
+            ports.clock,
+            rng,
+        )
         self.configuration.on_change.append(self._on_configuration)
         self.host: GroupHost | None = None
         self.programs: ProgramService | None = None
@@ -247,9 +247,6 @@
             self._engines[url] = self.ports.new_engine(runner.machine)
         return self._engines[url]
 
-    async def _confirm_runner(self, runner_id: str) -> bool:
-        return await self.monitor.confirm(runner_id)
-
     def _disk_nodes(self) -> list[str]:
         return [m.node_id for m in self.membership.view.live() if m.has_disk]
 
--- a/tests/defects.py
+++ b/tests/defects.py
@@ -8,6 +8,7 @@
 
 from bendshed.configuration.document import Snapshot
 from bendshed.configuration.service import ConfigurationService
+from bendshed.dispatch.attempt_sender import AttemptSender
 from bendshed.dispatch.executor import Executor
 from bendshed.dispatch.history import HistoryCache
 from bendshed.errors import ANSWERS, ErrorAnswer, ErrorKind, WasRun
@@ -46,7 +47,7 @@
     return []
 
 
-async def _forward_all(self: Executor, run: Any, stream: Any) -> None:
+async def _forward_all(self: AttemptSender, run: Any, stream: Any) -> None:
     """Forward a resumed stream from its first byte again."""
     async for chunk in stream.events():
         run.live.append(chunk)
@@ -101,7 +102,7 @@
     "no reconciliation with the engines": Defect(4, _replace(RunnerMonitor, "_gone", _no_programs)),
     "a resumed stream is sent twice": Defect(
         5,
-        _replace(Executor, "_forward", _forward_all),
+        _replace(AttemptSender, "_forward", _forward_all),
         scenario=scenarios.connection_breaks_mid_stream,
     ),
     "unknown is told as not run": Defect(
@@ -109,7 +110,7 @@
     ),
     "a broken stream counts as not started": Defect(
         7,
-        _replace(Executor, "_broken", Executor._not_started),
+        _replace(AttemptSender, "_broken", AttemptSender._not_started),
         scenario=scenarios.connection_breaks_for_long,
     ),
     "leaving is ignored": Defect(
