--- a/src/bendshed/dispatch/executor.py
+++ b/src/bendshed/dispatch/executor.py
@@ -1,7 +1,7 @@
 """Runs the calls that callers brought to this node.
 
 An attempt is sent only by the process that was granted it, and once: the grant is a committed
-``DispatchCall``, and ``CallSteps.sent`` remembers what left. The caller learns a call's outcome only
+``DispatchCall``, and ``CallSteps.sent`` remembers what left. The caller learns the outcome only
 after the group has committed it, so an answer once given stays true.
 """
 
