--- a/src/bendshed/adapters/connection_pool.py
+++ b/src/bendshed/adapters/connection_pool.py
@@ -10,7 +10,7 @@
 
 MAX_IDLE_PER_PEER = 32
 CONNECT_TRIPS = 4.0
-"""A far peer has at least so many of its round trips to take a connection."""
+"""Least connect timeout for a far peer, in its round trips."""
 REQUEST, ANSWER = "request", "answer"
 """Directions in which bytes are counted, to the peer and from it."""
 
--- a/src/bendshed/adapters/durable_file.py
+++ b/src/bendshed/adapters/durable_file.py
@@ -1,4 +1,4 @@
-"""Small files that are whole at any moment: written beside, synced, renamed, with a digest."""
+"""Small files that are always whole: written beside the old one, synced, renamed, with a digest."""
 
 import os
 from pathlib import Path
--- a/src/bendshed/adapters/http_connection.py
+++ b/src/bendshed/adapters/http_connection.py
@@ -1,8 +1,8 @@
 """One HTTP/1.1 client connection on httptools' parser, one request at a time.
 
-A scheduler must know more of a connection than the usual clients tell: whether anything was sent,
+A scheduler must know more of a connection than the usual clients report: whether anything was sent,
 whether an answer belongs to the request, whether it ended as it was framed or was cut, and whether
-bytes came that nobody asked for. Nothing is repeated, redirected, decompressed or normalised here.
+bytes came without a request. Nothing is repeated, redirected, decompressed or normalised here.
 """
 
 import asyncio
@@ -182,7 +182,7 @@
 
     def on_message_begin(self) -> None:
         """A new answer begins."""
-        self._head = ResponseHead()  # the last one belongs to whoever reads its answer
+        self._head = ResponseHead()  # the last one belongs to the reader of its answer
         self._foreign = self._complete
         if self._complete:
             self.abort()  # more than one answer
--- a/src/bendshed/adapters/metrics_page.py
+++ b/src/bendshed/adapters/metrics_page.py
@@ -1,4 +1,4 @@
-"""The metrics address: one page of text, served by the usual server once somebody asks."""
+"""The metrics address: one page of text; its server is loaded at the first scrape."""
 
 import asyncio
 import socket
@@ -20,7 +20,7 @@
 class MetricsPage:
     """Serves a registry at one address and path.
 
-    The server is loaded when the first question comes: most processes are never asked, and it
+    The server is loaded at the first scrape: most processes are never scraped, and it
     would cost each of them memory and part of its start.
     """
 
--- a/src/bendshed/adapters/openai_engine.py
+++ b/src/bendshed/adapters/openai_engine.py
@@ -106,7 +106,7 @@
         return HttpEngineStream(answer)
 
     async def cancel(self, attempt_id: str) -> None:
-        """End a stream and keep its name from being started."""
+        """End a stream; its name cannot be started any more."""
         await self._checked("DELETE", f"/v1/streams/{attempt_id}")
 
     async def load(self) -> LoadReport:
--- a/src/bendshed/adapters/tcp_transport.py
+++ b/src/bendshed/adapters/tcp_transport.py
@@ -22,13 +22,13 @@
 LENGTH = struct.Struct("!I")
 MAX_FRAME_BYTES = 256 * 1024 * 1024
 CONNECT_TIMEOUT_S = 0.5
-"""A machine that was dark a moment ago is asked anew, and not when a lost packet is sent again."""
+"""Shorter than TCP's first retransmission: a machine that has just come up answers the next try."""
 CONNECT_TRIPS = 4.0
-"""A far machine has at least so many of its round trips."""
+"""Least connect timeout for a far machine, in its round trips."""
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 """One-way messages to a peer that does not read are dropped beyond this."""
 MAX_SERVED_US = 2**32 - 1
-"""What the field of a reply holds, 71 minutes; of a longer wait the rest counts for the way."""
+"""Most that a reply's field holds, 71 minutes; the rest of a longer wait counts as round trip."""
 HANDLER_FAILED = "handler_failed"
 
 log = PartLog("transport")
--- a/src/bendshed/adapters/traffic.py
+++ b/src/bendshed/adapters/traffic.py
@@ -14,10 +14,10 @@
 
 
 class Traffic(Collector):
-    """Counts what an adapter writes; the page reads the sums when it is asked for.
+    """Counts what an adapter writes; the page reads the sums when it is scraped.
 
     Attributes:
-        distance: tells what lies between this process and a host; ``None``: nobody told.
+        distance: from this process to a host; ``None``: unknown.
         num_bytes: by kind of message and distance, since start.
 
     """
@@ -38,7 +38,7 @@
         registry.register(self)
 
     def collect(self) -> Iterator[Metric]:
-        """The counts as they stand."""
+        """The current counts."""
         family = CounterMetricFamily(self._name, self._text, labels=["message", "distance"])
         for (message, distance), num_bytes in sorted(self.num_bytes.items()):
             family.add_metric([message, distance], num_bytes)
--- a/src/bendshed/configuration/document.py
+++ b/src/bendshed/configuration/document.py
@@ -204,7 +204,7 @@
     """One change as the store holds it, under the key of its revision.
 
     Attributes:
-        operation_id: drawn by the writer; tells its own accepted change from another's.
+        operation_id: drawn by the writer, who recognizes its own accepted change by it.
         base_revision: revision that the author saw; for the record.
 
     """
@@ -217,7 +217,7 @@
 
 
 class Snapshot(_Value):
-    """A document and its revision, as kept on disk and sent to peers."""
+    """A document and its revision, as persisted and sent to peers."""
 
     revision: int = 0
     document: ConfigurationDocument = ConfigurationDocument()
--- a/src/bendshed/configuration/file_cache.py
+++ b/src/bendshed/configuration/file_cache.py
@@ -1,4 +1,4 @@
-"""Keeps the newest configuration in one file of the data folder."""
+"""Persists the newest configuration in one file of the data folder."""
 
 from pathlib import Path
 
@@ -15,21 +15,21 @@
 
 
 class FileConfigurationCache(ConfigurationCache):
-    """The snapshot as JSON in a file with a digest; a file of another form is fetched anew."""
+    """The snapshot as JSON in a file with a digest; a file of another form is ignored."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / FILE_NAME
 
     def load(self) -> Snapshot | None:
-        """Return what was kept; a damaged file counts as nothing and is reported."""
+        """Return the persisted snapshot; a damaged file is logged and counts as none."""
         if not self._path.exists():
             return None
         try:
             return Snapshot.model_validate_json(read_durable(self._path))
         except (FileDamaged, ValidationError) as error:
-            log.say("the kept configuration is damaged and is fetched anew", reason=str(error))
+            log.say("persisted configuration ignored: file damaged", reason=str(error))
             return None
 
     def save(self, snapshot: Snapshot) -> None:
-        """Replace the file; it is whole at any moment."""
+        """Replace the file; it is always whole."""
         write_durable(self._path, snapshot.model_dump_json().encode())
--- a/src/bendshed/configuration/service.py
+++ b/src/bendshed/configuration/service.py
@@ -1,11 +1,11 @@
-"""How configuration is accepted, spread and kept.
+"""How configuration is accepted, spread and stored.
 
 A change is accepted when the store has created the object ``configuration/changes/<revision>``;
 creating it again fails, so of two racing operators one wins and the other sees it. The object
 never changes, hence a lost answer is settled by reading the key: it holds either our operation
 id or another's. A node applies revision n only after n - 1, so nothing ever reverts, and a
 store that answers with old data changes nothing. A few readers per zone watch the store; all
-others hear the newest revision by gossip and fetch what they lack from the peer that told them.
+others learn the newest revision by gossip and fetch what they lack from the peer that sent it.
 """
 
 import asyncio
@@ -39,22 +39,22 @@
 STORE_RETRY_S = 1.0
 FETCH_TIMEOUT_S = 2.0
 RECENT_CHANGES = 256
-"""Changes kept in memory, so that a peer that lags a little gets changes and no snapshot."""
+"""Changes held in memory, so that a peer that lags by fewer gets changes and no snapshot."""
 SETTLE_TRIES = 5
 
 log = PartLog("configuration")
 
 
 class ConfigurationCache(ABC):
-    """Where a disk node keeps the newest configuration."""
+    """Where a disk node persists the newest configuration."""
 
     @abstractmethod
     def load(self) -> Snapshot | None:
-        """Return what was kept; ``None``: nothing."""
+        """Return the persisted snapshot; ``None``: there is none."""
 
     @abstractmethod
     def save(self, snapshot: Snapshot) -> None:
-        """Keep it durably."""
+        """Persist it; durable on return."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,7 +111,7 @@
         self._fetches: set[asyncio.Task[None]] = set()
         membership.on_revision.append(self._on_revision_seen)
         transport.handlers[FETCH_METHOD] = self._on_fetch
-        transport.handlers[REVISION_METHOD] = self._on_revision_asked
+        transport.handlers[REVISION_METHOD] = self._on_revision_request
 
     @property
     def document(self) -> ConfigurationDocument:
@@ -125,10 +125,10 @@
         return self._membership.swim.me.node_id in readers
 
     def start(self) -> None:
-        """Load the kept configuration and begin to follow changes."""
-        kept = self._cache.load() if self._cache is not None else None
-        if kept is not None:
-            self._take_over(kept)
+        """Load the persisted configuration and begin to follow changes."""
+        persisted = self._cache.load() if self._cache is not None else None
+        if persisted is not None:
+            self._take_over(persisted)
         self._task = start_loop(self._read_forever(), "configuration")
 
     async def stop(self) -> None:
@@ -151,13 +151,13 @@
                 return Refusal(
                     ErrorKind.STORE_UNAVAILABLE,
                     f"the store does not answer ({error}); "
-                    f"SHOW CONFIGURATION tells later whether operation {operation_id} took effect",
+                    f"SHOW CONFIGURATION shows later whether operation {operation_id} took effect",
                 )
             except UnknownName as error:
                 return Refusal(ErrorKind.NOT_FOUND, str(error))
             if outcome is not None:
                 return outcome
-        return Refusal(ErrorKind.CONFLICT, "other operators' changes kept winning; ask again")
+        return Refusal(ErrorKind.CONFLICT, "other operators' changes won each try; submit it again")
 
     async def _try_accept(self, body: AnyChange, author: str, operation_id: str) -> Accepted | None:
         """Create the next revision's object; ``None``: another change won this revision."""
@@ -201,17 +201,17 @@
         loop = asyncio.get_running_loop()
         until = loop.time() + timeout_s
         while True:
-            state = await self._ask_all(revision)
+            state = await self._request_revisions(revision)
             if not state.missing and not state.silent:
                 return state
             if loop.time() >= until:
                 return state
             await asyncio.sleep(0.2)
 
-    async def _ask_all(self, revision: int) -> InForce:
+    async def _request_revisions(self, revision: int) -> InForce:
         me = self._membership.swim.me.node_id
         others = [m.node_id for m in self._membership.view.live() if m.node_id != me]
-        answers = await asyncio.gather(*(self._ask_revision(node) for node in others))
+        answers = await asyncio.gather(*(self._request_revision(node) for node in others))
         missing = [
             n for n, r in zip(others, answers, strict=True) if r is not None and r < revision
         ]
@@ -219,7 +219,7 @@
         reached = 1 + len(others) - len(missing) - len(silent)
         return InForce(revision, reached, missing, silent)
 
-    async def _ask_revision(self, node_id: str) -> int | None:
+    async def _request_revision(self, node_id: str) -> int | None:
         address = self._membership.view.address(node_id)
         if address is None:
             return None
@@ -319,7 +319,7 @@
             reply.snapshot = self.snapshot.model_dump_json().encode()
         return reply.SerializeToString()
 
-    async def _on_revision_asked(self, _payload: bytes) -> bytes:
+    async def _on_revision_request(self, _payload: bytes) -> bytes:
         return wire.RevisionReply(revision=self.snapshot.revision).SerializeToString()
 
 
--- a/src/bendshed/consensus/directory.py
+++ b/src/bendshed/consensus/directory.py
@@ -11,7 +11,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 HELLO_METHOD = "replica.hello"
-"""A replica machine tells who and where it is (one way)."""
+"""A replica machine announces its identity and address (no reply)."""
 
 log = PartLog("replicas")
 
@@ -28,7 +28,7 @@
         by_name: the latest known announcement of each machine.
         wiped: identities whose disk is lost.
         retiring: names of machines that operators want emptied.
-        knows_retiring: whether operators' wishes were read in this life.
+        knows_retiring: whether this incarnation has read the operators' wishes.
         on_change: called after each change.
 
     """
@@ -78,17 +78,17 @@
             self._notify()
 
     def digest(self) -> int:
-        """64 bits that differ when anything that others are told of differs; never 0."""
+        """64 bits that differ when anything announced to others differs; never 0."""
         rows = [str(node) for _, node in sorted(self.by_name.items())]
-        told = "\n".join([*rows, *sorted(self.retiring), str(self.knows_retiring)])
-        return xxhash.xxh3_64_intdigest(told.encode()) or 1
+        announced = "\n".join([*rows, *sorted(self.retiring), str(self.knows_retiring)])
+        return xxhash.xxh3_64_intdigest(announced.encode()) or 1
 
     def _notify(self) -> None:
         for notify in self.on_change:
             notify()
 
     def _is_own_past(self, node: ReplicaNode) -> bool:
-        """The registry still tells what this machine was before it lost its disk."""
+        """The registry still holds this machine's announcement from before it lost its disk."""
         own = self.own
         return own is not None and node.name == own.name and node.node_id != own.node_id
 
--- a/src/bendshed/consensus/election_timer.py
+++ b/src/bendshed/consensus/election_timer.py
@@ -1,4 +1,4 @@
-"""Counts the ticks since a leader was heard, and when a replica stands for election."""
+"""Counts the ticks since the leader's last heartbeat, and when a replica stands for election."""
 
 import random
 from collections.abc import Callable, Collection
@@ -14,7 +14,7 @@
 START_TICKS = 2
 START_RANK_TICKS = 2
 START_TRIES = 6
-"""A replica that has just started asks at once, by rank, and a few times in quick succession: a
+"""A replica that has just started requests votes at once, by rank, and repeats them quickly: a
 restart of all waits for nothing, and a leader that others hear is not disturbed (pre-vote)."""
 
 
@@ -23,7 +23,7 @@
     """In which order voters stand for election: those at home first.
 
     Attributes:
-        is_home: whether a voter stands in the group's region.
+        is_home: whether a voter is located in the group's region.
         rank_ticks: between two first tries behind a leader.
         start_rank_ticks: the same after a start.
         most_ticks: no first try waits longer.
@@ -68,12 +68,12 @@
 
     @property
     def is_due(self) -> bool:
-        """No leader was heard for as long as this replica waits."""
+        """No heartbeat came for as long as this replica waits."""
         return self._ticks >= self._due_ticks
 
     @property
     def heard_lately(self) -> bool:
-        """A leader was heard within the shortest wait: others must not disturb it."""
+        """A heartbeat came within the shortest wait: others must not disturb the leader."""
         return self._ticks < ELECTION_TICKS_MIN
 
     def tick(self) -> None:
@@ -81,11 +81,11 @@
         self._ticks += 1
 
     def hear(self) -> None:
-        """The leader was heard."""
+        """A heartbeat came."""
         self._ticks = 0
 
     def reset(self) -> None:
-        """Begin anew, with another length."""
+        """Begin again, with another length."""
         self._ticks = 0
         self._due_ticks = self._rng.randrange(ELECTION_TICKS_MIN, ELECTION_TICKS_MAX)
         if self._num_start_tries:
@@ -93,7 +93,7 @@
             self._due_ticks = self._rng.randrange(START_TICKS, ELECTION_TICKS_MIN)
 
     def follow(self, leader_id: str, me: str, voters: Collection[str]) -> None:
-        """Begin anew behind a leader, by rank among its followers; without one, at random."""
+        """Begin again behind a leader, by rank among its followers; without one, at random."""
         successors = set(voters) - {leader_id}
         if leader_id:
             self._num_start_tries = 0
@@ -104,7 +104,7 @@
             self._due_ticks = min(wait, self._order.most_ticks)
 
     def leader_must_check(self) -> bool:
-        """Whether a leader must look again whether it still hears a majority."""
+        """Whether a leader must check again that a majority replies."""
         if self._ticks < ELECTION_TICKS_MAX:
             return False
         self._ticks = 0
--- a/src/bendshed/consensus/followers.py
+++ b/src/bendshed/consensus/followers.py
@@ -48,7 +48,7 @@
         return self._progress.get(node)
 
     def reset(self, followers: Iterable[str], next_index: int) -> None:
-        """Begin anew, with nothing known of anybody."""
+        """Begin again, with nothing known of any replica."""
         self._progress = {node: Progress(next_index) for node in followers}
 
     def clear(self) -> None:
@@ -56,7 +56,7 @@
         self._progress = {}
 
     def follow(self, followers: Collection[str], next_index: int) -> None:
-        """The membership changed: keep what is known of those that stay."""
+        """The membership changed: retain what is known of those that stay."""
         for node in followers:
             self._progress.setdefault(node, Progress(next_index))
         for node in set(self._progress) - set(followers):
@@ -68,11 +68,11 @@
             progress.ticks_silent += 1
 
     def silent(self, nodes: Iterable[str], ticks: float) -> set[str]:
-        """Followers among ``nodes`` that have not replied for longer than so many ticks."""
+        """Followers among ``nodes`` without a reply for more than ``ticks``."""
         return {n for n in nodes if n in self._progress and self._progress[n].ticks_silent > ticks}
 
     def heard(self, voters: Iterable[str], ticks: int) -> list[str]:
-        """Voters that replied within so many ticks, this replica among them."""
+        """Voters that replied within ``ticks``, this replica among them."""
         return [
             node
             for node in voters
@@ -81,7 +81,7 @@
         ]
 
     def most_advanced(self, voters: Iterable[str], ticks: int) -> str | None:
-        """Follower that was heard lately and holds the most of the log."""
+        """Follower that replied lately and holds the most of the log."""
         alive = [node for node in self.heard(voters, ticks) if node != self.me]
         if not alive:
             return None
--- a/src/bendshed/consensus/host.py
+++ b/src/bendshed/consensus/host.py
@@ -207,7 +207,7 @@
                 self.hand_over(group_id, group.replica.membership.voters)
 
     def hand_over(self, group_id: int, among: Collection[str]) -> bool:
-        """Ask one of some voters to lead a group; ``False``: none of them is heard."""
+        """Request one of some voters to lead a group; ``False``: none of them replies."""
         group = self.groups[group_id]
         effects = group.replica.transfer_leadership(among)
         self._perform(group, effects)
@@ -362,6 +362,6 @@
 
 
 def staggered(limit: int, node_id: str) -> int:
-    """A node's own share above a limit: none to two fifths, by its identity."""
+    """A node's stagger above a limit, from 0 to two fifths of it, by its identity."""
     step = xxhash.xxh3_64_intdigest(node_id.encode()) % COMPACT_STAGGER
     return limit + limit * step // (2 * COMPACT_STAGGER)
--- a/src/bendshed/consensus/membership_plan.py
+++ b/src/bendshed/consensus/membership_plan.py
@@ -14,12 +14,12 @@
     Attributes:
         me: the leader itself.
         wiped: identities whose disk is lost for good.
-        silent: members that have not been heard for long enough to be replaced.
+        silent: members without a reply for long enough to be replaced.
         retiring: identities that are to be emptied.
         caught_up: learners that hold nearly the whole log.
         candidates: live processes that hold no replica, best first.
         count: wanted voters.
-        places: where nodes stand, so that voters bear the loss of a zone.
+        places: zones of nodes, so that voters survive the loss of a zone.
 
     """
 
@@ -41,7 +41,7 @@
     """Return the next step towards ``count`` sound voters; ``None``: nothing to do now.
 
     A wiped voter is removed at once: it can neither vote nor come back. A silent or retiring one
-    stays until a successor has caught up, and so does one that stands worse than a free machine
+    stays until a successor has caught up, and so does one in a worse zone than a free machine
     would. A leader never removes itself.
     """
     voters, learners = list(present.voters), list(present.learners)
@@ -87,7 +87,7 @@
 
 
 def _rebalance(present: GroupMembership, facts: ReplicaFacts) -> GroupMembership | None:
-    """Enough sound voters: take a machine in that stands better than one of them.
+    """Enough sound voters: take in a machine whose zone is better than that of one of them.
 
     Each exchange leaves the voters strictly better, so exchanges end.
     """
@@ -101,7 +101,7 @@
 
 
 def _improves(present: GroupMembership, node: str, facts: ReplicaFacts) -> bool:
-    """Whether the voters stand better with ``node`` in the place of one that is not the leader."""
+    """Whether voters are spread better with ``node`` in place of one that is not the leader."""
     voters = list(present.voters)
     others = [voter for voter in voters if voter != facts.me]
     if not others:
--- a/src/bendshed/consensus/quorum.py
+++ b/src/bendshed/consensus/quorum.py
@@ -7,7 +7,7 @@
     A majority of all voters while that many survive. With fewer, all survivors, if they meet every
     majority of the voters: then each committed entry is on one of them, and the most advanced of
     them holds all. So two voters outlive the loss of one disk, four that of two; three voters do
-    not outlive two. Where that does not hold either a majority is asked for, which cannot come.
+    not outlive two. Where that does not hold either, a majority is required, which cannot come.
     """
     majority = num_voters // 2 + 1
     if num_survivors >= majority:
--- a/src/bendshed/consensus/raft.py
+++ b/src/bendshed/consensus/raft.py
@@ -48,7 +48,7 @@
         term, voted_for: hard state.
         role, leader_id: current role; the leader of this term, empty when unknown.
         membership: the latest membership in the log, committed or not.
-        persisted_index: last own entry known to be durable.
+        persisted_index: last entry of this replica known to be durable.
         followers: what the leader knows of the others.
         log: entries since the last snapshot.
         lost: identities whose disks are known to be lost for good.
@@ -84,7 +84,7 @@
             self._timer.start(node_id, self.membership.voters)
         self._effects: list[Effect] = []
 
-    # --- what others may ask -------------------------------------------------------------
+    # --- state for the shells ------------------------------------------------------------
 
     @property
     def last_index(self) -> int:
@@ -98,7 +98,7 @@
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether this leader has committed an entry of its own term."""
+        """Whether this leader has committed an entry of its term."""
         return self.log.term_at(self.commit_index) == self.term
 
     @property
@@ -108,7 +108,7 @@
 
     @property
     def hears_majority(self) -> bool:
-        """Leader that as many replicas as an election needs replied to a moment ago."""
+        """Leader, as long as an election's quorum of replicas replied lately."""
         return self.role is Role.LEADER and self._hears_majority()
 
     @property
@@ -217,7 +217,7 @@
     # --- elections -----------------------------------------------------------------------
 
     def _is_disruptive(self, message: wire.ConsensusMessage) -> bool:
-        """A vote request while a leader is heard; a removed replica must not disturb."""
+        """A vote request while a leader sends heartbeats; a removed replica must not disturb."""
         if message.kind != wire.CONSENSUS_KIND_VOTE_REQUEST or message.transfer:
             return False
         if self.role is Role.LEADER:
--- a/src/bendshed/consensus/replica_choice.py
+++ b/src/bendshed/consensus/replica_choice.py
@@ -20,10 +20,10 @@
     """What makes one set of voters better than another.
 
     A zone may be lost whole, so none should hold more voters than the group can lose. Beyond that
-    voters stand at home, where their leader waits for no distant disk, and evenly over zones.
+    voters are at home, where their leader waits for no distant disk, and evenly over zones.
 
     Attributes:
-        zone_of: zone of each known node; an unknown one counts as a zone of its own, at home.
+        zone_of: zone of each known node; an unknown one counts as a separate zone at home.
         home_zones: zones of the group's region; ``None``: all are.
 
     """
@@ -32,13 +32,13 @@
     home_zones: Collection[str] | None = None
 
     def is_home(self, node: str) -> bool:
-        """Whether a node stands in the group's region."""
+        """Whether a node is located in the group's region."""
         if self.home_zones is None or node not in self.zone_of:
             return True
         return self.zone_of[node] in self.home_zones
 
     def badness(self, voters: Collection[str]) -> tuple[int, int, int]:
-        """How badly voters stand; less is better.
+        """How badly voters are spread; less is better.
 
         First the voters that a zone holds beyond those that may be lost, then those away from
         home, then how unevenly zones are filled.
--- a/src/bendshed/consensus/sqlite_storage.py
+++ b/src/bendshed/consensus/sqlite_storage.py
@@ -91,7 +91,7 @@
         return self._node_id
 
     def check(self) -> None:
-        """Read all groups and keep them for the next ``load``; raise like it."""
+        """Read all groups in advance for the next ``load``; raise like it."""
         self._checked = self.load()
 
     def load(self) -> list[StoredGroup]:
--- a/src/bendshed/consensus/stall.py
+++ b/src/bendshed/consensus/stall.py
@@ -1,4 +1,4 @@
-"""Whether this machine's disk or loop stands in the way of the groups that it leads. Pure."""
+"""Whether this machine's disk or loop delays the groups that it leads. Pure."""
 
 from collections import deque
 from dataclasses import dataclass, field
--- a/src/bendshed/dispatch/__init__.py
+++ b/src/bendshed/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Runs calls: attempts at engines, resume, takeover, retries, and what the caller hears."""
+"""Runs calls: attempts at engines, resume, takeover, retries, and the caller's answer."""
--- a/src/bendshed/dispatch/call_steps.py
+++ b/src/bendshed/dispatch/call_steps.py
@@ -81,8 +81,8 @@
     def _waiting_call(self, run: CallRun, last_runner: str) -> WaitingCall:
         request = run.request
         loop = asyncio.get_running_loop()
-        kept = self.history.get(request.program_id, request.branch)
-        history_bytes = kept.num_bytes if kept is not None else 0
+        cached = self.history.get(request.program_id, request.branch)
+        history_bytes = cached.num_bytes if cached is not None else 0
         return WaitingCall(
             program_id=request.program_id,
             model=request.model,
--- a/src/bendshed/gateway/chat.py
+++ b/src/bendshed/gateway/chat.py
@@ -36,7 +36,7 @@
     """The ``X-Bendshed-*`` headers and ``Idempotency-Key``.
 
     Attributes:
-        program: program id; without it the call is a program of its own.
+        program: program id; without it the call is a program by itself.
         program_kind: name under which operators declared it.
         call: issue order over the whole program, from 1.
         end: the program ends with this call.
@@ -139,9 +139,9 @@
     return fields
 
 
-def _priority(tenant: Tenant, asked: int | None) -> int:
+def _priority(tenant: Tenant, requested: int | None) -> int:
     """A caller may make a call less urgent than its tenant's priority, never more."""
-    return tenant.priority if asked is None else max(tenant.priority, asked)
+    return tenant.priority if requested is None else max(tenant.priority, requested)
 
 
 def _to_message(message: dict[str, Any]) -> wire.ChatMessage:
--- a/src/bendshed/gateway/service_protocol.py
+++ b/src/bendshed/gateway/service_protocol.py
@@ -1,8 +1,8 @@
-"""The product's own way of speaking on declared routes: with callers and with runners.
+"""The product's protocol on declared routes, towards callers and runners.
 
 A runner is any HTTP service of the machine list. One that says ``X-Bendshed-Not-Run`` proves that
-it did not run the request; one that repeats ``X-Bendshed-Request`` lets surplus answers be told
-apart.
+it did not run the request; ``X-Bendshed-Request`` in an answer tells a surplus answer from the
+expected one.
 """
 
 import random
@@ -42,7 +42,7 @@
         """Read the headers; refuse an unknown tenant or a number that is none."""
         fields = dict(reversed(received.headers))  # the first of a name counts
         if self._configuration().tenant_of_token(_bearer_token(fields)) is None:
-            detail = "no known bearer token; ask your operators for one"
+            detail = "no known bearer token; your operators issue them"
             return Refusal(ErrorKind.UNAUTHORIZED, detail)
         wait_text = _text(fields, DEADLINE_MS)
         if wait_text and not wait_text.isdigit():
--- a/src/bendshed/gateway/services.py
+++ b/src/bendshed/gateway/services.py
@@ -32,10 +32,10 @@
 
 
 class DeclaredServices:
-    """Forwards requests on the operators' routes; all others go to the node's own pages.
+    """Forwards requests on the operators' routes; all others go to the node's pages.
 
     Attributes:
-        table: runners of services, as the machine list tells them.
+        table: runners of services, as the machine list names them.
         forwarder: serves requests.
 
     """
--- a/src/bendshed/identifiers.py
+++ b/src/bendshed/identifiers.py
@@ -20,7 +20,7 @@
 
 
 def credential_digest(credential: str) -> str:
-    """SHA-256 in hex: what is kept and compared in a credential's place."""
+    """SHA-256 in hex: what is stored and compared in a credential's place."""
     return hashlib.sha256(credential.encode()).hexdigest()
 
 
--- a/src/bendshed/logs.py
+++ b/src/bendshed/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: eliot JSON lines; each part writes short sentences with its own prefix.
+"""Structured logs: eliot JSON lines; each part writes short messages with a fixed prefix.
 
 Lines go through a bounded buffer that never blocks the process: a slow or closed reader costs
-dropped lines, which are counted and told.
+dropped lines, which are counted and reported.
 """
 
 import asyncio
@@ -21,14 +21,14 @@
 """Lines of this time leave in one write."""
 BLOCKED_RETRY_S = 0.2
 CHUNK_BYTES = select.PIPE_BUF
-"""A pipe that polls as writable takes this much without blocking (POSIX)."""
+"""Bytes that a pipe takes without blocking once it polls as writable (POSIX)."""
 
 
 class PartLog:
     """Writes the log lines of one part.
 
     Attributes:
-        prefix: fixed word in front of each sentence, such as ``membership``.
+        prefix: fixed name in front of each message, such as ``membership``.
 
     Prompt text and tokens of callers are never passed as fields.
     """
@@ -37,7 +37,7 @@
         self.prefix = prefix
 
     def say(self, sentence: str, **fields: Any) -> None:
-        """Write one line; ``fields`` stand beside the sentence."""
+        """Write one line; ``fields`` are values beside the message."""
         log_message(
             message_type=f"bendshed:{self.prefix}", text=f"{self.prefix}: {sentence}", **fields
         )
@@ -152,5 +152,5 @@
 
 
 def name_process(name: str, life: str) -> None:
-    """Put the process's name and an id of this life of it into every line."""
+    """Put the process's name and the id of this incarnation (field ``life``) into every line."""
     add_global_fields(process=name, life=life)
--- a/src/bendshed/membership/service.py
+++ b/src/bendshed/membership/service.py
@@ -21,16 +21,16 @@
 SEED_SYNC_SHARE = 0.25
 """Comparisons made with a seed, so that parts that lost each other meet again."""
 SILENCE_S = 2.0
-"""Without a word from any peer for this long, news may have been missed."""
+"""Without a message from any peer for this long, updates may have been missed."""
 
 log = PartLog("membership")
 
 
 class MembershipService:
-    """Keeps this node's membership current and tells subscribers what changed.
+    """Maintains this node's membership and notifies subscribers of changes.
 
     Attributes:
-        last_heard_s: loop time at which a peer was last heard.
+        last_heard_s: loop time of the last message from a peer.
 
     After a silence (a pause, a cut, a start) what peers spread meanwhile may have been missed;
     the view counts as current again only after a comparison of the whole state with a peer.
--- a/src/bendshed/membership/swim.py
+++ b/src/bendshed/membership/swim.py
@@ -121,11 +121,11 @@
     its incarnation.
 
     Attributes:
-        me: this node's own record.
+        me: this node's record.
         view: all known members, this node included.
         runners: latest notice by back end.
         leaders: latest hint by group.
-        configuration_revision: told to every peer.
+        configuration_revision: sent to every peer.
         local_health: 0 healthy; each missed probe or refuted suspicion raises it.
 
     """
@@ -273,11 +273,11 @@
             self._send(gossip.sender, wire.GOSSIP_KIND_ACK, gossip.sequence, self.me.node_id)
 
     def _on_ping_request(self, gossip: wire.Gossip) -> None:
-        asker = self.view.address(gossip.sender)
-        if asker is None:
+        requester = self.view.address(gossip.sender)
+        if requester is None:
             return
         self._sequence += 1
-        self._relays[self._sequence] = (asker, gossip.sequence)
+        self._relays[self._sequence] = (requester, gossip.sequence)
         if len(self._relays) > 256:
             self._relays.pop(next(iter(self._relays)))
         self._send(gossip.target, wire.GOSSIP_KIND_PING, self._sequence, gossip.target)
@@ -302,7 +302,7 @@
         if dead:
             member = self.view.members[self._rng.choice(dead)]
             gossip = self._gossip(wire.GOSSIP_KIND_SPREAD, 0, member.node_id)
-            gossip.members.extend((member, self.me))  # lets it refute, and find the way back
+            gossip.members.extend((member, self.me))  # lets it refute, and rejoin
             self._effects.append(SendGossip(Address(member.host, member.peer_port), gossip))
 
     # --- suspicion -----------------------------------------------------------------------
@@ -351,17 +351,17 @@
         if known is not None and _rank(member) <= _rank(known):
             return
         changed = known is None or (known.status, known.boot) != (member.status, member.boot)
-        kept = wire.Member()
-        kept.CopyFrom(member)
-        self.view.members[member.node_id] = kept
+        stored = wire.Member()
+        stored.CopyFrom(member)
+        self.view.members[member.node_id] = stored
         self._suspected_at_s.pop(member.node_id, None)
         if member.status == SUSPECT:
             self._suspected_at_s[member.node_id] = now_s
         if member.status == DEAD:
             self._died_at_s[member.node_id] = now_s
-        self._enqueue(kept)
+        self._enqueue(stored)
         if changed:
-            self._effects.append(MemberChanged(kept))
+            self._effects.append(MemberChanged(stored))
 
     def _refute(self, claim: wire.Member) -> None:
         same = claim.incarnation == self.me.incarnation and claim.status == self.me.status
--- a/src/bendshed/node.py
+++ b/src/bendshed/node.py
@@ -215,7 +215,7 @@
             return []
         live = {member.node_id for member in self.membership.view.live()} - {self.node_id}
         if len(live.intersection(self._disk_nodes())) <= self.settings.groups.replicas // 2:
-            return []  # nobody could take the replica over; the whole installation may be stopping
+            return []  # no node could take the replica over; the whole installation may be stopping
         needed = []
         for group_id, group in self.host.groups.items():
             voters = list(group.replica.membership.voters)
--- a/src/bendshed/platform/caller_protocol.py
+++ b/src/bendshed/platform/caller_protocol.py
@@ -1,4 +1,4 @@
-"""How the platform's clients speak: their headers, and how refusals are told to them."""
+"""The platform's client protocol: request headers, and how refusals are answered."""
 
 from bendshed.errors import ErrorKind, Refusal, WasRun
 from bendshed.identifiers import credential_digest
@@ -32,7 +32,7 @@
     b"content-length",
     b"expect",
 }
-"""Headers that are not passed on, or are set anew."""
+"""Headers that are dropped, or replaced by ours."""
 MAX_CREDENTIAL_BYTES = 512
 """A longer credential is none: the platform's keys are 20 bytes long."""
 
@@ -105,7 +105,7 @@
 
 
 def _passed_on(received: Headers) -> Headers:
-    """The client's headers for the runner; length, deadline and ours are set anew."""
+    """The client's headers for the runner; length, deadline and ours are replaced."""
     return [(name, value) for name, value in end_to_end(received) if name not in _OWN]
 
 
--- a/src/bendshed/platform/encode.py
+++ b/src/bendshed/platform/encode.py
@@ -1,4 +1,4 @@
-"""The other side's half of the formats, for stand-ins: what operators and runners write."""
+"""The platform's half of the formats, for stand-ins: what operators and runners write."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -104,7 +104,7 @@
         self._node.forwarder.is_current = self._is_current
 
     async def run(self, stopping: asyncio.Event) -> None:
-        """Serve until told to stop, then drain."""
+        """Serve until ``stopping`` is set, then drain."""
         await self._transport.start()
         watchers = [self._runners, *self._others]
         following = [start_loop(watcher.run(), "platform") for watcher in watchers]
@@ -158,14 +158,14 @@
             await send_text(send, READY_STATUS if is_ready else NOT_READY_STATUS, b"")
 
     def _is_current(self) -> bool:
-        """Whether others tell this node the newest configuration, or the store itself does."""
+        """Whether replica machines or the store itself keep this node's configuration current."""
         return self._node.catalog.is_fresh or not self._reading.is_lost
 
     def _apply_limits(self, document: ServiceDocument) -> None:
         idle_s = document.limits.idle_timeout_ms // 1000 + IDLE_MARGIN_S
         self._server.config.timeout_keep_alive = idle_s
 
-    # --- what the store tells ------------------------------------------------------------
+    # --- changes read from the store -----------------------------------------------------
 
     def _short_watch_s(self) -> float:
         bounds = self._settings.bounds
@@ -176,7 +176,7 @@
         return KindWatcher(self._api, kind, handler, wait_s, self._rng, pace_s, MAX_RETRY_GROWTH)
 
     async def _look_for_replicas(self) -> bool:
-        """Read who the replica machines are; a word seconds old is enough to ask the first."""
+        """Read the list of replica machines; a list that is seconds old suffices."""
         try:
             listed = await self._api.list(names.REPLICA_KIND, may_be_stale=True)
         except StoreUnavailable as error:
--- a/src/bendshed/platform/main.py
+++ b/src/bendshed/platform/main.py
@@ -1,7 +1,7 @@
 """Starts one process of the platform: ``node`` or ``store``.
 
-The process listens before it loads the rest of itself: whoever connects meanwhile waits for that
-moment instead of being refused, which a restart of many processes at once would cost its clients.
+The process listens before it loads its other modules: clients that connect meanwhile wait in the
+queue instead of being refused, which matters when many processes restart at once.
 """
 
 import gc
@@ -22,7 +22,7 @@
     """What to run.
 
     Attributes:
-        metrics_port: where metrics are told; ``None``: nowhere.
+        metrics_port: of the metrics page; ``None``: none is served.
 
     """
 
@@ -31,7 +31,7 @@
 
 
 def _read_command(arguments: list[str]) -> Command | None:
-    """Read the words after the program's name; ``None``: they are wrong."""
+    """Read the arguments; ``None``: they are wrong."""
     match arguments:
         case [role] if role in ROLES:
             return Command(role)
--- a/src/bendshed/platform/names.py
+++ b/src/bendshed/platform/names.py
@@ -53,7 +53,7 @@
 RETIREMENT_KIND = "retirements"
 ZONE_CLOSURE_KIND = "evacuations"
 
-# Kinds of our own.
+# Kinds that this product creates.
 REPLICA_KIND = "bendshed-replicas"
 GROUP_KIND = "bendshed-groups"
 TURN_GROUP_NAME = "turns"
@@ -61,5 +61,5 @@
 
 
 def turn_group_name(group_id: int) -> str:
-    """Name of a group's founding record."""
+    """Name of a group's bootstrap record."""
     return TURN_GROUP_NAME if group_id == 0 else f"{TURN_GROUP_NAME}-{group_id}"
--- a/src/bendshed/platform/objects.py
+++ b/src/bendshed/platform/objects.py
@@ -54,15 +54,15 @@
         """Read all objects of a kind, page by page.
 
         ``at`` is the first page's, since objects of a page may change while a later one is read.
-        ``may_be_stale``: what is told may be seconds old, at a tenth of the price.
+        ``may_be_stale``: the answer may be seconds old, at a tenth of the price.
         """
         items: list[StoredObject] = []
         first_at: int | None = None
         after = ""
         while True:
-            words = [f"after={quote(after, safe='')}"] if after else []
-            words += [names.STALE] if may_be_stale else []
-            query = f"?{'&'.join(words)}" if words else ""
+            parameters = [f"after={quote(after, safe='')}"] if after else []
+            parameters += [names.STALE] if may_be_stale else []
+            query = f"?{'&'.join(parameters)}" if parameters else ""
             _, content = await self._call(b"GET", _path(kind) + query, None, self._call_timeout_s)
             items.extend(_read_object(row) for row in content["items"])
             if first_at is None:
--- a/src/bendshed/platform/registry.py
+++ b/src/bendshed/platform/registry.py
@@ -8,7 +8,7 @@
 
 
 class PlatformReplicaRegistry(ReplicaRegistry):
-    """Announcements and the founding as objects of kinds of our own."""
+    """Announcements and bootstrap records, as objects of kinds that this product creates."""
 
     def __init__(self, api: ObjectApi) -> None:
         self._api = api
@@ -40,7 +40,7 @@
         return [str(voter) for voter in found.spec["voters"]] if found is not None else []
 
     async def found(self, voters: list[str], group_id: int = 0) -> list[str]:
-        """Create the founding record; a lost answer is settled by reading."""
+        """Create the bootstrap record; a lost answer is settled by reading."""
         try:
             spec = {"voters": voters}
             await self._api.create(names.GROUP_KIND, names.turn_group_name(group_id), spec)
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -29,10 +29,10 @@
 
 WATCH_S = 8.0
 RETRY_GROWTH = 2.0
-"""A lost store is asked up to so many times as rarely: whoever is back first tells all others."""
+"""Most factor by which a lost store is polled more rarely: the first to reach it informs all."""
 REPLICA_PACE_S = 0.25
 """Replica machines that start at the same time cost one call of this time together; the first
-change after a quiet time is told at once."""
+change after a quiet time is passed on at once."""
 
 log = PartLog("store")
 
@@ -105,7 +105,7 @@
         self._node.catalog.on_pace = self._set_pace
 
     async def run(self, stopping: asyncio.Event) -> None:
-        """Serve until told to stop."""
+        """Serve until ``stopping`` is set."""
         await self._transport.start()
         self._node.start()
         following = [start_loop(watcher.run(), "platform") for watcher in self._watchers]
--- a/src/bendshed/platform/roles.py
+++ b/src/bendshed/platform/roles.py
@@ -22,7 +22,7 @@
 def run_role(
     role: str, metrics_port: int | None, settings: SiteSettings, listeners: Listeners
 ) -> None:
-    """Run a role until a signal stops it; ``metrics_port``: where metrics are told, if anywhere."""
+    """Run a role until a signal stops it; ``metrics_port``: of the metrics page, if any."""
     writer = log_to(sys.stdout.fileno())
     name_process(settings.nodeName, f"{random.getrandbits(32):08x}")
     asyncio.run(_run(role, metrics_port, settings, listeners, writer))
--- a/src/bendshed/platform/runner_protocol.py
+++ b/src/bendshed/platform/runner_protocol.py
@@ -35,7 +35,7 @@
 
 
 def _owns(head: ResponseHead, wanted: bytes) -> bool:
-    """An answer carries the request's id; one that tells it was not run may lack it."""
+    """An answer carries the request's id; one that says "not run" may lack it."""
     found = head.get(names.REQUEST_ID)
     if found is None:
         return head.get(names.NOT_RUN) is not None or head.status == names.OTHER_RUNNER_STATUS
--- a/src/bendshed/platform/settings.py
+++ b/src/bendshed/platform/settings.py
@@ -42,7 +42,7 @@
 
 
 class _Section(msgspec.Struct, frozen=True):
-    """Unknown fields are passed over, as the platform asks."""
+    """Unknown fields are ignored, as the platform requires."""
 
 
 class Listen(_Section, frozen=True):
@@ -67,7 +67,7 @@
 
 
 class Bounds(_Section, frozen=True):
-    """Time limits that the product must keep."""
+    """Time limits that the product must meet."""
 
     graceS: Seconds = 8.0  # noqa: N815 (the platform's spelling)
     contactMs: Milliseconds = 3000  # noqa: N815
@@ -128,7 +128,7 @@
 
     @property
     def turn_groups(self) -> TurnGroups:
-        """Groups of the turn log, the same at all nodes: only what all are told decides.
+        """Groups of the turn log, the same at all nodes: computed from shared settings alone.
 
         Where a region may be lost no group is at home in one: most of its voters would go too.
         """
@@ -142,7 +142,7 @@
 
     @property
     def catalog_times(self) -> CatalogTimes:
-        """How often the store is read, by the limits that must be kept."""
+        """How often the store is read, from the limits that must be met."""
         return CatalogTimes.within(self.apply_s, self.platform.historyS, self.bounds.zone_close_s)
 
     @property
@@ -177,7 +177,7 @@
 
 
 def _merge_own(path: str, content: Any) -> Any:
-    """The template lays the platform's fields beside our own; without it, they stand alone."""
+    """The template puts the platform's fields beside ours; without it, they are the whole file."""
     if not isinstance(content, dict) or "site" not in content:
         return content
     for section in ("policy", "placement"):
--- a/src/bendshed/platform/translate.py
+++ b/src/bendshed/platform/translate.py
@@ -57,7 +57,7 @@
 
 
 def _read_tenant(row: Any) -> Tenant:
-    """Keys are kept as digests from here on."""
+    """Keys exist only as digests from here on."""
     return Tenant(
         name=str(row["name"]),
         credentials=tuple(credential_digest(str(key)) for key in row.get("apiKeys") or ()),
--- a/src/bendshed/ports/caller_protocol.py
+++ b/src/bendshed/ports/caller_protocol.py
@@ -1,4 +1,4 @@
-"""Port to the callers' way of speaking: how requests are read and refusals are told."""
+"""Port to the callers' protocol: how requests are read and refusals answered."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusalAnswer:
-    """How a refusal is told.
+    """How a refusal is answered.
 
     Attributes:
         retry_after: value of ``Retry-After`` in seconds; empty: no header.
--- a/src/bendshed/ports/catalog_storage.py
+++ b/src/bendshed/ports/catalog_storage.py
@@ -1,15 +1,15 @@
-"""Port to where a replica machine keeps its catalog between lives."""
+"""Port to where a replica machine persists its catalog across restarts."""
 
 from abc import ABC, abstractmethod
 
 
 class CatalogStorage(ABC):
-    """Keeps one block of bytes. What is kept is a hint: losing it costs time and no promise."""
+    """Persists one block of bytes. It is a hint: losing it costs time and breaks no promise."""
 
     @abstractmethod
     def load(self) -> bytes | None:
-        """Return what was kept whole; ``None``: nothing, or it is damaged."""
+        """Return the persisted bytes; ``None``: none, or damaged."""
 
     @abstractmethod
     async def save(self, content: bytes) -> None:
-        """Replace what was kept; a disk that refuses is told and passed over."""
+        """Replace the persisted bytes; an error of the disk is logged and otherwise ignored."""
--- a/src/bendshed/ports/engine.py
+++ b/src/bendshed/ports/engine.py
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Load as the engine reports it, with a lag; ``leaving`` is the engine's own word."""
+    """Load as the engine reports it, with a lag; ``leaving``: the engine says that it leaves."""
 
     running: int
     waiting: int
--- a/src/bendshed/ports/objects.py
+++ b/src/bendshed/ports/objects.py
@@ -6,7 +6,7 @@
 
 
 class HistoryGone(Exception):
-    """A watch asked for a revision that the store has forgotten; list again."""
+    """A watch requested a revision that the store has forgotten; list again."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
     """One change of a kind.
 
     Attributes:
-        at: revision up to which the answer told changes; not below the change's own.
+        at: revision up to which the answer holds changes; not below that of the change.
 
     """
 
--- a/src/bendshed/ports/registry.py
+++ b/src/bendshed/ports/registry.py
@@ -36,7 +36,7 @@
 
 
 class ReplicaRegistry(ABC):
-    """Announcements, the founding voters, retirements. Every write may be repeated."""
+    """Announcements, bootstrap voters, retirements. Every write may be repeated."""
 
     @abstractmethod
     async def announce(self, me: ReplicaNode) -> None:
--- a/src/bendshed/ports/round_trips.py
+++ b/src/bendshed/ports/round_trips.py
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class RoundTrips(Generic[Key]):
-    """Least times by peer, or by whatever else is told apart."""
+    """Least times by peer, or by any other key."""
 
     _known: dict[Key, SlidingLeast] = field(default_factory=dict)
 
--- a/src/bendshed/process.py
+++ b/src/bendshed/process.py
@@ -34,7 +34,7 @@
 
 
 class NodeFailed(Exception):
-    """A part of the node failed; the process ends so that it is started anew."""
+    """A part of the node failed; the process ends so that it is restarted."""
 
 
 def open_storage(settings: Settings) -> LogStorage | None:
@@ -115,6 +115,6 @@
 
 
 def announce(**fields: object) -> None:
-    """Print one JSON line on standard output: the addresses in use, for whoever started us."""
+    """Print one JSON line on standard output: the addresses in use, for the parent process."""
     sys.stdout.write(orjson.dumps(fields).decode() + "\n")
     sys.stdout.flush()
--- a/src/bendshed/programs/service.py
+++ b/src/bendshed/programs/service.py
@@ -1,4 +1,4 @@
-"""What a group's leader does for executors: commits commands, keeps order, borrows budget."""
+"""What a group's leader does for executors: commits commands, enforces order, borrows budget."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 COMMIT_TIMEOUT_S = 3.0
 EXECUTING_TIMEOUT_S = 0.5
 ORPHAN_CHECK_S = 1.0
-"""How often a waiting leader asks whether the other executor still works on the call."""
+"""How often a waiting leader requests whether the other executor still works on the call."""
 PORTIONS_PER_BUDGET = 64
 """A group borrows at least this fraction of a tenant's budget at a time."""
 SWEEP_INTERVAL_S = 1.0
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Retention:
-    """How long programs are kept, in milliseconds of the wall clock."""
+    """How long programs are retained, in milliseconds of the wall clock."""
 
     idle_ms: int
     ended_ms: int
--- a/src/bendshed/programs/state.py
+++ b/src/bendshed/programs/state.py
@@ -18,7 +18,7 @@
 
 
 def find_call(program: wire.ProgramRecord, number: int) -> wire.CallRecord | None:
-    """Call of that number; calls are kept by rising number, usually without gaps from 1."""
+    """Call of that number; calls are ordered by rising number, usually without gaps from 1."""
     position = number - 1
     if 0 <= position < len(program.calls) and program.calls[position].number == number:
         return program.calls[position]
@@ -462,11 +462,11 @@
         return self.portions[tenant]
 
     def next_portion_sequence(self, tenant: str) -> int:
-        """Sequence number of the next portion that this group may ask for."""
+        """Sequence number of the next portion that this group may request."""
         return self._portion(tenant).last_sequence + 1
 
     def _lend(self, command: wire.LendPortion) -> wire.CallResult:
-        """Lend once per (borrower, sequence); asked again, answer the same."""
+        """Lend once per (borrower, sequence); a repeated request gets the same answer."""
         home = self.homes.setdefault(command.tenant, wire.TenantHome(tenant=command.tenant))
         if command.limit_revision >= home.limit_revision:
             home.limit_revision = command.limit_revision
--- a/src/bendshed/routing/monitor.py
+++ b/src/bendshed/routing/monitor.py
@@ -1,7 +1,7 @@
 """Keeps the runner table fresh: machine list, load reports, and KV cache held by the gone.
 
-Few nodes read the platform's machine list (two per zone); the others ask one of these with the
-digest of what they have. A leaving back end is told to all by gossip at once. For each runner
+Few nodes read the platform's machine list (two per zone); the others request it from one of
+these with the digest of what they have. A leaving back end is gossiped to all. For each runner
 one node, by consistent hashing, compares the engine's held programs with those alive.
 """
 
@@ -31,7 +31,7 @@
 LIST_METHOD = "machines.list"
 PEER_TIMEOUT_S = 2.0
 LIST_PEERS = 2
-"""Peers among which one is asked for the machine list."""
+"""Peers among which one is drawn to request the machine list from."""
 FRESH_S = 2.0
 """A load report this old does not show whether the engine is leaving."""
 ENGINE_ERRORS = (EngineBroken, EngineNotStarted, NotSupported)
@@ -83,7 +83,7 @@
         self._ring = HashRing(())
         self._tasks: list[asyncio.Task[None]] = []
         membership.on_runner.append(table.take_notice)
-        transport.handlers[LIST_METHOD] = self._on_list_asked
+        transport.handlers[LIST_METHOD] = self._on_list_request
 
     def start(self) -> None:
         """Begin the three loops."""
@@ -113,15 +113,15 @@
                 self._take_list(await self._machine_list.read())
             except StoreUnavailable:
                 log.say("the machine list does not answer")
-                await self._ask_peer()
+                await self._request_from_peer()
         else:
-            await self._ask_peer()
+            await self._request_from_peer()
 
-    async def _ask_peer(self) -> None:
+    async def _request_from_peer(self) -> None:
         me = self._membership.swim.me.node_id
         others = [node for node in self._membership.zone_readers() if node != me]
-        asked = others[:LIST_PEERS]
-        address = self._membership.view.address(self._rng.choice(asked)) if asked else None
+        peers = others[:LIST_PEERS]
+        address = self._membership.view.address(self._rng.choice(peers)) if peers else None
         if address is None:
             return
         question = peer_pb2.MachineListRequest(have_digest=self._digest).SerializeToString()
@@ -143,7 +143,7 @@
             take(machines)
         self._scheduler.schedule()
 
-    async def _on_list_asked(self, payload: bytes) -> bytes:
+    async def _on_list_request(self, payload: bytes) -> bytes:
         have = peer_pb2.MachineListRequest.FromString(payload).have_digest
         reply = peer_pb2.MachineListReply(digest=self._digest)
         if have != self._digest and self._machines:
@@ -151,7 +151,7 @@
         return reply.SerializeToString()
 
     def engine_said_leaving(self, runner_id: str) -> None:
-        """An engine refused work because it leaves: tell all nodes."""
+        """An engine refused work because it leaves: notify all nodes."""
         notice = self._table.mark_leaving(runner_id)
         if notice is not None:
             self._membership.notice_runner(notice)
@@ -184,8 +184,8 @@
     async def confirm(self, runner_id: str) -> bool:
         """Whether new work may be sent to a runner now.
 
-        A node that was paused or cut off has an old view. Unless it has heard its peers or the
-        engine lately, it asks the engine itself, so a back end that left meanwhile gets nothing.
+        A node that was paused or cut off has an old view. Unless peers or the
+        engine replied lately, it requests the engine's load, so one that left gets nothing.
         """
         now_s = asyncio.get_running_loop().time()
         runner = self._table.runners.get(runner_id)
@@ -241,10 +241,10 @@
             by_group.setdefault(group, []).append(program_id)
         gone: list[str] = []
         for group, names in by_group.items():
-            gone += await self._ask_group(group, names)
+            gone += await self._request_gone(group, names)
         return gone
 
-    async def _ask_group(self, group_id: int, names: list[str]) -> list[str]:
+    async def _request_gone(self, group_id: int, names: list[str]) -> list[str]:
         question = programs_pb2.AliveRequest(group_id=group_id, program_ids=names)
         answer = await self._client.request_leader(
             group_id, ALIVE_METHOD, question.SerializeToString(), PEER_TIMEOUT_S
--- a/src/bendshed/routing/runners.py
+++ b/src/bendshed/routing/runners.py
@@ -20,7 +20,7 @@
 
     Attributes:
         machine: its line of the machine list.
-        leaving: from any source: machine list, gossip, the engine's own word.
+        leaving: from any source: machine list, gossip, the engine itself.
         drained: by the operators' configuration.
         report: latest load report; ``None``: none yet.
         report_at_s: loop time of that report.
@@ -67,7 +67,7 @@
 
     Attributes:
         last_runner: program id -> runner that likely holds its KV cache (bounded).
-        notices: latest gossip by runner, kept for runners not yet listed.
+        notices: latest gossip by runner, also of runners not yet listed.
 
     """
 
--- a/src/bendshed/routing/scheduler.py
+++ b/src/bendshed/routing/scheduler.py
@@ -2,7 +2,7 @@
 
 Calls wait here and not in the engines. Urgent tenants go first; within a priority the program
 that has attained the least service goes first (least attained service, Nuyens 2008), so a long
-session does not delay a short alert, and waiting itself raises a call so that nobody starves.
+session does not delay a short alert, and waiting raises a call's priority so that none starves.
 """
 
 import asyncio
@@ -64,7 +64,7 @@
         self._rng = rng
 
     def choose(self, call: WaitingCall, candidates: list[Runner]) -> Runner | None:
-        """Prefer the runner that holds the cache unless another is much less loaded."""
+        """Prefer the runner that holds the cache; ``None``: it is worth waiting for."""
         home = next((r for r in candidates if r.machine.machine_id == call.last_runner), None)
         free = [runner for runner in candidates if runner.has_free_slot()]
         if home is not None and home.has_free_slot():
@@ -83,7 +83,7 @@
 class Scheduler:
     """Calls that wait for a runner on this node.
 
-    Invariant: a call is handed to a runner only if that runner takes work at that moment.
+    Invariant: a call is handed to a runner only while that runner takes work.
     """
 
     def __init__(self, table: RunnerTable, policy: PlacementPolicy) -> None:
@@ -92,7 +92,7 @@
         self._policy = policy
 
     def try_now(self, call: WaitingCall) -> str:
-        """Runner id if one can take the call at once and nobody waits; else empty."""
+        """Runner id if one can take the call at once and no call waits; else empty."""
         now_s = asyncio.get_running_loop().time()
         if self.waiting:
             return ""
--- a/src/bendshed/settings/model.py
+++ b/src/bendshed/settings/model.py
@@ -49,7 +49,7 @@
 
 
 class ProgramsSection(_Section):
-    """Defaults of calls and how long programs are kept."""
+    """Defaults of calls and how long programs are retained."""
 
     default_deadline_s: Annotated[float, Field(gt=0)] = 120.0
     default_max_answer_tokens: Annotated[int, Field(ge=1)] = 512
@@ -66,7 +66,7 @@
 
 
 class OperatorsSection(_Section):
-    """Who may ask and order. The token is a secret."""
+    """Who may query and order. The token is a secret."""
 
     token_sha256: Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")] | None = None
 
--- a/src/bendshed/tasks.py
+++ b/src/bendshed/tasks.py
@@ -12,8 +12,8 @@
 def start_loop(work: Coroutine[Any, Any, None], name: str) -> "asyncio.Task[None]":
     """Start a task that runs until it is cancelled.
 
-    If it fails, the loop's exception handler hears of it; a process ends then (``process.py``),
-    since a node that lives on without one of its parts is worse than a restarted one.
+    If it fails, the loop's exception handler is called; a process ends then (``process.py``),
+    since a node without one of its parts is worse than a restarted one.
     """
     task = asyncio.get_running_loop().create_task(work, name=name)
     task.add_done_callback(_report_failure)
