--- /dev/null
+++ b/src/bendshed/admission/turn_reservations.py
@@ -0,0 +1,93 @@
+"""Turns that a leader has decided on and that are not committed yet. Pure."""
+
+from collections import OrderedDict
+from dataclasses import dataclass, field
+
+RESERVATION_MS = 2_000
+"""A reservation is dropped after this long: the requesting node gives up after 1.5 s."""
+
+
+@dataclass(frozen=True, slots=True)
+class Admission:
+    """The decision on one request.
+
+    Attributes:
+        used: requests counted against the limit, with reservations and allowances.
+        num_allowed: of these, allowances that nodes hold or have not reported yet.
+        retry_after_ms: when there may be room; 0 if admitted.
+
+    """
+
+    is_granted: bool
+    used: int
+    num_allowed: int = 0
+    retry_after_ms: int = 0
+
+
+@dataclass(slots=True)
+class _Decision:
+    admission: Admission
+    tenant: str
+    at_ms: int
+    is_open: bool
+
+
+@dataclass(slots=True)
+class TurnReservations:
+    """Decisions of one term by turn; an admitted turn holds a place until it is settled.
+
+    Times are of the log's clock and never decrease, so the oldest decision comes first.
+
+    """
+
+    _decided: "OrderedDict[str, _Decision]" = field(default_factory=OrderedDict)
+    _num_open: dict[str, int] = field(default_factory=dict)
+
+    def clear(self) -> None:
+        """Forget all."""
+        self._decided.clear()
+        self._num_open.clear()
+
+    def decision(self, turn_id: str) -> Admission | None:
+        """What was decided on a turn; ``None``: nothing yet."""
+        known = self._decided.get(turn_id)
+        return known.admission if known is not None else None
+
+    def num_open(self, tenant: str) -> int:
+        """Places that a tenant's turns hold."""
+        return self._num_open.get(tenant, 0)
+
+    def note(self, turn_id: str, tenant: str, admission: Admission, now_ms: int) -> None:
+        """Remember a decision."""
+        is_open = admission.is_granted
+        self._decided[turn_id] = _Decision(admission, tenant, now_ms, is_open)
+        if is_open:
+            self._num_open[tenant] = self._num_open.get(tenant, 0) + 1
+
+    def settle(self, turn_id: str) -> None:
+        """Give back a turn's place; the decision on it stays."""
+        decision = self._decided.get(turn_id)
+        if decision is not None:
+            self._close(decision)
+
+    def withdraw(self, turn_id: str) -> None:
+        """Give back a turn's place and forget the decision on it."""
+        decision = self._decided.pop(turn_id, None)
+        if decision is not None:
+            self._close(decision)
+
+    def expire(self, now_ms: int) -> None:
+        """Withdraw decisions older than ``RESERVATION_MS``."""
+        while self._decided:
+            turn_id, decision = next(iter(self._decided.items()))
+            if now_ms - decision.at_ms <= RESERVATION_MS:
+                return
+            self.withdraw(turn_id)
+
+    def _close(self, decision: _Decision) -> None:
+        if not decision.is_open:
+            return
+        decision.is_open = False
+        self._num_open[decision.tenant] -= 1
+        if not self._num_open[decision.tenant]:
+            del self._num_open[decision.tenant]
--- a/src/bendshed/turns/quota_counting.py
+++ b/src/bendshed/turns/quota_counting.py
@@ -1,7 +1,8 @@
 """The leader's word on quotas: the ledger between the turn log's messages and the configuration."""
 
-from bendshed.admission.quota_ledger import Admission, QuotaLedger, QuotaRequest, Rank
+from bendshed.admission.quota_ledger import QuotaLedger, QuotaRequest, Rank
 from bendshed.admission.quota_limits import QuotaTerms, TenantLimit, limit_of
+from bendshed.admission.turn_reservations import Admission
 from bendshed.catalog.state import Catalog
 from bendshed.logs import PartLog
 from bendshed.turns.state import TurnLogState
