--- a/src/bendshed/operators/explanation.py
+++ b/src/bendshed/operators/explanation.py
@@ -16,9 +16,9 @@
     {
         "registry: lost the store",
         "registry: regained the store",
-        "quota: cannot tell what was let through",
-        "turns: no replica of the turn log answers",
-        "turns: regained the turn log",
+        "quota: admitted calls not reported: no leader answered",
+        "turns: turn log lost: no replica answers",
+        "turns: turn log regained: a replica answered",
         "paths: reaches a peer through others",
         "paths: reaches a peer directly again",
         "catalog: tells a configuration",
--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -1,12 +1,15 @@
-"""A node's word with the turn log's leader on runners: what a request asks for, and leave for it.
+"""Requests permits of the turn log's leader, one for each dispatch to a cold runner.
 
-Nothing goes to a cold runner but by the leader's leave for that very sending, which runs out.
+Also describes a request to the leader, for a permit or beside a preview. Relies on
+``turns/client.py`` to reach the leader. Source: docs/design/0010.
 """
 
 import asyncio
 from collections.abc import Collection
 from dataclasses import dataclass
+from typing import assert_never
 
+from bendshed.admission.retry_schedule import retry_after_s
 from bendshed.admission.sliding_window import TimedPermit
 from bendshed.consensus.group_client import FAR_TRIPS
 from bendshed.errors import ErrorKind, Refusal
@@ -14,25 +17,32 @@
 from bendshed.ports.runner import ServiceRequest
 from bendshed.services.metrics import ColdAskEnd, ServiceMetrics
 from bendshed.turns.client import TurnClient
+from bendshed.turns.codec import (
+    NoRoom,
+    NoRunner,
+    PermitDecision,
+    PermitGiven,
+    decode_permit_decision,
+)
 from bendshed.wire import turns_pb2 as wire
 
-ASK_TIMEOUT_S = 0.25
-"""A request that only a cold runner can take waits this long for the leader. A change of leaders
-takes longer; the request is refused at once then, since its client can come back."""
-LOST_ASK_TIMEOUT_S = 0.1
-"""The same while the turn log did not answer this node last: an answer takes some ms, through
-another node up to 0.08 s, and somebody must find out that the leader is back."""
+PERMIT_TIMEOUT_S = 0.25
+"""A request that only a cold runner can take waits this long for a leader near by. A change of
+leaders takes longer; the request is rejected then, since its caller can come back."""
+LOST_PERMIT_TIMEOUT_S = 0.1
+"""The same while the turn log did not answer this node's last try. An answer takes some ms, through
+a relay up to 80 ms; one that comes shows that the leader is back."""
 
 log = PartLog("cold")
 
 
 @dataclass(frozen=True, slots=True)
 class RunnerState:
-    """What this node can tell of a service's runners.
+    """What this node knows of a service's runners.
 
     Attributes:
-        connected: ids of those to which a connection rests.
-        avoided: ids of those that failed a moment ago.
+        connected: ids of those to which it has an idle connection.
+        avoided: ids of those that failed it within their time of avoidance.
 
     """
 
@@ -42,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """Leave for one sending."""
+    """Permit for one dispatch; ``leave`` is its expiry on this node's clock."""
 
     runner_id: str
     leave: TimedPermit
@@ -57,7 +67,10 @@
     tried: Collection[str] = (),
     regions: Collection[str] | None = None,
 ) -> wire.TurnDemand:
-    """What a leader needs to know to choose a runner for a request, turn or not."""
+    """Describe a request, turn or not, to the leader that chooses its runner.
+
+    ``left_s`` is the time until the request's deadline; ``tried`` names runners that got it before.
+    """
     turn = request.turn
     parts = turn.parts if turn is not None else ()
     return wire.TurnDemand(
@@ -74,35 +87,47 @@
 
 
 class PermitClient:
-    """Asks for one sending at a time."""
+    """Requests one permit at a time."""
 
     def __init__(self, client: TurnClient, metrics: ServiceMetrics) -> None:
         self._client = client
         self._metrics = metrics
 
     async def ask(self, request: ServiceRequest, demand: wire.TurnDemand) -> Permit | Refusal:
-        """Leave to send a request to a runner, or why it may be sent to none.
+        """Return a permit to dispatch a request, or why there is none.
 
-        A turn was begun before, and a call of a program follows its turns: only a request of no
-        program may be refused before others.
+        Kinds: ``NO_ROOM``; ``NO_RUNNER``; ``TURN_LOG_UNAVAILABLE`` when no leader answered in time.
+        The permit's time counts from the request for it, so that it expires here before the leader
+        stops counting it.
         """
-        asked_s = asyncio.get_running_loop().time()
-        reply = await self._ask(request, demand)
-        if reply is None:
+        requested_s = asyncio.get_running_loop().time()
+        decision = await self._request(request, demand)
+        if decision is None:
             self._count(ColdAskEnd.UNANSWERED)
             return Refusal(
                 ErrorKind.TURN_LOG_UNAVAILABLE, "all runners are cold, and nobody permits a sending"
             )
-        if reply.answer == wire.TURN_ANSWER_NO_ROOM:
-            self._count(ColdAskEnd.REFUSED)
-            return no_room(reply)
-        if not reply.runner_id:
-            self._count(ColdAskEnd.REFUSED)
-            return Refusal(ErrorKind.NO_RUNNER, "the leader knows no runner either")
-        self._count(ColdAskEnd.PERMITTED)
-        return Permit(reply.runner_id, TimedPermit(asked_s + reply.permit_ms / 1000))
-
-    async def _ask(self, request: ServiceRequest, demand: wire.TurnDemand) -> wire.TurnReply | None:
+        match decision:
+            case PermitGiven():
+                self._count(ColdAskEnd.PERMITTED)
+                expiry = TimedPermit(requested_s + decision.valid_ms / 1000)
+                return Permit(decision.runner_id, expiry)
+            case NoRoom():
+                self._count(ColdAskEnd.REFUSED)
+                return _no_room(decision.retry_after_ms)
+            case NoRunner():
+                self._count(ColdAskEnd.REFUSED)
+                return Refusal(ErrorKind.NO_RUNNER, "the leader knows no runner either")
+            case _:
+                assert_never(decision)
+
+    async def _request(
+        self, request: ServiceRequest, demand: wire.TurnDemand
+    ) -> PermitDecision | None:
+        """Request a permit of the home group's leader; ``None``: no leader answered in time.
+
+        Turns and calls of programs come before requests of no program, which may be rejected first.
+        """
         if self._client.is_isolated:
             return None
         ask = wire.RunnerAsk(
@@ -111,28 +136,34 @@
             demand=demand,
             is_new_program=request.turn is None and not request.program_id,
         )
-        is_lost = self._client.lost_since_s is not None
-        timeout_s = LOST_ASK_TIMEOUT_S if is_lost else ASK_TIMEOUT_S
-        timeout_s += FAR_TRIPS * self._client.expected_round_trip_home_s
-        timeout_s = min(timeout_s, demand.left_ms / 1000)
-        reply = await self._client.place(ask, timeout_s)
+        reply = await self._client.place(ask, self._timeout_s(demand.left_ms / 1000))
         log.say(
-            "asked for a runner",
+            "permit requested: no warm runner was eligible",
             request=request.request_id,
             runner=reply.runner_id if reply is not None else "",
             is_answered=reply is not None,
             retry_after_ms=reply.retry_after_ms if reply is not None else 0,
         )
-        return reply
+        return decode_permit_decision(reply) if reply is not None else None
+
+    def _timeout_s(self, left_s: float) -> float:
+        is_lost = self._client.lost_since_s is not None
+        timeout_s = LOST_PERMIT_TIMEOUT_S if is_lost else PERMIT_TIMEOUT_S
+        timeout_s += FAR_TRIPS * self._client.expected_round_trip_home_s
+        return min(timeout_s, left_s)
 
     def _count(self, end: ColdAskEnd) -> None:
         self._metrics.cold_asks.labels(end.value).inc()
 
 
 def no_room(reply: wire.TurnReply) -> Refusal:
-    """What a caller is told whose request no runner may take now."""
+    """Refusal of a turn whose eligible runners are all cold and full."""
+    return _no_room(reply.retry_after_ms)
+
+
+def _no_room(retry_after_ms: int) -> Refusal:
     return Refusal(
         ErrorKind.NO_ROOM,
         "all runners are cold and have got what they bear for now",
-        reply.retry_after_ms / 1000,
+        retry_after_s(retry_after_ms),
     )
--- a/src/bendshed/services/quota_client.py
+++ b/src/bendshed/services/quota_client.py
@@ -1,9 +1,14 @@
-"""A node's word with the turn log on quotas: who is counted, asked for, and told."""
+"""Counts a node's requests against their tenants' quotas, with the leader of the turn log.
+
+Owns the node's allowances. Relies on ``turns/client.py`` to reach the group that counts a tenant.
+Source: docs/design/0007.
+"""
 
 import asyncio
 from collections.abc import Callable
 
 from bendshed.admission.quota_allowance import LocalAllowances, Spending
+from bendshed.admission.retry_schedule import retry_after_s
 from bendshed.consensus.group_client import GroupUnavailable
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.logs import PartLog
@@ -12,23 +17,33 @@
 from bendshed.ports.runner import ServiceRequest
 from bendshed.services.metrics import QuotaEnd, ServiceMetrics
 from bendshed.turns.client import TurnClient
+from bendshed.turns.codec import (
+    CallDecision,
+    CallRejected,
+    CallRequest,
+    decode_call_decision,
+    encode_call_request,
+)
 from bendshed.wire import turns_pb2 as wire
 
-ASK_TIMEOUT_S = 0.6
-"""A call waits this long for the leader, across a change of leaders (under 0.5 s)."""
-TELL_AFTER_S = 0.15
-"""Calls are told with the next turn of this node, or by themselves after so long."""
-TELL_CHECK_S = 0.1
-TELL_TIMEOUT_S = 1.0
+ADMISSION_TIMEOUT_S = 0.6
+"""A call waits this long for the leader: longer than a change of leaders, which takes under 0.5 s.
+Without one the answer takes some 7 ms."""
+REPORT_AFTER_S = 0.15
+"""Admitted calls are reported with the node's next command; without one, after this long."""
+REPORT_CHECK_S = 0.1
+"""Pause between two checks for calls to report."""
+REPORT_TIMEOUT_S = 1.0
+"""A report is given up after this long; the next one repeats its totals."""
 
 log = PartLog("quota")
 
 
 class QuotaClient:
-    """Lets requests through within their tenants' limits.
+    """Admits calls within their tenants' limits.
 
-    Turns are counted by the turn log itself and cost no message more; calls go by allowances that
-    come with the ends of turns, and are asked for by name where there is none. Each tenant is
+    Turns are counted by the turn log itself and cost no message more. Calls go by allowances that
+    come with the ends of turns; without one, the leader is requested for the call. Each tenant is
     counted in one group of the turn log.
     """
 
@@ -43,97 +58,108 @@
         self._node = node
         self._client = client
         self._metrics = metrics
-        self._gate = LocalAllowances()
+        self._allowances = LocalAllowances()
 
     async def admit_call(
         self, principal: Principal, request: ServiceRequest, deadline_s: float
     ) -> Refusal | None:
-        """Let a request through that is no turn; return why it may not run."""
+        """Admit a request that is no turn, or return why it may not run.
+
+        ``deadline_s`` is loop time. Kinds: ``QUOTA_EXCEEDED``; ``TURN_LOG_UNAVAILABLE`` when no
+        leader answered in time.
+        """
         if not principal.is_limited:
             return None
         loop = asyncio.get_running_loop()
-        if self._gate.try_spend(principal.name, loop.time()):
+        if self._allowances.try_spend(principal.name, loop.time()):
             self._count(QuotaEnd.ALLOWED)
             return None
-        ask = wire.QuotaAsk(
-            tenant=principal.name,
-            node=self._node,
-            total=self._gate.total(principal.name),
-            reported=self._gate.reported(principal.name),
-            request_id=request.request_id,
-            program_id=request.program_id,
-            group=self._groups.of_tenant(principal.name),
-        )
-        timeout_s = min(ASK_TIMEOUT_S, deadline_s - loop.time())
-        reply = await self._client.admit_call(ask, timeout_s)
-        if reply is None:
+        decision = await self._request(principal.name, request, deadline_s)
+        if decision is None:
             self._count(QuotaEnd.UNANSWERED)
             return Refusal(
                 ErrorKind.TURN_LOG_UNAVAILABLE, "nobody tells whether the quota holds it"
             )
-        if reply.answer == wire.TURN_ANSWER_QUOTA_EXCEEDED:
+        if isinstance(decision, CallRejected):
             self._count(QuotaEnd.REFUSED)
-            return refusal_of(reply)
+            return _quota_refusal(decision.retry_after_ms)
         self._count(QuotaEnd.ASKED)
-        self._gate.spend_granted(principal.name, reply.spend_ceiling, loop.time())
-        self._note_counted(principal.name, reply.spend_ceiling)
+        self._allowances.spend_granted(principal.name, decision.counted_total, loop.time())
+        self._allowances.note_committed(principal.name, decision.counted_total, loop.time())
         return None
 
-    def _note_counted(self, tenant: str, counted_total: int) -> None:
-        """What was granted by name was committed, with all that was let through up to it."""
-        total = min(counted_total, self._gate.total(tenant))
-        counted = Spending(tenant, total, 0, self._gate.reported(tenant))
-        self._gate.note_told([counted], asyncio.get_running_loop().time())
+    async def _request(
+        self, tenant: str, request: ServiceRequest, deadline_s: float
+    ) -> CallDecision | None:
+        """Request one call of the tenant's group; ``None``: no leader answered in time."""
+        call = CallRequest(
+            tenant=tenant,
+            node=self._node,
+            admitted_total=self._allowances.total(tenant),
+            reported_total=self._allowances.reported(tenant),
+            request_id=request.request_id,
+            program_id=request.program_id,
+            group=self._groups.of_tenant(tenant),
+        )
+        timeout_s = min(ADMISSION_TIMEOUT_S, deadline_s - asyncio.get_running_loop().time())
+        reply = await self._client.admit_call(encode_call_request(call), timeout_s)
+        return decode_call_decision(reply) if reply is not None else None
 
     def take_allowance(self, principal: Principal, ceiling: int) -> None:
-        """The end of a turn brought an allowance for the calls that follow it."""
+        """Take the allowance that came with a turn's end; 0: there was none."""
         if ceiling:
             now_s = asyncio.get_running_loop().time()
-            self._gate.take_allowance(principal.name, ceiling, now_s)
+            self._allowances.take_allowance(principal.name, ceiling, now_s)
 
     def report(self, command: wire.TurnCommand) -> Callable[[], None]:
-        """Add what was let through to a command, of tenants that its group counts.
+        """Add a report of admitted calls to a command, of tenants that its group counts.
 
-        Call what is returned once it is committed.
+        Call what is returned once the command is committed.
         """
-        news = self._gate.news(asyncio.get_running_loop().time())
-        told = [row for row in news if self._groups.of_tenant(row.tenant) == command.group]
+        unreported = self._allowances.unreported(asyncio.get_running_loop().time())
+        rows = [row for row in unreported if self._groups.of_tenant(row.tenant) == command.group]
         command.spent.node = self._node
-        command.spent.spent.extend(_to_wire(row) for row in told)
-        return lambda: self._gate.note_told(told, asyncio.get_running_loop().time())
+        command.spent.spent.extend(_to_wire(row) for row in rows)
+        return lambda: self._allowances.note_reported(rows, asyncio.get_running_loop().time())
 
     async def tell(self) -> None:
-        """Tell what no turn took along, again and again."""
+        """Report calls that no command took along; runs until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(TELL_CHECK_S)
-            if not self._gate.must_tell(loop.time(), TELL_AFTER_S):
+            await asyncio.sleep(REPORT_CHECK_S)
+            if not self._allowances.must_report(loop.time(), REPORT_AFTER_S):
                 continue
-            news = self._gate.news(loop.time())
-            for group in sorted({self._groups.of_tenant(row.tenant) for row in news}):
-                await self._tell_group(group)
+            unreported = self._allowances.unreported(loop.time())
+            for group in sorted({self._groups.of_tenant(row.tenant) for row in unreported}):
+                await self._report_to(group)
 
-    async def _tell_group(self, group: int) -> None:
-        """Tell one group what it counts."""
+    async def _report_to(self, group: int) -> None:
+        """Report to one group what it counts."""
         command = wire.TurnCommand(group=group)
-        note_told = self.report(command)
+        note_reported = self.report(command)
         try:
-            await self._client.command(command, TELL_TIMEOUT_S)
+            await self._client.command(command, REPORT_TIMEOUT_S)
         except GroupUnavailable as error:
-            log.say("cannot tell what was let through", group=group, reason=str(error))
+            log.say(
+                "admitted calls not reported: no leader answered", group=group, reason=str(error)
+            )
             return
-        note_told()
+        note_reported()
 
     def _count(self, end: QuotaEnd) -> None:
         self._metrics.quota_calls.labels(end.value).inc()
 
 
 def refusal_of(reply: wire.TurnReply) -> Refusal:
-    """What a caller is told whose tenant has used what it may."""
+    """Refusal of a turn whose tenant's quota has no room."""
+    return _quota_refusal(reply.retry_after_ms)
+
+
+def _quota_refusal(retry_after_ms: int) -> Refusal:
     return Refusal(
         ErrorKind.QUOTA_EXCEEDED,
         "the tenant has used what it may for now",
-        reply.retry_after_ms / 1000,
+        retry_after_s(retry_after_ms),
     )
 
 
--- a/src/bendshed/turns/client.py
+++ b/src/bendshed/turns/client.py
@@ -1,4 +1,7 @@
-"""The executors' side of the turn log: reaches its leader and keeps transcripts at hand."""
+"""A node's side of the turn log: reaches the leaders of its groups and caches transcripts.
+
+Owns: since when no replica has answered. Relies on ``consensus/group_client.py`` for who leads.
+"""
 
 import asyncio
 import math
@@ -20,33 +23,37 @@
 
 log = PartLog("turns")
 
-TRY_TIMEOUT_S = 0.3
-"""Longest wait for a neighbour's reply, as is the next; a commit takes some ms."""
-PREVIEW_TIMEOUT_S = 0.2
-LOSS_TOLD_S = 0.3
-"""After this long without any answer a line tells it."""
+COMMAND_TRY_S = 0.3
+"""Longest wait of one try for a commit, which takes some ms. A leader in another zone or region has
+more (``group_client.FAR_TRIPS``)."""
+QUESTION_TRY_S = 0.2
+"""The same for what is answered without a commit, or with one for a call."""
+LOSS_LOGGED_S = 0.3
+"""A loss of the turn log is logged after this long without any answer: a change of leaders in which
+single tries fail is none."""
 RETRY_MIN_S = 0.01
 RETRY_MAX_S = 0.05
-FIND_FIRST_S = 0.03
-FIND_GROWTH = 1.5
-FIND_LAST_S = 0.4
-"""Pauses while a node that has started looks for the leader: a leader is there 0.2 s after power at
-the earliest, and hundreds of nodes ask then."""
-FIND_ASKS = 3
-"""Replicas asked in a row before each pause: half of them may lead nothing and know nobody."""
+"""Bounds of the random pause between two tries, so that nodes do not retry in step."""
+FIND_FIRST_PAUSE_S = 0.03
+FIND_PAUSE_GROWTH = 1.5
+FIND_LAST_PAUSE_S = 0.4
+"""Pauses while a started node looks for the leader, each longer by the factor: there is a leader
+0.2 s after power at the earliest, and hundreds of nodes look for it then."""
+FIND_TRIES = 3
+"""Replicas that are tried before each pause: half of them may lead nothing and know no leader."""
 
 
-NO_WORD = (wire.TURN_ANSWER_NOT_LEADER, wire.TURN_ANSWER_UNAVAILABLE)
-"""Answers after which a command is sent again."""
+UNDECIDED = (wire.TURN_ANSWER_NOT_LEADER, wire.TURN_ANSWER_UNAVAILABLE)
+"""Answers after which a request is sent again."""
 
 
 class TurnClient:
-    """Sends commands to the leader of the group that they name; each may be sent again.
+    """Sends requests to the leader of the group that they name; each may be repeated.
 
     Attributes:
         home_group: the group that serves this node's callers; only its silence is a loss.
-        lost_since_s: loop time of the first try of those that failed since the last reply;
-            ``None``: the last try was answered.
+        lost_since_s: loop time of the first try that failed since the last reply; ``None``: the
+            last try was answered.
 
     """
 
@@ -59,14 +66,14 @@
     ) -> None:
         self.home_group = home_group
         self.lost_since_s: float | None = None
-        self._is_loss_told = False
+        self._is_loss_logged = False
         self._is_isolated = is_isolated
         self._rng = rng
         self._groups = groups
 
     @property
     def is_isolated(self) -> bool:
-        """Whether no other node has answered for a while: a retry here is of no use."""
+        """Whether neither replicas nor relays answer this node: a retry here is of no use."""
         return self._is_isolated()
 
     async def command(
@@ -79,97 +86,114 @@
 
         Raise ``GroupUnavailable`` when no leader answered in time; the effect is unknown then.
         """
-        loop = asyncio.get_running_loop()
-        give_up_at_s = loop.time() + timeout_s
-        expected_round_trip_s = self._groups.round_trip_to_leader_s(command.group)
-        while (left_s := give_up_at_s - loop.time()) > expected_round_trip_s:
+
+        def payload() -> bytes:
             before_try()
-            payload = command.SerializeToString()
-            reply = await self._try_once(command.group, payload, left_s)
-            if reply is not None:
-                return reply
-            await asyncio.sleep(self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S))
+            return command.SerializeToString()
+
+        least_left_s = self._groups.round_trip_to_leader_s(command.group)
+        reply = await self._request_until_decided(
+            command.group, TURN_METHOD, payload, COMMAND_TRY_S, timeout_s, least_left_s
+        )
+        if reply is not None:
+            return reply
         raise GroupUnavailable(
             f"no leader of group {command.group} of the turn log answered within {timeout_s:.2f} s"
         )
 
     async def preview(self, preview: wire.TurnPreview) -> wire.TurnReply | None:
-        """Ask once what a begin would be answered; ``None``: nobody who knows answered."""
+        """Request once what a begin would be answered; ``None``: no leader answered."""
         payload = preview.SerializeToString()
-        reply = await self._ask(preview.group, PREVIEW_METHOD, payload, PREVIEW_TIMEOUT_S)
+        reply = await self._request(preview.group, PREVIEW_METHOD, payload, QUESTION_TRY_S)
         if reply is not None and reply.answer == wire.TURN_ANSWER_NOT_LEADER:
             return None
         return reply
 
     async def admit_call(self, ask: wire.QuotaAsk, timeout_s: float) -> wire.TurnReply | None:
-        """Ask for one request that is no turn, across a change of leaders; ``None``: no answer.
+        """Request the admission of one call, across a change of leaders; ``None``: no answer.
 
-        An ask may be repeated without harm: at worst it counts twice for some seconds.
+        Repeating is safe: at worst the call counts twice for some seconds.
         """
-        return await self._ask_again(ask.group, QUOTA_METHOD, ask.SerializeToString(), timeout_s)
+        return await self._request_until_decided(
+            ask.group, QUOTA_METHOD, ask.SerializeToString, QUESTION_TRY_S, timeout_s
+        )
 
     async def place(self, ask: wire.RunnerAsk, timeout_s: float) -> wire.TurnReply | None:
-        """Ask for leave to send one request to a runner that may be cold; ``None``: no answer.
+        """Request a permit for one dispatch to a runner that may be cold; ``None``: no answer.
 
-        An ask may be repeated without harm: at worst it counts twice for a second.
+        Repeating is safe: at worst the dispatch counts twice for a second.
         """
-        return await self._ask_again(ask.group, RUNNER_METHOD, ask.SerializeToString(), timeout_s)
+        return await self._request_until_decided(
+            ask.group, RUNNER_METHOD, ask.SerializeToString, QUESTION_TRY_S, timeout_s
+        )
 
-    async def _ask_again(
-        self, group: int, method: str, payload: bytes, timeout_s: float
+    async def _request_until_decided(
+        self,
+        group: int,
+        method: str,
+        payload: Callable[[], bytes],
+        try_timeout_s: float,
+        timeout_s: float,
+        least_left_s: float = 0.0,
     ) -> wire.TurnReply | None:
-        """Ask until a group's leader answers."""
+        """Repeat a request until a group's leader decides; ``None``: it did not in time.
+
+        Args:
+            group: whose leader decides.
+            method: of the request.
+            payload: makes the request anew for each try.
+            try_timeout_s: of one try; a far leader has more.
+            timeout_s: of all tries.
+            least_left_s: with no more time than this left no further try begins.
+
+        """
         loop = asyncio.get_running_loop()
         give_up_at_s = loop.time() + timeout_s
-        while (left_s := give_up_at_s - loop.time()) > 0:
-            reply = await self._ask(group, method, payload, PREVIEW_TIMEOUT_S, left_s)
-            if reply is not None and reply.answer not in NO_WORD:
+        while (left_s := give_up_at_s - loop.time()) > least_left_s:
+            reply = await self._request(group, method, payload(), try_timeout_s, left_s)
+            if reply is not None and reply.answer not in UNDECIDED:
                 return reply
             await asyncio.sleep(self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S))
         return None
 
     async def find_leader(self, group: int) -> None:
-        """Look for a group's leader until it has answered, so that no caller's first turn must."""
-        pause_s = FIND_FIRST_S
+        """Look for a group's leader until it answers, so that no caller's first turn has to."""
+        pause_s = FIND_FIRST_PAUSE_S
         while True:
-            for _ in range(FIND_ASKS):
+            for _ in range(FIND_TRIES):
                 if await self.preview(wire.TurnPreview(group=group)) is not None:
                     return
             await asyncio.sleep(pause_s)
-            pause_s = min(FIND_LAST_S, FIND_GROWTH * pause_s)
+            pause_s = min(FIND_LAST_PAUSE_S, FIND_PAUSE_GROWTH * pause_s)
 
     @property
     def expected_round_trip_home_s(self) -> float:
-        """The round trip to the home group's supposed leader."""
+        """Round trip to the home group's supposed leader, in s; 0: no leader is known."""
         return self._groups.round_trip_to_leader_s(self.home_group)
 
     async def probe(self) -> None:
-        """Ask any replica something harmless; ``lost_since_s`` tells the outcome."""
+        """Request an empty preview, which changes nothing; ``lost_since_s`` has the outcome."""
         await self.preview(wire.TurnPreview(group=self.home_group))
 
     def _note(self, was_answered: bool) -> None:
-        """Remember since when nobody answers; single failures around a failover are not told."""
+        """Remember since when no replica answers, and log a loss once it has lasted."""
         now_s = asyncio.get_running_loop().time()
         if was_answered:
-            if self._is_loss_told:
-                log.say("regained the turn log")
+            if self._is_loss_logged:
+                log.say("turn log regained: a replica answered")
             self.lost_since_s = None
-            self._is_loss_told = False
+            self._is_loss_logged = False
             return
         if self.lost_since_s is None:
             self.lost_since_s = now_s
-        elif not self._is_loss_told and now_s - self.lost_since_s > LOSS_TOLD_S:
-            log.say("no replica of the turn log answers")
-            self._is_loss_told = True
-
-    async def _try_once(self, group: int, payload: bytes, left_s: float) -> wire.TurnReply | None:
-        reply = await self._ask(group, TURN_METHOD, payload, TRY_TIMEOUT_S, left_s)
-        return None if reply is None or reply.answer in NO_WORD else reply
+        elif not self._is_loss_logged and now_s - self.lost_since_s > LOSS_LOGGED_S:
+            log.say("turn log lost: no replica answers")
+            self._is_loss_logged = True
 
-    async def _ask(
+    async def _request(
         self, group: int, method: str, payload: bytes, timeout_s: float, left_s: float = math.inf
     ) -> wire.TurnReply | None:
-        """Ask the supposed leader of a group; learn from what it says who leads."""
+        """Send one request to the supposed leader of a group; learn from the reply who leads."""
         answer = await self._groups.request_leader(group, method, payload, timeout_s, left_s)
         if group == self.home_group:
             self._note(answer is not None)
@@ -184,9 +208,9 @@
 
 
 class TranscriptCache:
-    """Whole transcripts (a chain's bytes up to one turn), the longest unused given up first.
+    """Whole transcripts (a chain's bytes up to one turn); the least recently used is dropped first.
 
-    A turn's transcript never changes, so a held one is never wrong. A turn is named by its tenant
+    A turn's transcript never changes, so a cached one is never wrong. A turn is named by its tenant
     and its id.
     """
 
@@ -196,14 +220,14 @@
         self._entries: OrderedDict[Owned, bytes] = OrderedDict()
 
     def get(self, turn: Owned) -> bytes | None:
-        """Return the transcript up to and with a turn, if held."""
+        """Return the transcript up to and with a turn, if cached."""
         found = self._entries.get(turn)
         if found is not None:
             self._entries.move_to_end(turn)
         return found
 
     def put(self, turn: Owned, transcript: bytes) -> None:
-        """Hold a transcript."""
+        """Cache a transcript."""
         old = self._entries.pop(turn, b"")
         self._entries[turn] = transcript
         self._num_bytes += len(transcript) - len(old)
--- /dev/null
+++ b/src/bendshed/turns/codec.py
@@ -0,0 +1,150 @@
+"""Messages of the turn log, decoded once where they leave or reach a process. Pure.
+
+Requests that are no turns, and the leader's replies to them, are values from here on. Commands keep
+their wire type: they are replicated as they came, and ``turns/state.py`` applies them.
+"""
+
+from dataclasses import dataclass
+
+from bendshed.wire import turns_pb2 as wire
+
+
+@dataclass(frozen=True, slots=True)
+class CallRequest:
+    """A node's request to admit one call of a limited tenant.
+
+    Attributes:
+        node: one incarnation of the requesting node.
+        admitted_total: the tenant's calls that it has admitted since its start.
+        reported_total: of these, those that it knows to be committed.
+        program_id: empty: the call belongs to none.
+        group: group of the turn log that counts the tenant.
+
+    """
+
+    tenant: str
+    node: str
+    admitted_total: int
+    reported_total: int
+    request_id: str
+    program_id: str
+    group: int
+
+
+@dataclass(frozen=True, slots=True)
+class CallAdmitted:
+    """A call may run.
+
+    Attributes:
+        counted_total: calls of the node that the leader has counted, this one included; 0: the
+            tenant is not limited there.
+
+    """
+
+    counted_total: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class CallRejected:
+    """The tenant's quota has no room for the call until ``retry_after_ms`` from now."""
+
+    retry_after_ms: int
+
+
+CallDecision = CallAdmitted | CallRejected
+
+
+@dataclass(frozen=True, slots=True)
+class PermitGiven:
+    """One dispatch to a runner, within ``valid_ms`` of the request for it."""
+
+    runner_id: str
+    valid_ms: int
+
+
+@dataclass(frozen=True, slots=True)
+class NoRoom:
+    """Every eligible runner is cold and full until ``retry_after_ms`` from now."""
+
+    retry_after_ms: int
+
+
+@dataclass(frozen=True, slots=True)
+class NoRunner:
+    """The leader knows no eligible runner."""
+
+
+PermitDecision = PermitGiven | NoRoom | NoRunner
+
+
+def encode_call_request(request: CallRequest) -> wire.QuotaAsk:
+    """Write a request to admit a call."""
+    return wire.QuotaAsk(
+        tenant=request.tenant,
+        node=request.node,
+        total=request.admitted_total,
+        reported=request.reported_total,
+        request_id=request.request_id,
+        program_id=request.program_id,
+        group=request.group,
+    )
+
+
+def decode_call_request(payload: bytes) -> CallRequest:
+    """Read a request to admit a call."""
+    ask = wire.QuotaAsk.FromString(payload)
+    return CallRequest(
+        tenant=ask.tenant,
+        node=ask.node,
+        admitted_total=ask.total,
+        reported_total=ask.reported,
+        request_id=ask.request_id,
+        program_id=ask.program_id,
+        group=ask.group,
+    )
+
+
+def encode_call_decision(decision: CallDecision) -> wire.TurnReply:
+    """Write the leader's decision on a call."""
+    if isinstance(decision, CallRejected):
+        return quota_exceeded_reply(decision.retry_after_ms)
+    return wire.TurnReply(
+        answer=wire.TURN_ANSWER_GRANTED,
+        spend_ceiling=decision.counted_total,  # the wire's name is that of an allowance
+    )
+
+
+def decode_call_decision(reply: wire.TurnReply) -> CallDecision:
+    """Read the leader's decision on a call."""
+    if reply.answer == wire.TURN_ANSWER_QUOTA_EXCEEDED:
+        return CallRejected(reply.retry_after_ms)
+    return CallAdmitted(reply.spend_ceiling)
+
+
+def decode_permit_decision(reply: wire.TurnReply) -> PermitDecision:
+    """Read the leader's decision on one dispatch."""
+    if reply.answer == wire.TURN_ANSWER_NO_ROOM:
+        return NoRoom(reply.retry_after_ms)
+    if not reply.runner_id:
+        return NoRunner()
+    return PermitGiven(reply.runner_id, reply.permit_ms)
+
+
+def quota_exceeded_reply(retry_after_ms: int) -> wire.TurnReply:
+    """The tenant's quota has no room."""
+    return wire.TurnReply(answer=wire.TURN_ANSWER_QUOTA_EXCEEDED, retry_after_ms=retry_after_ms)
+
+
+def no_room_reply(retry_after_ms: int) -> wire.TurnReply:
+    """Every eligible runner is cold and full."""
+    return wire.TurnReply(answer=wire.TURN_ANSWER_NO_ROOM, retry_after_ms=retry_after_ms)
+
+
+def not_leader_reply(leader_id: str) -> wire.TurnReply:
+    """Another process leads the group; empty: which one is not known."""
+    return wire.TurnReply(answer=wire.TURN_ANSWER_NOT_LEADER, leader_id=leader_id)
+
+
+def unavailable_reply() -> wire.TurnReply:
+    """Whether the command was committed is not known."""
+    return wire.TurnReply(answer=wire.TURN_ANSWER_UNAVAILABLE)
--- a/src/bendshed/turns/led_group.py
+++ b/src/bendshed/turns/led_group.py
@@ -1,14 +1,19 @@
-"""One group of the turn log at this process: its clock and quotas while it leads the group."""
+"""One group of the turn log at the process that leads it.
+
+Owns the log's clock in this term and the group's quotas. Relies on ``consensus/host.py`` to commit.
+"""
 
 import asyncio
 from dataclasses import dataclass
 
 from bendshed.consensus.host import GroupHost
+from bendshed.turns.codec import CallAdmitted, CallDecision, CallRequest
 from bendshed.turns.quota_counting import QuotaCounting
 from bendshed.turns.state import TurnLogState
 from bendshed.wire import turns_pb2 as wire
 
 COMMIT_TIMEOUT_S = 1.0
+"""A commit that takes longer is answered as unknown; the requesting node has retried by then."""
 
 
 @dataclass(slots=True)
@@ -16,8 +21,8 @@
     """Clock of the log in one term: committed time at its start plus steady time since.
 
     Attributes:
-        base_ms: committed time when the first command of the term came.
-        base_s: loop time at which the term began: a leader that nobody asks lets time pass too.
+        base_ms: committed time when the first request of the term came.
+        base_s: loop time at which the term began, so that time passes without requests too.
 
     """
 
@@ -27,12 +32,14 @@
 
 
 class LedGroup:
-    """Commits commands of one group; each method raises ``NotLeader`` where this process does not
-    lead it.
+    """Commits commands of one group.
+
+    ``led``, ``elapsed_ms``, ``commit`` and ``admit_call`` raise ``NotLeader`` where this process
+    does not lead the group.
 
     Attributes:
         group_id: which.
-        quotas: the leader's word on the tenants that the group holds.
+        quotas: decisions on the tenants that the group counts.
 
     """
 
@@ -48,13 +55,13 @@
         self._leads_since_s = now_s
 
     def led(self) -> tuple[TurnLogState, int]:
-        """State and term."""
+        """Replicated state and term."""
         group = self._host.ready_group(self.group_id)
         assert isinstance(group.state, TurnLogState)
         return group.state, group.replica.term
 
     def elapsed_ms(self) -> int:
-        """Time of the log's clock."""
+        """Time of the log's clock, in ms."""
         state, term = self.led()
         now_s = asyncio.get_running_loop().time()
         if self._clock is None or self._clock.term != term:
@@ -62,7 +69,7 @@
         return self._clock.base_ms + int((now_s - self._clock.base_s) * 1000)
 
     async def commit(self, command: wire.TurnCommand) -> wire.TurnReply:
-        """Commit a command; a turn beyond its tenant's quota is refused without.
+        """Commit a command; a turn beyond its tenant's quota is rejected without a commit.
 
         Raise ``NotLeader``, ``NotCommitted`` or ``CommitUnknown``.
         """
@@ -84,16 +91,20 @@
         applied.spend_ceiling = command.allowance.ceiling
         return applied
 
-    async def admit_call(self, ask: wire.QuotaAsk) -> wire.TurnReply:
-        """Let a request through that is no turn, or not; it counts before its node hears of it."""
+    async def admit_call(self, call: CallRequest) -> CallDecision:
+        """Decide on a request that is no turn; an admitted one is committed before the answer.
+
+        Raise ``NotLeader``, ``NotCommitted`` or ``CommitUnknown``.
+        """
         state, term = self.led()
-        reply = self.quotas.admit_call(ask, state, term, self.elapsed_ms())
-        if reply.spend_ceiling:
-            spent = wire.TenantSpent(tenant=ask.tenant, total=reply.spend_ceiling)
-            spent.reported = ask.reported
-            report = wire.SpentReport(node=ask.node, spent=[spent])
+        decision = self.quotas.admit_call(call, state, term, self.elapsed_ms())
+        if isinstance(decision, CallAdmitted) and decision.counted_total:
+            spent = wire.TenantSpent(
+                tenant=call.tenant, total=decision.counted_total, reported=call.reported_total
+            )
+            report = wire.SpentReport(node=call.node, spent=[spent])
             try:
                 await self.commit(wire.TurnCommand(spent=report, group=self.group_id))
             finally:
-                self.quotas.settle_call(ask.tenant)
-        return reply
+                self.quotas.settle_call(call.tenant)
+        return decision
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -1,4 +1,8 @@
-"""The replicas' side of the turn log: commits commands at the leaders, on the log's own clocks."""
+"""The replica machines' side of the turn log: answers nodes for the groups that this process leads.
+
+Owns the led groups and what their leader knows beyond the replicated state: quotas in admission and
+placements. Relies on ``consensus/host.py`` to commit.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,6 +12,13 @@
 from bendshed.logs import PartLog
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.ports.transport import Transport
+from bendshed.turns.codec import (
+    decode_call_request,
+    encode_call_decision,
+    no_room_reply,
+    not_leader_reply,
+    unavailable_reply,
+)
 from bendshed.turns.led_group import LedGroup
 from bendshed.turns.methods import PREVIEW_METHOD, QUOTA_METHOD, RUNNER_METHOD, TURN_METHOD
 from bendshed.turns.metrics import CommandEnd, TurnLogMetrics
@@ -18,7 +29,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 SHARE_TIMEOUT_S = 0.25
-"""How long another group's leader is asked for its share: a front waits a little longer."""
+"""How long another group's leader has to release its share; the front behind it waits longer."""
 NOT_TO_RUN = (
     wire.TURN_ANSWER_UNKNOWN_TURN,
     wire.TURN_ANSWER_BUDGET_SPENT,
@@ -27,11 +38,12 @@
     wire.TURN_ANSWER_OTHER_GROUP,
     wire.TURN_ANSWER_NO_ROOM,
 )
-"""Answers to a begin after which the turn is sent to no runner, and no end is told."""
+"""Answers to a begin after which the turn is not dispatched and its end is not reported."""
 TERMS_OF_A_GROUP = 1 << 48
-"""More than any group has: tells a term of one group from that of another."""
+"""More terms than a group ever has, so that terms of two groups never have one number."""
 LOOK_S = 0.1
-"""A leader looks so often whether it leads without a doubt (``admission/cold_permits.py``)."""
+"""Pause between two checks whether this process still hears a majority; below the gap after which
+permits stop (``cold_permits.LOOK_GAP_S``, 0.25 s)."""
 
 AskGroup = Callable[[wire.TurnCommand, float], Awaitable[wire.TurnReply | None]]
 """Commits a command in its group at another process; ``None``: no leader answered in time."""
@@ -39,15 +51,15 @@
 log = PartLog("turns")
 
 
-async def _ask_nobody(_command: wire.TurnCommand, _timeout_s: float) -> wire.TurnReply | None:
+async def _reach_nobody(_command: wire.TurnCommand, _timeout_s: float) -> wire.TurnReply | None:
     return None
 
 
 class TurnService:
-    """Answers commands of executors, for each group that this process leads.
+    """Answers requests of nodes, for each group that this process leads.
 
     Attributes:
-        shares: takes other groups' shares of budgets.
+        shares: takes over other groups' shares of budgets.
 
     """
 
@@ -59,7 +71,7 @@
         advice: TurnPlacement,
         make_quotas: Callable[[], QuotaCounting],
         groups: TurnGroups = ONE_GROUP,
-        ask_group: AskGroup = _ask_nobody,
+        ask_group: AskGroup = _reach_nobody,
     ) -> None:
         self._host = host
         self._advice = advice
@@ -96,11 +108,11 @@
             reply = await self._commit(command)
         except NotLeader as error:
             end = CommandEnd.NOT_LEADER
-            reply = wire.TurnReply(answer=wire.TURN_ANSWER_NOT_LEADER, leader_id=error.leader_id)
+            reply = not_leader_reply(error.leader_id)
         except (CommitUnknown, NotCommitted) as error:
             end = CommandEnd.UNKNOWN
-            log.say("a command was not seen to commit", group=command.group, reason=repr(error))
-            reply = wire.TurnReply(answer=wire.TURN_ANSWER_UNAVAILABLE)
+            _log_uncommitted(command.group, error)
+            reply = unavailable_reply()
         if command.HasField("begin"):
             self._settle_begin(command, reply)
         self._metrics.commands.labels(end.value).inc()
@@ -111,8 +123,8 @@
     async def _commit(self, command: wire.TurnCommand) -> wire.TurnReply:
         """Commit a command; a begin that its group's share does not hold takes the others' first.
 
-        ``BUDGET_SPENT`` is told only when no other group holds anything more; where one does not
-        answer, the asker is told to try, which may reach it.
+        The answer is ``BUDGET_SPENT`` only when every other group has answered. Where one is silent
+        it stays ``OTHER_GROUP``: the requesting node may reach that group.
         """
         group = self._group(command.group)
         if not command.HasField("begin"):
@@ -135,100 +147,118 @@
         turn_id = command.begin.turn_id
         group = self._groups.get(command.group)
         if group is not None and reply.answer != wire.TURN_ANSWER_UNAVAILABLE:
-            group.quotas.settle_turn(turn_id)  # else it may commit yet, and its promise lapses
+            # Otherwise it may be committed later: its reservation expires by itself.
+            group.quotas.settle_turn(turn_id)
         if reply.answer in NOT_TO_RUN:
             self._advice.take_refusal(turn_id, asyncio.get_running_loop().time())
 
     async def _send(self, number: int, command: wire.TurnCommand) -> wire.TurnReply | None:
-        """Commit a command between groups, here or wherever its group is led."""
+        """Commit a command between groups; ``None``: not known to be committed."""
         if number not in self._host.led_groups():
             return await self._ask_group(command, SHARE_TIMEOUT_S)
         try:
             return await self._group(number).commit(command)
         except (NotLeader, CommitUnknown, NotCommitted) as error:
-            log.say("a command was not seen to commit", group=number, reason=repr(error))
+            _log_uncommitted(number, error)
             return None
 
     # --- what is not replicated ----------------------------------------------------------
 
     async def admit_call(self, payload: bytes) -> bytes:
-        """Let a request through that is no turn, or not; it counts before its node hears of it."""
-        ask = wire.QuotaAsk.FromString(payload)
+        """Admit or reject a request that is no turn; an admitted one is committed first."""
+        call = decode_call_request(payload)
         try:
-            reply = await self._group(ask.group).admit_call(ask)
+            reply = encode_call_decision(await self._group(call.group).admit_call(call))
         except NotLeader as error:
-            reply = wire.TurnReply(answer=wire.TURN_ANSWER_NOT_LEADER, leader_id=error.leader_id)
+            reply = not_leader_reply(error.leader_id)
         except (CommitUnknown, NotCommitted) as error:
-            log.say("a command was not seen to commit", group=ask.group, reason=repr(error))
-            reply = wire.TurnReply(answer=wire.TURN_ANSWER_UNAVAILABLE)
+            _log_uncommitted(call.group, error)
+            reply = unavailable_reply()
         return reply.SerializeToString()
 
     async def preview(self, payload: bytes) -> bytes:
-        """Tell what a begin would be answered, from the committed state, without committing.
+        """Answer what a begin would be answered, from the committed state, without committing.
 
-        A turn that may be granted is told its runner too.
+        The reply for a turn that may run names its runner too.
         """
         preview = wire.TurnPreview.FromString(payload)
         try:
-            group = self._group(preview.group)
-            state, term = group.led()
-            now_ms = group.elapsed_ms()
+            reply = self._preview(preview)
         except NotLeader as error:
-            reply = wire.TurnReply(answer=wire.TURN_ANSWER_NOT_LEADER, leader_id=error.leader_id)
-            return reply.SerializeToString()
+            reply = not_leader_reply(error.leader_id)
+        return reply.SerializeToString()
+
+    def _preview(self, preview: wire.TurnPreview) -> wire.TurnReply:
+        """Decide on a turn by its chain, its tenant's quota and the runners' room, in this order.
+
+        One that its budget may not hold goes through the same: the commit decides on the budget.
+        Raise ``NotLeader``.
+        """
+        group = self._group(preview.group)
+        state, term = group.led()
+        now_ms = group.elapsed_ms()
         begin = preview.begin
         reply = state.preview(begin)
-        may_run = reply.answer in (wire.TURN_ANSWER_GRANTED, wire.TURN_ANSWER_BUDGET_SPENT)
-        line = preview.demand.line
-        refusal = group.quotas.admit_turn(begin, state, term, now_ms, line) if may_run else None
-        if refusal is not None:
-            return refusal.SerializeToString()
-        if may_run and preview.demand.service:
-            ran_at = state.runner_of(begin.tenant, begin.program_id)
-            is_new = not state.is_under_way(begin)
-            has_cold = self._advice.cold.tracker.has_cold
-            now_s = self._look() if has_cold else asyncio.get_running_loop().time()
-            placement = self._advice.advise(preview, ran_at, is_new, now_s)
-            if placement.retry_after_ms:
-                return _no_room(placement.retry_after_ms).SerializeToString()
-            reply.runner_id, reply.permit_ms = placement.runner_id, placement.permit_ms
-        return reply.SerializeToString()
+        if reply.answer not in (wire.TURN_ANSWER_GRANTED, wire.TURN_ANSWER_BUDGET_SPENT):
+            return reply
+        rejection = group.quotas.admit_turn(begin, state, term, now_ms, preview.demand.line)
+        if rejection is not None:
+            return rejection
+        return self._place_previewed(preview, state, reply) if preview.demand.service else reply
+
+    def _place_previewed(
+        self, preview: wire.TurnPreview, state: TurnLogState, reply: wire.TurnReply
+    ) -> wire.TurnReply:
+        """Add the runner of a turn that may run to its reply."""
+        begin = preview.begin
+        ran_at = state.runner_of(begin.tenant, begin.program_id)
+        is_new = not state.is_under_way(begin)
+        has_cold = self._advice.cold.tracker.has_cold
+        now_s = self._look() if has_cold else asyncio.get_running_loop().time()
+        placement = self._advice.advise(preview, ran_at, is_new, now_s)
+        if placement.retry_after_ms:
+            return no_room_reply(placement.retry_after_ms)
+        reply.runner_id, reply.permit_ms = placement.runner_id, placement.permit_ms
+        return reply
 
     async def place(self, payload: bytes) -> bytes:
-        """Permit one sending that has no preview, or tell when there is room."""
-        asked = wire.RunnerAsk.FromString(payload)
+        """Permit one dispatch that has no preview, or answer when there is room."""
+        request = wire.RunnerAsk.FromString(payload)
         try:
-            self._group(asked.group).led()
-            placement = self._advice.place(asked, self._look())
-            reply = wire.TurnReply(answer=wire.TURN_ANSWER_GRANTED)
-            reply.runner_id, reply.permit_ms = placement.runner_id, placement.permit_ms
-            if placement.retry_after_ms:
-                reply = _no_room(placement.retry_after_ms)
+            self._group(request.group).led()
         except NotLeader as error:
-            reply = wire.TurnReply(answer=wire.TURN_ANSWER_NOT_LEADER, leader_id=error.leader_id)
+            return not_leader_reply(error.leader_id).SerializeToString()
+        placement = self._advice.place(request, self._look())
+        if placement.retry_after_ms:
+            return no_room_reply(placement.retry_after_ms).SerializeToString()
+        reply = wire.TurnReply(answer=wire.TURN_ANSWER_GRANTED)
+        reply.runner_id, reply.permit_ms = placement.runner_id, placement.permit_ms
         return reply.SerializeToString()
 
     def _refused_by_preview(
         self, begin: wire.BeginTurn, state: TurnLogState
     ) -> wire.TurnReply | None:
-        """A preview's refusal holds for the begin beside it: its program stays a new one."""
+        """A preview's rejection applies to the begin that was sent beside it.
+
+        Else a program that did not run would count as under way.
+        """
         now_s = asyncio.get_running_loop().time()
         retry_ms = self._advice.cold.refused_for_ms(begin.turn_id, now_s)
         if not retry_ms or begin.has_left or state.is_reserved(begin):
             return None
-        return _no_room(retry_ms)
+        return no_room_reply(retry_ms)
 
     async def follow_lead(self) -> None:
-        """Look again and again whether this process leads without a doubt."""
+        """Check every ``LOOK_S`` whether this process hears a majority; runs until cancelled."""
         while True:
             self._look()
             await asyncio.sleep(LOOK_S)
 
     def _look(self) -> float:
-        """Look whether this process leads without a doubt; return the loop's time.
+        """Check whether this process leads and hears a majority; return loop time.
 
-        One that leads several groups counts all that it grants in one window, so the term of the
-        first of them tells enough: another one counts as a new leader's, which grants less.
+        A process that leads several groups counts all of its permits in one window, so it looks at
+        the first group only: when that changes it counts as a new leader, which permits less.
         """
         now_s = asyncio.get_running_loop().time()
         terms = [
@@ -240,7 +270,7 @@
         return now_s
 
     def _take_report(self, command: wire.TurnCommand) -> None:
-        """What a turn's end tells of runners is this process's alone: take it off the command."""
+        """Take what a turn's end reports of runners off its command: it is not replicated."""
         if not command.HasField("report"):
             return
         now_s = asyncio.get_running_loop().time()
@@ -254,11 +284,14 @@
 
 
 def _must_gather(command: wire.TurnCommand, reply: wire.TurnReply) -> bool:
-    """Whether a begin was answered that this very group must take the others' shares."""
+    """Whether this group must take over the others' shares for a begin."""
     is_elsewhere = reply.answer == wire.TURN_ANSWER_OTHER_GROUP
     return is_elsewhere and reply.owner_group == command.group
 
 
-def _no_room(retry_after_ms: int) -> wire.TurnReply:
-    """No runner may take it now."""
-    return wire.TurnReply(answer=wire.TURN_ANSWER_NO_ROOM, retry_after_ms=retry_after_ms)
+def _log_uncommitted(group: int, error: Exception) -> None:
+    log.say(
+        "command not known to be committed: no majority, or the leader changed",
+        group=group,
+        reason=repr(error),
+    )
--- a/src/bendshed/turns/shares.py
+++ b/src/bendshed/turns/shares.py
@@ -1,7 +1,7 @@
-"""Takes over what other groups hold of a program's budget, as its leader needs it.
+"""Takes over what other groups hold of a program's budget. Source: docs/design/0012.
 
-First in the background, once the own share runs low, so that no turn waits for a distant group;
-while a turn waits only where the share does not hold it.
+It happens in the background once this group's share runs low, so that no turn waits for a distant
+group. A turn waits for it only where the share does not hold the turn.
 """
 
 import asyncio
@@ -21,10 +21,10 @@
 
 
 class ShareGatherer:
-    """Asks the leaders of the other groups; one question at a time for each program.
+    """Requests the shares of the other groups; for each program one gathering at a time.
 
     Attributes:
-        num_taken: answers of other groups that were counted here.
+        num_taken: releases of other groups that were counted here.
 
     """
 
@@ -35,11 +35,11 @@
         self._under_way: dict[Program, asyncio.Task[bool]] = {}
 
     def gather_later(self, group_id: int, begin: wire.BeginTurn) -> None:
-        """Ask in the background."""
+        """Gather in the background."""
         self._gathering(group_id, begin)
 
     async def gather(self, group_id: int, begin: wire.BeginTurn) -> bool:
-        """Ask, and wait until what was released counts here; ``False``: a group did not answer."""
+        """Wait until what the others released counts here; ``False``: a group did not answer."""
         return await asyncio.shield(self._gathering(group_id, begin))
 
     def _gathering(self, group_id: int, begin: wire.BeginTurn) -> "asyncio.Task[bool]":
@@ -56,7 +56,7 @@
         others = self._groups.others(group_id)
         taken = await asyncio.gather(*(self._take(group_id, other, begin) for other in others))
         log.say(
-            "took shares of a budget",
+            "budget shares of other groups taken over",
             request=begin.turn_id,
             program=begin.program_id,
             group=group_id,
@@ -67,7 +67,7 @@
 
     async def _take(self, group_id: int, other: int, begin: wire.BeginTurn) -> int | None:
         """Tokens that another group has released so far and that count here now."""
-        ask = wire.ReleaseShare(
+        release = wire.ReleaseShare(
             tenant=begin.tenant,
             program_id=begin.program_id,
             to_group=group_id,
@@ -75,17 +75,17 @@
             num_groups=begin.num_groups,
             retention_ms=begin.retention_ms,
         )
-        reply = await self._send(other, wire.TurnCommand(release=ask, group=other))
+        reply = await self._send(other, wire.TurnCommand(release=release, group=other))
         if reply is None:
             return None
-        told = wire.TakeShare(
+        take = wire.TakeShare(
             tenant=begin.tenant,
             program_id=begin.program_id,
             from_group=other,
             released_tokens=reply.released_tokens,
             retention_ms=begin.retention_ms,
         )
-        if await self._send(group_id, wire.TurnCommand(take=told, group=group_id)) is None:
+        if await self._send(group_id, wire.TurnCommand(take=take, group=group_id)) is None:
             return None
         self.num_taken += 1
         return reply.released_tokens
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -321,7 +321,7 @@
 
     def test_a_grant_by_name_opens_nothing_else(self) -> None:
         self.gate.take_allowance("t", 2, 0.0)
-        self.gate.news(USABLE_S)
+        self.gate.unreported(USABLE_S)
         self.gate.spend_granted("t", 3, 5.0)  # with the lapsed allowance, which was counted then
         self.assertEqual(self.gate.total("t"), 3)
         self.assertFalse(self.gate.try_spend("t", 5.1))
@@ -334,33 +334,33 @@
 
     def test_what_was_let_through_is_told_until_it_is_committed(self) -> None:
         self.gate.spend_granted("t", 1, 0.0)
-        (first,) = self.gate.news(0.1)
+        (first,) = self.gate.unreported(0.1)
         self.gate.spend_granted("t", 2, 0.2)
-        (second,) = self.gate.news(0.2)
+        (second,) = self.gate.unreported(0.2)
         self.assertEqual([first.total, second.total, second.reported], [1, 2, 0])
-        self.gate.note_told([first], 0.3)
-        (third,) = self.gate.news(0.3)
+        self.gate.note_reported([first], 0.3)
+        (third,) = self.gate.unreported(0.3)
         self.assertEqual((third.total, third.reported), (2, 1))
-        self.gate.note_told([third], 0.4)
-        self.assertEqual(self.gate.news(0.5), [])
+        self.gate.note_reported([third], 0.4)
+        self.assertEqual(self.gate.unreported(0.5), [])
 
     def test_a_lapsed_allowance_is_given_back_until_that_is_committed(self) -> None:
         self.gate.take_allowance("t", 2, 0.0)
-        self.assertEqual(self.gate.news(0.5), [])
-        (told,) = self.gate.news(USABLE_S)
+        self.assertEqual(self.gate.unreported(0.5), [])
+        (told,) = self.gate.unreported(USABLE_S)
         self.assertEqual((told.total, told.lapsed_ceiling), (0, 2))
-        (again,) = self.gate.news(USABLE_S + 0.1)
+        (again,) = self.gate.unreported(USABLE_S + 0.1)
         self.assertEqual(again.lapsed_ceiling, 2)
-        self.gate.note_told([again], USABLE_S + 0.2)
-        self.assertEqual(self.gate.news(USABLE_S + 0.3), [])
+        self.gate.note_reported([again], USABLE_S + 0.2)
+        self.assertEqual(self.gate.unreported(USABLE_S + 0.3), [])
 
     def test_only_requests_must_be_told_by_themselves(self) -> None:
         self.gate.take_allowance("t", 2, 0.0)
-        self.gate.news(USABLE_S)
-        self.assertFalse(self.gate.must_tell(5.0, 0.15))
+        self.gate.unreported(USABLE_S)
+        self.assertFalse(self.gate.must_report(5.0, 0.15))
         self.gate.spend_granted("t", 1, 5.0)
-        self.assertFalse(self.gate.must_tell(5.1, 0.15))
-        self.assertTrue(self.gate.must_tell(5.2, 0.15))
+        self.assertFalse(self.gate.must_report(5.1, 0.15))
+        self.assertTrue(self.gate.must_report(5.2, 0.15))
 
 
 class PromisedTurnTest(unittest.TestCase):
--- a/tests/test_turn_client.py
+++ b/tests/test_turn_client.py
@@ -39,5 +39,6 @@
         self.world.network.cuts.clear()
         self.world.run_for(4.0)
         self.assertEqual(
-            self.told(), ["no replica of the turn log answers", "regained the turn log"]
+            self.told(),
+            ["turn log lost: no replica answers", "turn log regained: a replica answered"],
         )
