--- a/src/bendshed/turns/budget.py
+++ b/src/bendshed/admission/program_budget.py
@@ -1,8 +1,9 @@
-"""One program's budget in one group of the turn log. Pure.
+"""One program's token budget in one group of the turn log. Pure.
 
-With several groups each holds a share of the budget: the shares that all begin with add up to it,
-and a share moves only by being released in one group, for good, before another may count it. So
-what all groups hold never exceeds the budget, whatever is lost, told twice or told late.
+With several groups each holds a share of the budget. The first shares add up to it, and a share
+moves only by being released in one group, for good, before another may count it. So all groups
+together never hold more than the budget, whatever is lost, repeated or late. Source:
+docs/design/0012.
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +15,7 @@
 
 
 def first_share(budget_tokens: int, group_id: int, num_groups: int) -> int:
-    """Tokens of a budget that a group may spend before it has asked any other."""
+    """Tokens of a budget that a group may spend before it has taken over any other share."""
     if num_groups <= 1:
         return budget_tokens
     rest = budget_tokens % num_groups if group_id == 0 else 0
@@ -30,12 +31,14 @@
 
     Attributes:
         spent_tokens: charged for ended turns.
-        reserved: worst case of each turn under way, by turn id.
+        reserved: worst case of each turn under way, in tokens by turn id.
         closed: the latest finished turn ids, oldest first.
+        expires_ms: time of the log's clock until which the program is stored.
         runner_id: where its latest turn ran; empty: nowhere yet.
         released: tokens given up to each other group, in all.
         taken: tokens that each other group has given up to this one, in all.
-        asked_ms: when the others were asked last, on the log's clock; 0: never.
+        shares_taken_ms: time of the log's clock at which another group's share was taken over last;
+            0: never.
 
     """
 
@@ -46,7 +49,7 @@
     runner_id: str = ""
     released: dict[int, int] = field(default_factory=dict)
     taken: dict[int, int] = field(default_factory=dict)
-    asked_ms: int = 0
+    shares_taken_ms: int = 0
 
     @property
     def reserved_tokens(self) -> int:
@@ -65,12 +68,35 @@
         return held - self.used_tokens
 
     def holds(self, begin: wire.BeginTurn, group_id: int, num_turns: int = 1) -> bool:
-        """Whether the group's share holds so many turns like this one more."""
+        """Whether the group's share holds ``num_turns`` more turns like this one."""
         if not begin.has_budget:
             return True
         spare = self.spare_tokens(begin.budget_tokens, group_id, begin.num_groups)
         return spare >= num_turns * begin.most_tokens
 
+    def reserve(self, begin: wire.BeginTurn, group_id: int) -> bool:
+        """Reserve a turn's worst case; ``False``: the group's share does not hold it."""
+        if not self.holds(begin, group_id):
+            return False
+        self.reserved[begin.turn_id] = begin.most_tokens
+        return True
+
+    def surely_holds(self, begin: wire.BeginTurn, group_id: int, num_turns: int) -> bool:
+        """Whether turns that begin at the same time can hardly use up what this one needs.
+
+        Until the other groups' shares were taken over, this group's need not hold more than the
+        turn itself: if it runs short by then, theirs are taken.
+        """
+        if self.holds(begin, group_id, num_turns):
+            return True
+        used = self.used_tokens + num_turns * begin.most_tokens
+        may_take = begin.num_groups > 1 and not self.shares_taken_ms
+        return may_take and used <= begin.budget_tokens and self.holds(begin, group_id)
+
+    def is_spent(self, begin: wire.BeginTurn) -> bool:
+        """Whether the whole budget, with all groups' shares, does not hold the turn."""
+        return self.used_tokens + begin.most_tokens > begin.budget_tokens
+
     def main_receiver(self) -> int | None:
         """Group that has got the most of this one's share; ``None``: it has given none away."""
         given = {
@@ -79,20 +105,20 @@
         best = max(sorted(given), key=lambda group: given[group], default=None)
         return best if best is not None and given[best] > 0 else None
 
-    def release(self, ask: wire.ReleaseShare, group_id: int) -> int:
-        """Give up what is neither spent nor reserved; return what the asker got in all."""
-        spare = self.spare_tokens(ask.budget_tokens, group_id, ask.num_groups)
-        released = self.released.get(ask.to_group, 0) + max(0, spare)
-        self.released[ask.to_group] = released
+    def release(self, request: wire.ReleaseShare, group_id: int) -> int:
+        """Give up what is neither spent nor reserved; return what that group got in all."""
+        spare = self.spare_tokens(request.budget_tokens, group_id, request.num_groups)
+        released = self.released.get(request.to_group, 0) + max(0, spare)
+        self.released[request.to_group] = released
         return released
 
-    def take(self, told: wire.TakeShare) -> None:
-        """Another group has given up so much in all: told twice or late, it counts once."""
-        known = self.taken.get(told.from_group, 0)
-        self.taken[told.from_group] = max(known, told.released_tokens)
+    def take(self, share: wire.TakeShare) -> None:
+        """Count what another group has given up; its total only rises, so repeats count once."""
+        known = self.taken.get(share.from_group, 0)
+        self.taken[share.from_group] = max(known, share.released_tokens)
 
     def close(self, turn_id: str) -> None:
-        """A turn is over: remember it, and the latest ones only."""
+        """End a turn's reservation and remember that it is over."""
         self.reserved.pop(turn_id, None)
         self.closed[turn_id] = None
         if len(self.closed) > MAX_CLOSED_TURNS:
@@ -109,7 +135,7 @@
             closed_turns=list(self.closed),
             runner_id=self.runner_id,
             shares=[self._share(group) for group in sorted({*self.released, *self.taken})],
-            asked_ms=self.asked_ms,
+            asked_ms=self.shares_taken_ms,
         )
 
     def _share(self, group: int) -> wire.GroupShare:
@@ -121,7 +147,7 @@
 
     @classmethod
     def of_wire(cls, row: wire.ProgramBudget) -> "ProgramBudget":
-        """Read it from a snapshot; one written before there were groups holds no shares."""
+        """Read it from a snapshot; one without shares is of a turn log with one group."""
         return cls(
             row.spent_tokens,
             {entry.turn_id: entry.tokens for entry in row.reserved},
--- a/src/bendshed/turns/state.py
+++ b/src/bendshed/turns/state.py
@@ -1,35 +1,39 @@
-"""The replicated state of the turn log: chains of kept turns, budgets of programs, usage.
+"""The replicated state of the turn log: chains of stored turns, budgets of programs, usage. Pure.
 
-Pure: commands in, replies out. Time is the log's own clock, carried by the commands; it never
-runs backwards and stands still while no replica leads, so nothing expires early.
+Commands in, replies out. Time is the log's clock, which the commands carry. It never runs
+backwards and stops while no replica leads, so that nothing expires early.
 """
 
 from collections.abc import Iterator
 
+from bendshed.admission.program_budget import ProgramBudget
 from bendshed.admission.quota_usage import UsageWindows
-from bendshed.turns.budget import ProgramBudget
 from bendshed.turns.methods import Owned
 from bendshed.turns.stored_turn import StoredTurn
 from bendshed.wire import turns_pb2 as wire
 
 PROGRAM_KEPT_FACTOR = 2
-"""A program's budget outlives its last turn by this many retentions."""
+"""A program's budget is stored this many retentions beyond its last turn."""
 MIN_PROGRAM_KEPT_MS = 120_000
+"""The same at least, for routes with a short retention or none."""
 RELEASED_KEPT_FACTOR = 10
-"""A program that has released its share here is kept so many times as long as others: whoever took
-the share asks again while the program lives, and must never find it forgotten."""
+"""A program that has released its share here is stored this many times as long as others. The group
+that took the share requests it again while the program runs; a group that had forgotten the release
+would give the same tokens twice."""
 SWEEP_INTERVAL_MS = 1_000
+"""Expired turns and programs are removed once in this time of the log's clock."""
 PREVIEW_TURNS = 4
-"""A begin is previewed as granted when the budget holds this many turns like it."""
+"""A begin is previewed as granted when the budget holds this many turns like it, so that turns of
+the same program that begin at once can hardly use it up."""
 GATHER_TURNS = 6
-"""The other groups are asked for their shares when the own one holds fewer turns: before previews
-end, and never for a program that is short."""
+"""The other groups' shares are requested when this group's holds fewer turns like the last one:
+before previews end, and never for a program of few turns."""
 
 
 class TurnLogState:
     """Everything that one group of the turn log replicates.
 
-    Invariants: a kept turn's whole chain is kept; a turn id is granted at most once and never
+    Invariants: with a turn its whole chain is stored; a turn id is granted at most once and never
     after it was closed.
     """
 
@@ -40,7 +44,7 @@
         self.programs: dict[Owned, ProgramBudget] = {}
         self.usage = UsageWindows()
 
-    # --- what the replication asks for ---------------------------------------------------
+    # --- replication ---------------------------------------------------------------------
 
     def apply(self, data: bytes) -> wire.TurnReply:
         """Apply one committed command."""
@@ -52,8 +56,8 @@
         if command.HasField("spent"):
             self.usage.take_report(command.spent.node, command.spent.spent, self.clock_ms)
         if command.HasField("allowance"):
-            given = command.allowance
-            self.usage.allow(given.node, given.tenant, given.ceiling, self.clock_ms)
+            allowance = command.allowance
+            self.usage.allow(allowance.node, allowance.tenant, allowance.ceiling, self.clock_ms)
         match command.WhichOneof("command"):
             case "begin":
                 return self._begin(command.begin)
@@ -76,8 +80,8 @@
         """
         yield wire.TurnLogSnapshot(clock_ms=self.clock_ms).SerializeToString()
         for (tenant, turn_id), turn in self.turns.items():
-            kept = turn.to_wire(tenant, turn_id)
-            yield wire.TurnLogSnapshot(turns=[kept]).SerializeToString()
+            row = turn.to_wire(tenant, turn_id)
+            yield wire.TurnLogSnapshot(turns=[row]).SerializeToString()
         for (tenant, program_id), program in self.programs.items():
             budget = program.to_wire(tenant, program_id)
             yield wire.TurnLogSnapshot(programs=[budget]).SerializeToString()
@@ -112,39 +116,27 @@
         return reply
 
     def preview(self, begin: wire.BeginTurn) -> wire.TurnReply:
-        """Tell what a begin would very likely be answered, and its chain; changes nothing.
+        """What a begin would be answered, with its chain; changes nothing.
 
-        ``GRANTED`` is told only where the budget holds some turns more, so that others under way
-        at the same time can hardly change it. Every other answer must come from the log.
+        ``GRANTED`` only where the budget holds ``PREVIEW_TURNS``. The requesting node takes any
+        other answer from the commit.
         """
         if self._is_unknown(begin):
             return wire.TurnReply(answer=wire.TURN_ANSWER_UNKNOWN_TURN)
         program = self.programs.get((begin.tenant, begin.program_id), ProgramBudget())
-        if not self._surely_holds(program, begin):
+        if not program.surely_holds(begin, self.group_id, PREVIEW_TURNS):
             return self._reply(wire.TURN_ANSWER_BUDGET_SPENT, program)
         reply = self._reply(wire.TURN_ANSWER_GRANTED, program)
         self._add_chain(reply, begin)
         return reply
 
-    def _surely_holds(self, program: ProgramBudget, begin: wire.BeginTurn) -> bool:
-        """Whether a begin will very likely be granted.
-
-        Until the other groups were asked the share need not hold more than the turn itself: if it
-        is short by then, theirs are taken.
-        """
-        if program.holds(begin, self.group_id, PREVIEW_TURNS):
-            return True
-        used = program.used_tokens + PREVIEW_TURNS * begin.most_tokens
-        may_take = begin.num_groups > 1 and not program.asked_ms
-        return may_take and used <= begin.budget_tokens and program.holds(begin, self.group_id)
-
     def _is_unknown(self, begin: wire.BeginTurn) -> bool:
-        """Whether the turn wants to continue one that its tenant does not have."""
+        """Whether the turn continues one that is not stored for its tenant."""
         previous = begin.previous_turn
         return bool(previous) and (begin.tenant, previous) not in self.turns
 
     def runner_of(self, tenant: str, program_id: str) -> str:
-        """Where the latest turn of a program ran; empty: unknown."""
+        """Runner of a program's latest turn; empty: unknown."""
         program = self.programs.get((tenant, program_id))
         return program.runner_id if program is not None else ""
 
@@ -159,27 +151,23 @@
         return program is not None and begin.turn_id in program.reserved
 
     def _add_chain(self, reply: wire.TurnReply, begin: wire.BeginTurn) -> None:
-        """Add what the asker does not hold of the chain."""
+        """Add what the requesting node has not cached of the chain."""
         if begin.previous_turn and begin.held_turn == begin.previous_turn:
             reply.held_turn = begin.held_turn
         else:
             reply.chain.extend(self._chain(begin.tenant, begin.previous_turn))
 
     def _reserve(self, program: ProgramBudget, begin: wire.BeginTurn) -> bool:
-        """Reserve the turn's worst case; ``False``: the group's share does not hold it."""
-        if not program.holds(begin, self.group_id):
-            return False
-        program.reserved[begin.turn_id] = begin.most_tokens
-        return True
+        return program.reserve(begin, self.group_id)
 
     def _short(self, program: ProgramBudget, begin: wire.BeginTurn) -> wire.TurnReply:
-        """The share does not hold the turn: say whether the whole budget can.
+        """Answer a turn that this group's share does not hold: whether the whole budget does.
 
-        ``OTHER_GROUP`` names the group to ask: this one if it must take the others' shares first,
-        since it keeps the turn's chain, or since another has sent the asker here.
+        ``OTHER_GROUP`` names the group that should take the turn. It is this one, which must take
+        over the others' shares first, if it stores the turn's chain, if another group has sent the
+        node here, or if no other holds this group's share.
         """
-        is_spent = program.used_tokens + begin.most_tokens > begin.budget_tokens
-        if begin.num_groups <= 1 or is_spent:
+        if begin.num_groups <= 1 or program.is_spent(begin):
             return self._reply(wire.TURN_ANSWER_BUDGET_SPENT, program)
         reply = self._reply(wire.TURN_ANSWER_OTHER_GROUP, program)
         receiver = program.main_receiver()
@@ -188,36 +176,36 @@
         return reply
 
     def wants_shares(self, begin: wire.BeginTurn) -> bool:
-        """Whether the other groups should be asked for their shares of a granted turn's budget.
+        """Whether to request the other groups' shares of a granted turn's budget.
 
-        They are asked when the own share runs low, and now and then as long as the program lives,
-        so that none of them forgets what it has released.
+        First when this group's share runs low, then once in the time for which a program is stored,
+        so that no group forgets what it has released.
         """
         if begin.num_groups <= 1 or not begin.has_budget:
             return False
         program = self.programs.get((begin.tenant, begin.program_id))
         if program is None:
             return False
-        if not program.asked_ms:
+        if not program.shares_taken_ms:
             return not program.holds(begin, self.group_id, GATHER_TURNS)
-        return self.clock_ms - program.asked_ms > _kept_ms(begin.retention_ms)
+        return self.clock_ms - program.shares_taken_ms > _stored_ms(begin.retention_ms)
 
     # --- shares of several groups --------------------------------------------------------
 
-    def _release(self, ask: wire.ReleaseShare) -> wire.TurnReply:
+    def _release(self, request: wire.ReleaseShare) -> wire.TurnReply:
         """Give up what the group holds of a budget and does not need, for good."""
-        owned = (ask.tenant, ask.program_id)
-        program = self._program(owned, ask.retention_ms, RELEASED_KEPT_FACTOR)
+        owned = (request.tenant, request.program_id)
+        program = self._program(owned, request.retention_ms, RELEASED_KEPT_FACTOR)
         reply = self._reply(wire.TURN_ANSWER_GRANTED, program)
-        if ask.to_group != self.group_id:
-            reply.released_tokens = program.release(ask, self.group_id)
+        if request.to_group != self.group_id:
+            reply.released_tokens = program.release(request, self.group_id)
         return reply
 
-    def _take(self, told: wire.TakeShare) -> wire.TurnReply:
+    def _take(self, share: wire.TakeShare) -> wire.TurnReply:
         """Count what another group has given up."""
-        program = self._program((told.tenant, told.program_id), told.retention_ms)
-        program.take(told)
-        program.asked_ms = max(1, self.clock_ms)
+        program = self._program((share.tenant, share.program_id), share.retention_ms)
+        program.take(share)
+        program.shares_taken_ms = max(1, self.clock_ms)
         return self._reply(wire.TURN_ANSWER_GRANTED, program)
 
     def _chain(self, tenant: str, turn_id: str) -> list[wire.TurnPiece]:
@@ -255,7 +243,7 @@
         return self._reply(wire.TURN_ANSWER_GRANTED, program)
 
     def _keep(self, finish: wire.FinishTurn) -> None:
-        """Keep the turn, and its chain for as long."""
+        """Store the turn, and its chain for at least as long."""
         expires_ms = self.clock_ms + finish.retention_ms
         self.turns[finish.tenant, finish.turn_id] = StoredTurn(
             finish.previous_turn, finish.input + finish.output, expires_ms
@@ -272,15 +260,15 @@
         if program is None:
             program = ProgramBudget()
             self.programs[owned] = program
-        kept_ms = factor * _kept_ms(retention_ms)
-        program.expires_ms = max(program.expires_ms, self.clock_ms + kept_ms)
+        stored_ms = factor * _stored_ms(retention_ms)
+        program.expires_ms = max(program.expires_ms, self.clock_ms + stored_ms)
         return program
 
     def _sweep(self) -> None:
-        """Forget what has expired; a chain's turns never expire before its newest one.
+        """Remove what has expired; a chain's turns never expire before its newest one.
 
-        When it happens follows from the replicated clock alone: a replica that was restored from a
-        snapshot forgets with the very command at which all others do.
+        When it runs follows from the replicated clock alone: a replica that was restored from a
+        snapshot removes the same entries at the same command as all others.
         """
         now_ms = self.clock_ms
         self.turns = {name: turn for name, turn in self.turns.items() if turn.expires_ms >= now_ms}
@@ -290,6 +278,6 @@
         self.usage.sweep(now_ms)
 
 
-def _kept_ms(retention_ms: int) -> int:
-    """How long a program's budget outlives its latest turn."""
+def _stored_ms(retention_ms: int) -> int:
+    """How long a program's budget is stored beyond its latest turn."""
     return max(MIN_PROGRAM_KEPT_MS, PROGRAM_KEPT_FACTOR * retention_ms)
--- a/src/bendshed/turns/stored_turn.py
+++ b/src/bendshed/turns/stored_turn.py
@@ -1,4 +1,4 @@
-"""A turn that may be continued, as one group of the turn log keeps it. Pure."""
+"""A turn that may be continued, as one group of the turn log stores it. Pure."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
     Attributes:
         previous_turn: the turn it continues; empty at the start of a chain.
         transcript: its input and output.
-        expires_ms: time of the log's clock until which it is kept, with its whole chain.
+        expires_ms: time of the log's clock until which it is stored, with its whole chain.
 
     """
 
--- a/tests/region_defects.py
+++ b/tests/region_defects.py
@@ -5,6 +5,8 @@
 from collections.abc import Callable, Collection, Iterator
 from unittest import mock
 
+from bendshed.admission import program_budget
+from bendshed.admission.program_budget import ProgramBudget
 from bendshed.consensus import bootstrap as founding
 from bendshed.consensus.replica_choice import DiskNode, VoterPlaces
 from bendshed.rehearsal.site.layout import THREE_ZONES, TWO_REGIONS, SiteLayout
@@ -12,8 +14,6 @@
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.sim_world import SimMachine, SiteWorld
 from bendshed.services.group_search import GroupSearch
-from bendshed.turns import budget
-from bendshed.turns.budget import ProgramBudget
 from bendshed.turns.service import TurnService
 from bendshed.wire import turns_pb2 as wire
 
@@ -182,7 +182,7 @@
     "each group spends the whole budget": (
         Rule.BUDGET,
         loops_while_regions_are_cut,
-        patch(budget, "first_share", _whole_budget),
+        patch(program_budget, "first_share", _whole_budget),
     ),
     "a share told twice counts twice": (
         Rule.BUDGET,
--- a/tests/test_budget_shares.py
+++ b/tests/test_budget_shares.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from bendshed.admission.program_budget import first_share
 from bendshed.consensus.raft import RaftReplica
 from bendshed.ports.log_storage import StoredGroup
-from bendshed.turns.budget import first_share
 from bendshed.turns.state import MIN_PROGRAM_KEPT_MS, RELEASED_KEPT_FACTOR, TurnLogState
 from bendshed.wire import consensus_pb2
 from bendshed.wire import turns_pb2 as wire
