--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -10,6 +10,12 @@
 from bendshed.admission.quota_ledger import GUARD_MS, QuotaLedger, QuotaRequest, Rank
 from bendshed.admission.quota_limits import QuotaTerms, TenantLimit, limit_of
 from bendshed.admission.quota_usage import KEPT_MS, UsageWindows
+from bendshed.admission.retry_schedule import (
+    MIN_RETRY_AFTER_MS,
+    RetrySchedule,
+    cold_retry_after_ms,
+    quota_retry_after_ms,
+)
 from bendshed.admission.sliding_window import SPAN_MS
 from bendshed.catalog.state import Catalog
 from bendshed.model.service_document import ServiceDocument, Tenant
@@ -363,6 +369,28 @@
         self.assertTrue(self.gate.must_report(5.2, 0.15))
 
 
+class RetryTimeTest(unittest.TestCase):
+    def test_a_quota_frees_a_place_for_each_chain_ahead(self) -> None:
+        waits = [quota_retry_after_ms(lambda count: int(40 * count), 2, ahead) for ahead in (0, 3)]
+        self.assertEqual(waits, [MIN_RETRY_AFTER_MS, 200])
+
+    def test_chains_ahead_of_a_cold_runner_take_its_next_permits(self) -> None:
+        waits = [cold_retry_after_ms(300, ahead, 20, 1_250) for ahead in (0, 8, 20)]
+        self.assertEqual(waits, [300, 800, 1_550])
+        self.assertEqual(cold_retry_after_ms(0, 0, 20, 1_250), MIN_RETRY_AFTER_MS)
+        self.assertEqual(cold_retry_after_ms(1_250, 2, 0, 1_250), 3_750)
+
+    def test_a_late_chain_is_not_expected_and_nobody_waits_for_itself(self) -> None:
+        schedule = RetrySchedule()
+        for name, returns_ms in (("a", 100), ("b", 2_000)):
+            schedule.note(("program", name), returns_ms)
+        self.assertEqual(schedule.num_others(("program", "c"), 600), 2)
+        self.assertEqual(schedule.num_others(("program", "b"), 600), 1)
+        self.assertEqual(schedule.num_others(("program", "c"), 601), 1)
+        schedule.forget(("program", "b"))
+        self.assertEqual(schedule.num_others(("program", "c"), 601), 0)
+
+
 class PromisedTurnTest(unittest.TestCase):
     """A leader that counts nothing more meets turns of the leader before it."""
 
