--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -10,6 +10,12 @@
 from bendshed.admission.quota_ledger import GUARD_MS, QuotaLedger, QuotaRequest, Rank
 from bendshed.admission.quota_limits import QuotaTerms, TenantLimit, limit_of
 from bendshed.admission.quota_usage import KEPT_MS, UsageWindows
+from bendshed.admission.retry_schedule import (
+    MIN_RETRY_AFTER_MS,
+    RetrySchedule,
+    cold_retry_after_ms,
+    quota_retry_after_ms,
+)
 from bendshed.admission.sliding_window import SPAN_MS
 from bendshed.catalog.state import Catalog
 from bendshed.model.service_document import ServiceDocument, Tenant
@@ -321,7 +327,7 @@
 
     def test_a_grant_by_name_opens_nothing_else(self) -> None:
         self.gate.take_allowance("t", 2, 0.0)
-        self.gate.news(USABLE_S)
+        self.gate.unreported(USABLE_S)
         self.gate.spend_granted("t", 3, 5.0)  # with the lapsed allowance, which was counted then
         self.assertEqual(self.gate.total("t"), 3)
         self.assertFalse(self.gate.try_spend("t", 5.1))
@@ -334,33 +340,55 @@
 
     def test_what_was_let_through_is_told_until_it_is_committed(self) -> None:
         self.gate.spend_granted("t", 1, 0.0)
-        (first,) = self.gate.news(0.1)
+        (first,) = self.gate.unreported(0.1)
         self.gate.spend_granted("t", 2, 0.2)
-        (second,) = self.gate.news(0.2)
+        (second,) = self.gate.unreported(0.2)
         self.assertEqual([first.total, second.total, second.reported], [1, 2, 0])
-        self.gate.note_told([first], 0.3)
-        (third,) = self.gate.news(0.3)
+        self.gate.note_reported([first], 0.3)
+        (third,) = self.gate.unreported(0.3)
         self.assertEqual((third.total, third.reported), (2, 1))
-        self.gate.note_told([third], 0.4)
-        self.assertEqual(self.gate.news(0.5), [])
+        self.gate.note_reported([third], 0.4)
+        self.assertEqual(self.gate.unreported(0.5), [])
 
     def test_a_lapsed_allowance_is_given_back_until_that_is_committed(self) -> None:
         self.gate.take_allowance("t", 2, 0.0)
-        self.assertEqual(self.gate.news(0.5), [])
-        (told,) = self.gate.news(USABLE_S)
+        self.assertEqual(self.gate.unreported(0.5), [])
+        (told,) = self.gate.unreported(USABLE_S)
         self.assertEqual((told.total, told.lapsed_ceiling), (0, 2))
-        (again,) = self.gate.news(USABLE_S + 0.1)
+        (again,) = self.gate.unreported(USABLE_S + 0.1)
         self.assertEqual(again.lapsed_ceiling, 2)
-        self.gate.note_told([again], USABLE_S + 0.2)
-        self.assertEqual(self.gate.news(USABLE_S + 0.3), [])
+        self.gate.note_reported([again], USABLE_S + 0.2)
+        self.assertEqual(self.gate.unreported(USABLE_S + 0.3), [])
 
     def test_only_requests_must_be_told_by_themselves(self) -> None:
         self.gate.take_allowance("t", 2, 0.0)
-        self.gate.news(USABLE_S)
-        self.assertFalse(self.gate.must_tell(5.0, 0.15))
+        self.gate.unreported(USABLE_S)
+        self.assertFalse(self.gate.must_report(5.0, 0.15))
         self.gate.spend_granted("t", 1, 5.0)
-        self.assertFalse(self.gate.must_tell(5.1, 0.15))
-        self.assertTrue(self.gate.must_tell(5.2, 0.15))
+        self.assertFalse(self.gate.must_report(5.1, 0.15))
+        self.assertTrue(self.gate.must_report(5.2, 0.15))
+
+
+class RetryTimeTest(unittest.TestCase):
+    def test_a_quota_frees_a_place_for_each_chain_ahead(self) -> None:
+        waits = [quota_retry_after_ms(lambda count: int(40 * count), 2, ahead) for ahead in (0, 3)]
+        self.assertEqual(waits, [MIN_RETRY_AFTER_MS, 200])
+
+    def test_chains_ahead_of_a_cold_runner_take_its_next_permits(self) -> None:
+        waits = [cold_retry_after_ms(300, ahead, 20, 1_250) for ahead in (0, 8, 20)]
+        self.assertEqual(waits, [300, 800, 1_550])
+        self.assertEqual(cold_retry_after_ms(0, 0, 20, 1_250), MIN_RETRY_AFTER_MS)
+        self.assertEqual(cold_retry_after_ms(1_250, 2, 0, 1_250), 3_750)
+
+    def test_a_late_chain_is_not_expected_and_nobody_waits_for_itself(self) -> None:
+        schedule = RetrySchedule()
+        for name, returns_ms in (("a", 100), ("b", 2_000)):
+            schedule.note(("program", name), returns_ms)
+        self.assertEqual(schedule.num_others(("program", "c"), 600), 2)
+        self.assertEqual(schedule.num_others(("program", "b"), 600), 1)
+        self.assertEqual(schedule.num_others(("program", "c"), 601), 1)
+        schedule.forget(("program", "b"))
+        self.assertEqual(schedule.num_others(("program", "c"), 601), 0)
 
 
 class PromisedTurnTest(unittest.TestCase):
