--- a/src/bendshed/placement/distance.py
+++ b/src/bendshed/placement/distance.py
@@ -1,8 +1,8 @@
-"""What it costs a turn that its runner stands far from the node that asks. Pure.
+"""What a turn loses by the distance between its node and its runner. Pure.
 
-One unit as everywhere in `placement/`: milliseconds of the turn. A way costs its round trip, since
-the first event comes that much later; a new connection costs one more; bytes cost what operators
-say they do.
+The unit is milliseconds of the turn, as everywhere in `placement/`. A path costs its round trip,
+since the first event comes that much later; a new connection costs one round trip more; bytes cost
+what operators set.
 """
 
 from collections.abc import Mapping
@@ -18,14 +18,15 @@
     Distance.SAME_REGION: 2.0,
     Distance.OTHER_REGION: 60.0,
 }
-"""Round trips until any of the kind was measured, some seconds after a leader's start: zones of a
-region are 1 to 3 ms apart on today's sites, their regions 60 ms."""
+"""Round trips, in milliseconds, assumed until one of the kind was measured, some seconds after a
+leader's start: zones of a region were measured 1 to 3 ms apart, regions 60 ms."""
 NEW_CONNECTION_MS = 30.0
-"""A handshake that occupies a slot; and operators pay for connections. At 60 ms bursts gathered on
-few runners (docs/POLICY.md). The round trip of the handshake comes on top."""
+"""Cost, in milliseconds, of a new connection beside its round trip: the handshake occupies a slot,
+and operators pay for connections. At 60 ms bursts gathered on few runners, and a day's score of
+worth served lay at 0.60 to 0.73 in the burst."""
 ANSWER_TOKEN_BYTES = 8
-"""Of an answer, for each token: four of text and as many of the events' frames. Assumed; only
-prices of bytes and the link's rate use it, and both are unset unless operators tell them."""
+"""Bytes of an answer for each token: four of text and four of the events' frames. Assumed, not
+measured; used only with prices of bytes and the link's rate, which are unset by default."""
 KILOBYTE = 1000.0
 
 Price = Annotated[float, Meta(ge=0)]
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkTerms:
-    """What no node can measure, told by operators in the settings' section ``placement``.
+    """What no node can measure: the settings' section ``placement``.
 
     Attributes:
         zone_ms_per_kb: a kilobyte that leaves its zone is worth this much of a turn's time; 0:
@@ -54,7 +55,7 @@
 
 @dataclass(slots=True)
 class DistanceCosts:
-    """Costs by what lies between a node and a runner.
+    """Costs by the distance between a node and a runner.
 
     Attributes:
         measured_ms: round trips by kind; kinds that were not measured are assumed.
@@ -65,16 +66,16 @@
     terms: LinkTerms = field(default_factory=LinkTerms)
     measured_ms: Mapping[Distance, float] = field(default_factory=dict)
 
-    def ways(self, zone: str, num_bytes: int) -> "TurnWays":
+    def paths(self, zone: str, num_bytes: int) -> "TurnPaths":
         """Costs of one turn by the runner's zone; see ``cost_ms``."""
-        return TurnWays(self, zone, num_bytes)
+        return TurnPaths(self, zone, num_bytes)
 
     def cost_ms(self, kind: Distance, is_connected: bool, num_bytes: int) -> float:
         """What a turn loses over such a distance, in milliseconds.
 
         Args:
-            kind: what lies between the node and the runner.
-            is_connected: an idle connection leads there; else one is opened first.
+            kind: distance between the node and the runner.
+            is_connected: the node has an idle connection there; else one is opened first.
             num_bytes: that the turn moves, there and back.
 
         """
@@ -83,7 +84,7 @@
         return cost_ms if is_connected else cost_ms + NEW_CONNECTION_MS + trip_ms
 
     def _trip_ms(self, kind: Distance) -> float:
-        """Within a zone nothing: it is what every choice has in common."""
+        """0 within a zone: every choice has that in common."""
         if kind is Distance.SAME_ZONE:
             return 0.0
         return self.measured_ms.get(kind, UNMEASURED_MS[kind])
@@ -97,12 +98,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WayCost:
-    """What a turn loses on its way to runners of one zone.
+class PathCost:
+    """What a turn loses by the path to runners of one zone.
 
     Attributes:
-        connected_ms: where a connection rests.
-        new_ms: where one is opened first.
+        connected_ms: over an idle connection.
+        new_ms: over one that is opened first.
 
     """
 
@@ -111,8 +112,8 @@
     new_ms: float
 
 
-class TurnWays(dict[str, WayCost]):
-    """Costs of one turn by the runner's zone, each worked out once: many runners share a zone."""
+class TurnPaths(dict[str, PathCost]):
+    """Costs of one turn by the runner's zone, each computed once: many runners share a zone."""
 
     def __init__(self, costs: DistanceCosts, zone: str, num_bytes: int) -> None:
         super().__init__()
@@ -120,15 +121,15 @@
         self._zone = zone
         self._num_bytes = num_bytes
 
-    def __missing__(self, zone: str) -> WayCost:
-        """Work out the costs of a zone that is asked for first."""
+    def __missing__(self, zone: str) -> PathCost:
+        """Compute the costs of a zone at its first look-up."""
         kind = self._costs.places.distance(self._zone, zone)
         connected_ms = self._costs.cost_ms(kind, True, self._num_bytes)
         new_ms = self._costs.cost_ms(kind, False, self._num_bytes)
-        self[zone] = WayCost(kind, connected_ms, new_ms)
+        self[zone] = PathCost(kind, connected_ms, new_ms)
         return self[zone]
 
     @property
     def has_far(self) -> bool:
-        """Whether any zone that was asked for stands in another region."""
-        return any(way.kind is Distance.OTHER_REGION for way in self.values())
+        """Whether any zone that was looked up is in another region."""
+        return any(path.kind is Distance.OTHER_REGION for path in self.values())
--- a/src/bendshed/placement/other_loads.py
+++ b/src/bendshed/placement/other_loads.py
@@ -1,17 +1,19 @@
-"""What the leaders of other groups have under way at each runner, as they tell it. Pure."""
+"""Load that leaders of other groups placed at runners, as they reported it. Pure."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-KEPT_S = 1.5
-"""What was told longer ago counts no more: a turn takes a fraction of it."""
+REPORT_VALID_S = 1.5
+"""Age, in seconds, at which a report stops counting: six missed reports, and some six lengths of a
+turn, so the turns that it counted have ended."""
 MAX_COUNTED = 64
-"""Turns at one runner that one leader's word may count for; no runner has as many slots."""
+"""Turns at one runner that one leader's report counts for at most; bounds the harm of a wrong
+report. No runner has as many slots."""
 
 
 @dataclass(frozen=True, slots=True)
 class OtherLoad:
-    """Turns under way at one runner, and their prompts and worst outputs."""
+    """Running turns at one runner, and the tokens of their prompts and longest answers."""
 
     num_running: int
     num_tokens: int
@@ -21,46 +23,50 @@
 
 
 @dataclass(slots=True)
-class _Told:
+class _Report:
+    """A leader's latest report, with both its own time and the steady time of its arrival."""
+
     at_ms: int
-    told_s: float
+    received_s: float
     loads: dict[str, OtherLoad]
 
 
 @dataclass(slots=True)
 class OtherLoads:
-    """The newest word of each other leader."""
+    """The latest report of each other leader."""
 
-    _told: dict[str, _Told] = field(default_factory=dict)
+    _reports: dict[str, _Report] = field(default_factory=dict)
 
     def take(
         self, sender: str, at_ms: int, loads: Iterable[tuple[str, OtherLoad]], now_s: float
     ) -> None:
-        """Take a leader's whole word; one that was overtaken by a newer one changes nothing.
+        """Take a leader's report, which replaces its last one; an older one changes nothing.
 
         Args:
-            sender: one life of a leader.
+            sender: one incarnation of a leader.
             at_ms: of the sender's clock.
             loads: by runner.
             now_s: steady time.
 
         """
-        known = self._told.get(sender)
+        known = self._reports.get(sender)
         if known is not None and at_ms <= known.at_ms:
             return
         bounded = {
             runner: OtherLoad(min(load.num_running, MAX_COUNTED), load.num_tokens)
             for runner, load in loads
         }
-        self._told[sender] = _Told(at_ms, now_s, bounded)
+        self._reports[sender] = _Report(at_ms, now_s, bounded)
 
     def at(self, runner_id: str, now_s: float) -> OtherLoad:
-        """What all others have at a runner."""
-        if not self._told:
+        """Load of all other leaders at a runner; forgets reports that stopped counting."""
+        if not self._reports:
             return NO_LOAD
-        self._told = {
-            sender: told for sender, told in self._told.items() if now_s - told.told_s < KEPT_S
+        self._reports = {
+            sender: report
+            for sender, report in self._reports.items()
+            if now_s - report.received_s < REPORT_VALID_S
         }
-        found = [told.loads.get(runner_id, NO_LOAD) for told in self._told.values()]
+        found = [report.loads.get(runner_id, NO_LOAD) for report in self._reports.values()]
         num_running = sum(load.num_running for load in found)
         return OtherLoad(num_running, sum(load.num_tokens for load in found))
--- /dev/null
+++ b/src/bendshed/placement/placement_cost.py
@@ -0,0 +1,128 @@
+"""What a turn loses at a runner, in milliseconds of the turn. Pure.
+
+Holds every weight of a placement. All terms have one unit, so that they can be added: waiting for a
+slot, reading prompt parts that the runner does not hold, slowing down the turns that run there,
+slowness, failures, memory, distance, a new connection, a cold cache.
+"""
+
+from dataclasses import dataclass
+
+from bendshed.model.runner import ServiceRunner
+from bendshed.placement.distance import PathCost
+from bendshed.placement.other_loads import OtherLoad
+from bendshed.placement.prompt_cache import PromptCache
+from bendshed.placement.runner_load import RunnerLoad
+from bendshed.placement.turn_demand import Demand
+
+READ_TOKENS_PER_MS = 80.0
+"""Prompt tokens that a runner reads in a millisecond; model engines were seen to read 65 to 163."""
+HISTORY_WEIGHT = 3.0
+"""Factor on the reading time of a program's own history (all parts but the first of several).
+Reading it again also stops the turns beside it, and no other program uses the result; the first
+part is shared. Keeps chains at their runner: over a full day of 171 fronts, at 1 they left it for
+three running turns, 10 million prompt tokens were read instead of 6, and 87.8% of the work was
+served instead of 94.6% (measured together with SLOW_FROM)."""
+MIN_RUNNING_MS = 4.0
+"""Least cost, in milliseconds, of one more running turn to the others at its runner. While a turn
+runs, about as many others begin there as run beside it, and each stops it while its prompt is read;
+so a running turn costs the mean reading time, and at least this."""
+COLD_MS = 120.0
+"""Added to a cold runner's cost, in milliseconds, so that warm runners with room come first.
+Warm runners with free slots differ by less: six running turns at 10 ms each, 30 ms for a
+connection, 24 ms for 650 tokens of history. Three turns of 250 ms that wait for one of six slots
+cost 125 ms: then the cold runner gets work. Its slowness is counted by its measured pace."""
+COLD_FIRST_MS = 60.0
+"""The same for a program's first turn: it has no history, so it reads only shared parts there, and
+these are cached by the time the runner is warm."""
+FAILED_TURN_MS = 1_000.0
+"""Cost of a failed turn, in milliseconds: its client starts it again after up to 0.4 s. More than
+any wait for a slot, so a runner that fails gets work only when all do."""
+MEMORY_SHARE = 0.8
+"""Share of a runner's memory that running turns may fill; beyond it the engine preempts the newest
+turn, which costs the length of a turn."""
+SILENT_TURNS = 4.0
+"""Mean turn lengths without any end, while turns run, from which on a runner counts as slow.
+Counted from the latest end: counted from the oldest turn's begin, one stuck turn in 24 marked its
+runner as slow."""
+SLOW_FROM = 2.5
+"""Ratio to the pool's median time between events from which on a runner counts as slow. Smaller
+ratios are chance: in a burst, prompts read in between make a mean of three turns 1.5 times as
+long."""
+
+
+@dataclass(frozen=True, slots=True)
+class PoolTimes:
+    """Means over the runners of a service at the time of a placement.
+
+    Attributes:
+        turn_ms: length of a turn.
+        reading_ms: time in which a turn's prompt is read.
+        event_gap_ms: median of the runners' times between events; 0: unknown.
+        now_s: steady time of the placement.
+
+    """
+
+    turn_ms: float
+    reading_ms: float
+    event_gap_ms: float
+    now_s: float
+
+
+def cost_ms(
+    demand: Demand,
+    runner: ServiceRunner,
+    load: RunnerLoad,
+    elsewhere: OtherLoad,
+    path: PathCost,
+    pool: PoolTimes,
+) -> float:
+    """Milliseconds that a turn is expected to lose at a runner; a cold one costs ``cold_ms`` more.
+
+    Args:
+        demand: the turn.
+        runner: as listed.
+        load: turns that this leader placed there, and what they showed of the runner.
+        elsewhere: what leaders of other groups placed there.
+        path: distance from the requesting node.
+        pool: means to compare with.
+
+    """
+    num_running = len(load.turns) + elsewhere.num_running
+    slowness = _slowness(load, pool)
+    waiting_ms = _waiting_ms(runner.slots, num_running, pool.turn_ms)
+    reading_ms = _reading_ms(demand, load.cache)
+    running_ms = max(MIN_RUNNING_MS, pool.reading_ms) * num_running
+    lost_ms = slowness * (waiting_ms + reading_ms + running_ms)
+    lost_ms += (slowness - 1.0) * pool.turn_ms
+    lost_ms += FAILED_TURN_MS * load.health.failures_now(pool.now_s)
+    wanted_tokens = load.num_tokens + elsewhere.num_tokens + demand.most_kv_tokens
+    if wanted_tokens > MEMORY_SHARE * load.cache.capacity_tokens:
+        lost_ms += pool.turn_ms
+    if runner.runner_id in demand.avoided:
+        lost_ms += FAILED_TURN_MS
+    is_connected = runner.runner_id in demand.connected
+    return lost_ms + (path.connected_ms if is_connected else path.new_ms)
+
+
+def cold_ms(demand: Demand) -> float:
+    """What a turn loses at a cold runner on top."""
+    return COLD_MS if demand.ran_at else COLD_FIRST_MS
+
+
+def _slowness(load: RunnerLoad, pool: PoolTimes) -> float:
+    """How many times as long a turn takes there as at the median runner; at least 1."""
+    by_pace = load.health.slowness_now(pool.event_gap_ms, pool.now_s, SLOW_FROM)
+    return max(by_pace, 1000 * load.silent_s(pool.now_s) / (SILENT_TURNS * pool.turn_ms))
+
+
+def _waiting_ms(num_slots: int, num_running: int, turn_ms: float) -> float:
+    """Until one of the slots is free; they become free evenly within the length of a turn."""
+    num_waiting = max(0, num_running + 1 - num_slots)
+    return turn_ms * num_waiting / num_slots
+
+
+def _reading_ms(demand: Demand, cache: PromptCache) -> float:
+    """Reading what the runner does not hold of the prompt; own history weighs more."""
+    unread = demand.prompt_tokens - cache.cached_tokens(demand.parts)
+    unread_own = min(unread, demand.own_tokens)
+    return (unread - unread_own + HISTORY_WEIGHT * unread_own) / READ_TOKENS_PER_MS
--- /dev/null
+++ b/src/bendshed/placement/running_turns.py
@@ -0,0 +1,147 @@
+"""Running turns by runner, and what they showed of it: load, prompt cache, health. Pure.
+
+Owns the counts that a placement is decided from. A turn counts at one runner from its placement
+until its end or its deadline; nothing is replicated, so a new leader starts with no turns and has
+all of them after the length of one turn.
+"""
+
+import heapq
+from collections.abc import Collection, Iterable
+
+from bendshed.model.runner import ServiceRunner
+from bendshed.placement.other_loads import OtherLoad
+from bendshed.placement.placement_cost import MIN_RUNNING_MS, READ_TOKENS_PER_MS
+from bendshed.placement.prompt_cache import PromptCache
+from bendshed.placement.runner_load import RunnerLoad, RunningTurn
+from bendshed.placement.spill import SpillGate
+from bendshed.placement.turn_demand import Demand, Ended
+
+FIRST_TURN_MS = 250.0
+"""Mean length of a turn, in milliseconds, until the first one has ended."""
+TURN_WEIGHT = 0.05
+"""Weight of the newest turn in the mean length and reading time: about 20 turns show a change."""
+MAX_CHAINS = 20_000
+"""Chains remembered as placed by this leader; bounds their memory to about 2 MB."""
+DEFAULT_CAPACITY_TOKENS = 50_000
+"""Memory of a runner, in tokens, where the configuration gives none."""
+
+
+class RunningTurns:
+    """Running turns by runner.
+
+    Invariants: a turn counts at one runner at most; ``RunnerLoad.num_tokens`` is the sum over its
+    turns; ``spill`` counts no turn that does not run.
+
+    Attributes:
+        turn_ms: mean length of a turn.
+        reading_ms: mean time in which a turn's prompt is read.
+        spill: bounds the turns that run outside their region.
+
+    """
+
+    def __init__(self, spill: SpillGate) -> None:
+        self.turn_ms = FIRST_TURN_MS
+        self.reading_ms = MIN_RUNNING_MS
+        self.spill = spill
+        self._loads: dict[str, RunnerLoad] = {}
+        self._runner_of: dict[str, str] = {}
+        self._deadlines: list[tuple[float, str]] = []
+        self._chains: dict[str, None] = {}
+
+    @property
+    def num_running(self) -> int:
+        """Turns that run."""
+        return len(self._runner_of)
+
+    def at(self, runner_id: str) -> RunnerLoad:
+        """What is known of a runner that ``meet`` was called with."""
+        return self._loads[runner_id]
+
+    def loads(self) -> list[tuple[str, OtherLoad]]:
+        """Load by runner, for the leaders of other groups; idle runners are left out."""
+        return [
+            (runner_id, OtherLoad(len(load.turns), load.num_tokens))
+            for runner_id, load in self._loads.items()
+            if load.turns
+        ]
+
+    def meet(self, runners: Iterable[ServiceRunner], capacity_tokens: int) -> None:
+        """Start a record of each runner that has none.
+
+        Args:
+            runners: candidates of a placement.
+            capacity_tokens: memory of each; 0: unknown.
+
+        """
+        for runner in runners:
+            if runner.runner_id not in self._loads:
+                cache = PromptCache(capacity_tokens or DEFAULT_CAPACITY_TOKENS)
+                self._loads[runner.runner_id] = RunnerLoad(cache)
+
+    def learn_cache(self, demand: Demand) -> None:
+        """Assume a chain's prompt at the runner of its program's latest turn.
+
+        Only for chains that this leader has not placed yet: a new leader knows of no cached prompt.
+        """
+        load = self._loads.get(demand.ran_at)
+        if load is not None and demand.chain not in self._chains:
+            load.cache.note_read(demand.parts)
+
+    def begin(self, demand: Demand, runner_id: str, now_s: float) -> None:
+        """Count a turn at a runner; one that is placed again moves there."""
+        self._remove(demand.turn_id)
+        load = self._loads[runner_id]
+        tokens = demand.most_kv_tokens
+        load.turns[demand.turn_id] = RunningTurn(runner_id, tokens, now_s)
+        load.num_tokens += tokens
+        unread = demand.prompt_tokens - load.cache.cached_tokens(demand.parts)
+        self.reading_ms += TURN_WEIGHT * (unread / READ_TOKENS_PER_MS - self.reading_ms)
+        load.cache.note_read(demand.parts)
+        self._remember_chain(demand.chain)
+        self._runner_of[demand.turn_id] = runner_id
+        heapq.heappush(self._deadlines, (now_s + demand.left_s, demand.turn_id))
+
+    def _remember_chain(self, chain: str) -> None:
+        self._chains[chain] = None
+        if len(self._chains) > MAX_CHAINS:
+            del self._chains[next(iter(self._chains))]
+
+    def end(self, ended: Ended, now_s: float) -> None:
+        """Stop counting a turn, answered or not, and take what its node saw of runners."""
+        turn = self._remove(ended.turn_id)
+        if turn is not None and turn.runner_id == ended.runner_id:
+            took_ms = 1000 * (now_s - turn.began_s)
+            self.turn_ms += TURN_WEIGHT * (took_ms - self.turn_ms)
+        load = self._loads.get(ended.runner_id)
+        if load is not None:
+            load.ended_s = now_s
+            load.health.note_try(False, now_s)
+            if ended.gap_ms:
+                load.health.note_pace(ended.gap_ms, now_s)
+        for runner_id in ended.failed:
+            failing = self._loads.get(runner_id)
+            if failing is not None:
+                failing.health.note_try(True, now_s)
+
+    def _remove(self, turn_id: str) -> RunningTurn | None:
+        self.spill.end(turn_id)
+        runner_id = self._runner_of.pop(turn_id, None)
+        if runner_id is None:
+            return None
+        load = self._loads[runner_id]
+        turn = load.turns.pop(turn_id)
+        load.num_tokens -= turn.tokens
+        return turn
+
+    def end_overdue(self, now_s: float) -> None:
+        """Stop counting turns whose deadline has passed: the reports of their nodes were lost."""
+        while self._deadlines and self._deadlines[0][0] <= now_s:
+            _, turn_id = heapq.heappop(self._deadlines)
+            self._remove(turn_id)
+
+    def keep_only(self, listed: Collection[str]) -> None:
+        """Forget runners that are not listed any more, with their turns."""
+        for runner_id in [name for name in self._loads if name not in listed]:
+            for turn_id in self._loads.pop(runner_id).turns:
+                del self._runner_of[turn_id]
+                self.spill.end(turn_id)
--- a/src/bendshed/placement/spill.py
+++ b/src/bendshed/placement/spill.py
@@ -1,29 +1,31 @@
-"""How much work may leave its own region at the same time. Pure.
+"""Decides whether a turn may be redirected to another region, and bounds how many are. Pure.
 
-The costs of `placement/cluster_load.py` say when a runner of another region is the better one. That
-alone would swing: a burst makes the own pool dear for all at once, and the other region's runners
-and the link would get what they can't bear. So the first turns leave only for a clear gain, no
-more are away than the other region has places to spare for, and no more bytes leave than the link
-carries.
+The costs of `placement/placement_cost.py` show when a runner of another region is the better one.
+Cost alone oscillates: a burst raises the cost of a whole region at once, and the other region's
+runners and the link would get more than they can serve. So redirection starts only at a clear
+gain, redirected turns take a bounded share of the other regions' slots, and their bytes a bounded
+share of the link.
 """
 
 from dataclasses import dataclass, field
 
 MARGIN_MS = 20.0
-"""Least gain for which work begins to leave its region: some three turns' reading time, by which
-two runners of one pool differ at any moment."""
-KEPT_S = 1.0
-"""So long after a turn has left, any gain is enough: some three lengths of a turn."""
+"""Least gain, in milliseconds, at which redirection starts: three turns' reading time, by which two
+runners of one pool differ by chance."""
+SPILLING_S = 1.0
+"""For this long after a redirected turn any gain is enough: about three lengths of a turn, so that
+redirection does not start and stop with each turn."""
 SLOTS_SHARE = 0.5
-"""Most of the other regions' places that this region's turns may take: they have work of their own,
-and its burst may come next."""
+"""Share of the other regions' slots that redirected turns may take; protects those regions' own
+work, whose burst may come next."""
 BROKEN_GAIN_MS = 500.0
-"""From this gain on the own region's runners fail or hang, as no mere load makes them: then the
-other regions' places do not bound what leaves."""
+"""Gain, in milliseconds, from which on the region's runners must be failing or hanging, since load
+alone does not raise costs so far: the other regions' slots are no bound then."""
 LINK_SHARE = 0.5
-"""Most of the link's rate for bodies and answers of turns; its other traffic must not wait."""
+"""Share of the link's rate for bodies and answers of redirected turns; protects its other traffic
+(replication, catalog) from waiting."""
 BURST_S = 0.5
-"""Bytes of so long a time may leave at once."""
+"""Redirected bytes may come at once for this long a time of their rate."""
 BYTES_PER_MBIT = 125_000
 
 
@@ -31,54 +33,56 @@
 class SpillGate:
     """Decides whether one more turn may run in another region than its node's.
 
+    Invariant: it counts each running redirected turn once.
+
     Attributes:
-        region_mbit_per_s: what the link carries; 0: not known, then the places alone bound it.
+        region_mbit_per_s: rate of the link; 0: unknown, so only slots are a bound.
 
     """
 
     region_mbit_per_s: float = 0.0
-    _left_s: float = float("-inf")
-    _room_bytes: float = 0.0
-    _filled_s: float = float("-inf")
+    _redirected_s: float = float("-inf")
+    _credit_bytes: float = 0.0
+    _refilled_s: float = float("-inf")
     _away: set[str] = field(default_factory=set)
 
     @property
     def num_away(self) -> int:
-        """Turns under way outside their region."""
+        """Redirected turns that run."""
         return len(self._away)
 
-    def may_leave(self, gain_ms: float, num_slots: int, num_bytes: int, now_s: float) -> bool:
-        """Whether a turn may leave.
+    def may_redirect(self, gain_ms: float, num_slots: int, num_bytes: int, now_s: float) -> bool:
+        """Whether a turn may be redirected.
 
         Args:
-            gain_ms: what it loses less elsewhere.
-            num_slots: of the runners of other regions.
-            num_bytes: that it moves.
+            gain_ms: cost of its region's best runner above that of the other regions' best.
+            num_slots: of the other regions' runners.
+            num_bytes: of its body and longest answer.
             now_s: steady time.
 
         """
-        margin_ms = 0.0 if now_s - self._left_s < KEPT_S else MARGIN_MS
+        margin_ms = 0.0 if now_s - self._redirected_s < SPILLING_S else MARGIN_MS
         is_bounded = gain_ms < BROKEN_GAIN_MS
         if gain_ms <= margin_ms or (is_bounded and self.num_away >= SLOTS_SHARE * num_slots):
             return False
-        return not self.region_mbit_per_s or self._room(now_s) >= min(num_bytes, self._most_bytes)
+        return not self.region_mbit_per_s or self._credit(now_s) >= min(num_bytes, self._most_bytes)
 
     def begin(self, turn_id: str, num_bytes: int, now_s: float) -> None:
-        """A turn left its region."""
-        self._left_s = now_s
-        self._room_bytes = self._room(now_s) - num_bytes
-        self._filled_s = now_s
+        """Count a redirected turn, also one that had no eligible runner in its region."""
+        self._redirected_s = now_s
+        self._credit_bytes = self._credit(now_s) - num_bytes
+        self._refilled_s = now_s
         self._away.add(turn_id)
 
     def end(self, turn_id: str) -> None:
-        """A turn is over, wherever it ran."""
+        """Stop counting a turn, redirected or not."""
         self._away.discard(turn_id)
 
-    def _room(self, now_s: float) -> float:
-        """Bytes that may leave at this moment; negative after turns that had no choice."""
+    def _credit(self, now_s: float) -> float:
+        """Bytes that may be redirected now; negative after turns that had no other region."""
         return min(
             self._most_bytes,
-            self._room_bytes + self._bytes_per_s * min(now_s - self._filled_s, 60.0),
+            self._credit_bytes + self._bytes_per_s * min(now_s - self._refilled_s, 60.0),
         )
 
     @property
@@ -87,5 +91,5 @@
 
     @property
     def _most_bytes(self) -> float:
-        """Of one burst; a turn that moves more leaves too, and those behind it wait longer."""
+        """Of one burst; a larger turn may be redirected too, and the next ones wait longer."""
         return BURST_S * self._bytes_per_s
--- /dev/null
+++ b/src/bendshed/placement/turn_demand.py
@@ -0,0 +1,73 @@
+"""What a turn needs of a runner, and what its node saw when it ended: frozen values."""
+
+from collections.abc import Collection, Sequence
+from dataclasses import dataclass, field
+
+from bendshed.model.prompt import PromptPart
+from bendshed.placement.distance import ANSWER_TOKEN_BYTES
+
+
+@dataclass(frozen=True, slots=True)
+class Demand:
+    """What a turn needs of a runner.
+
+    Attributes:
+        chain: id of its chain, whose turns share their prompts; ranks runners of equal cost.
+        parts: its prompt, first part first.
+        most_tokens: most that it may generate.
+        left_s: until its deadline; after that it counts as ended.
+        connected: runners to which the requesting node has an idle connection.
+        avoided: runners that failed the requesting node less than 2 s ago.
+        zone: the requesting node's.
+        ran_at: runner of the program's latest turn, known to a new leader too; empty: none.
+        body_bytes: of the request to the runner.
+        prompt_tokens: length of the whole prompt; summed once, since every candidate needs it.
+        own_tokens: of it, the program's own: all but the first of several parts.
+
+    """
+
+    turn_id: str
+    chain: str
+    parts: Sequence[PromptPart]
+    most_tokens: int
+    left_s: float
+    connected: Collection[str] = ()
+    avoided: Collection[str] = ()
+    zone: str = ""
+    ran_at: str = ""
+    body_bytes: int = 0
+    prompt_tokens: int = field(init=False)
+    own_tokens: int = field(init=False)
+
+    def __post_init__(self) -> None:
+        prompt_tokens = sum(part.tokens for part in self.parts)
+        shared_tokens = self.parts[0].tokens if len(self.parts) > 1 else 0
+        object.__setattr__(self, "prompt_tokens", prompt_tokens)
+        object.__setattr__(self, "own_tokens", prompt_tokens - shared_tokens)
+
+    @property
+    def most_kv_tokens(self) -> int:
+        """Memory that it may need at a runner: its prompt and its longest answer."""
+        return self.prompt_tokens + self.most_tokens
+
+    @property
+    def moved_bytes(self) -> int:
+        """Of the turn's body and its longest answer."""
+        return self.body_bytes + ANSWER_TOKEN_BYTES * self.most_tokens
+
+
+@dataclass(frozen=True, slots=True)
+class Ended:
+    """What the node of a turn saw.
+
+    Attributes:
+        runner_id: whose answer was passed on; empty: none.
+        gap_ms: mean time between events; 0: unknown.
+        failed: runners whose answers broke or that were not reached.
+
+    """
+
+    turn_id: str
+    runner_id: str = ""
+    gap_ms: float = 0.0
+    failed: Collection[str] = ()
--- a/src/bendshed/turns/load_exchange.py
+++ b/src/bendshed/turns/load_exchange.py
@@ -1,4 +1,4 @@
-"""Leaders of different groups tell each other what they have under way at runners."""
+"""Leaders of different groups report the load that each placed at runners to each other."""
 
 import asyncio
 
@@ -12,14 +12,15 @@
 from bendshed.wire import turns_pb2 as wire
 
 LOADS_METHOD = "turns.loads"
-TELL_INTERVAL_S = 0.25
-"""A turn takes about as long; one message has some 20 bytes a runner."""
+REPORT_INTERVAL_S = 0.25
+"""Time between reports, about the length of a turn; one report has 20 bytes a runner."""
 
 
 class LoadExchange:
-    """One way, a few times a second, from each process that leads to the leaders of the others.
+    """Sends load from each process that leads a group to the leaders of the other groups.
 
-    A process has one board for all groups that it leads, so these need no message.
+    A process has one ``ClusterLoad`` for all groups that it leads, so these need no message. A lost
+    report costs accuracy until the next one.
     """
 
     def __init__(
@@ -28,30 +29,30 @@
         host: GroupHost,
         groups: TurnGroups,
         peers: GroupPeers,
-        board: ClusterLoad,
+        cluster_load: ClusterLoad,
     ) -> None:
         self._transport = transport
         self._host = host
         self._groups = groups
         self._peers = peers
-        self._board = board
-        self._has_told = False
+        self._cluster_load = cluster_load
+        self._has_reported = False
         transport.one_way_handlers[LOADS_METHOD] = self._take
 
     async def run(self) -> None:
-        """Tell, again and again; nobody is told where there is one group."""
+        """Report until cancelled; returns at once where there is one group."""
         while self._groups.count > 1:
-            await asyncio.sleep(TELL_INTERVAL_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             led = self._host.led_groups()
             if led:
-                self._tell(led[0], [n for n in self._groups.numbers if n not in led])
+                self._report(led[0], [n for n in self._groups.numbers if n not in led])
 
-    def _tell(self, own_group: int, others: list[int]) -> None:
-        """Tell the whole load; an empty one once, so that idle leaders are quiet."""
-        own = self._board.own_loads()
-        if not own and not self._has_told:
+    def _report(self, own_group: int, others: list[int]) -> None:
+        """Send the whole load; an empty one once, so that idle leaders send nothing."""
+        own = self._cluster_load.own_loads()
+        if not own and not self._has_reported:
             return
-        self._has_told = bool(own)
+        self._has_reported = bool(own)
         loads = [
             wire.RunnerLoad(
                 runner_id=runner, num_running=load.num_running, num_tokens=load.num_tokens
@@ -59,10 +60,10 @@
             for runner, load in own
         ]
         at_ms = int(asyncio.get_running_loop().time() * 1000)
-        told = wire.RunnerLoads(
+        report = wire.RunnerLoads(
             group=own_group, at_ms=at_ms, loads=loads, sender=self._host.node_id
         )
-        payload = told.SerializeToString()
+        payload = report.SerializeToString()
         for address in self._leaders(others):
             self._transport.send(address, LOADS_METHOD, payload)
 
@@ -71,7 +72,9 @@
         return {address for address in found if address is not None}
 
     def _take(self, payload: bytes) -> None:
-        told = wire.RunnerLoads.FromString(payload)
-        loads = [(row.runner_id, OtherLoad(row.num_running, row.num_tokens)) for row in told.loads]
+        report = wire.RunnerLoads.FromString(payload)
+        loads = [
+            (row.runner_id, OtherLoad(row.num_running, row.num_tokens)) for row in report.loads
+        ]
         now_s = asyncio.get_running_loop().time()
-        self._board.others.take(told.sender, told.at_ms, loads, now_s)
+        self._cluster_load.elsewhere.take(report.sender, report.at_ms, loads, now_s)
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -7,8 +7,9 @@
 from bendshed.logs import PartLog
 from bendshed.model.prompt import PromptPart
 from bendshed.model.runner import ServiceRunner
-from bendshed.placement.cluster_load import ClusterLoad, Demand, Ended
+from bendshed.placement.cluster_load import ClusterLoad, NotPlaced
 from bendshed.placement.distance import DistanceCosts
+from bendshed.placement.turn_demand import Demand, Ended
 from bendshed.turns.cold_admission import ColdAdmission, Openings, PermitRequest, Placement
 from bendshed.wire import turns_pb2 as wire
 
@@ -89,24 +90,24 @@
     def _choose(self, demand: Demand, service: str, openings: Openings, now_s: float) -> str:
         """Id of the runner with the least cost; empty: there is none."""
         memory_tokens = self._memory_tokens(service)
-        advice = self.board.advise(demand, openings.runners, memory_tokens, now_s, openings.cold)
-        if advice is None:
+        placed = self.board.place(demand, openings.runners, memory_tokens, now_s, openings.cold)
+        if isinstance(placed, NotPlaced):
             return ""
         log.say(
             "advises a runner",
             request=demand.turn_id,
-            runner=advice.runner_id,
-            cost_ms=round(advice.cost_ms, 1),
-            distance=advice.distance.value,
-            running_there=advice.num_running,
+            runner=placed.runner_id,
+            cost_ms=round(placed.cost_ms, 1),
+            distance=placed.distance.value,
+            running_there=placed.num_running,
             running=self.board.num_running,
-            cached_tokens=advice.cached_tokens,
+            cached_tokens=placed.cached_tokens,
             prompt_tokens=demand.prompt_tokens,
-            is_connected=advice.runner_id in demand.connected,
-            is_cold=advice.runner_id in openings.cold,
+            is_connected=placed.runner_id in demand.connected,
+            is_cold=placed.runner_id in openings.cold,
             runners_at=self._catalog.runners_at,
         )
-        return advice.runner_id
+        return placed.runner_id
 
     def take_report(self, turn_id: str, report: wire.TurnReport, now_s: float) -> None:
         """A turn has ended."""
@@ -131,7 +132,7 @@
 def _read_demand(begin: wire.BeginTurn, wanted: wire.TurnDemand, ran_at: str) -> Demand:
     return Demand(
         turn_id=begin.turn_id,
-        line=wanted.line,
+        chain=wanted.line,
         parts=[PromptPart(part.part_id, part.tokens) for part in wanted.parts],
         most_tokens=begin.most_tokens,
         left_s=wanted.left_ms / 1000,
--- a/tests/test_distance_placement.py
+++ b/tests/test_distance_placement.py
@@ -7,10 +7,17 @@
 from bendshed.model.places import Distance, Places
 from bendshed.model.prompt import PromptPart
 from bendshed.model.runner import RunnerState, ServiceRunner
-from bendshed.placement.cluster_load import Advice, ClusterLoad, Demand, Ended
+from bendshed.placement.cluster_load import ClusterLoad, Placed
 from bendshed.placement.distance import DistanceCosts, LinkTerms
 from bendshed.placement.node_choice import NodeView, choose_runner
-from bendshed.placement.spill import BROKEN_GAIN_MS, KEPT_S, MARGIN_MS, SLOTS_SHARE, SpillGate
+from bendshed.placement.spill import (
+    BROKEN_GAIN_MS,
+    MARGIN_MS,
+    SLOTS_SHARE,
+    SPILLING_S,
+    SpillGate,
+)
+from bendshed.placement.turn_demand import Demand, Ended
 from bendshed.services.runners import RunnerRecord
 
 PLACES = Places({"a": "east", "b": "east", "x": "west", "y": "west"})
@@ -34,16 +41,16 @@
     def make(self, terms: LinkTerms) -> None:
         self.distance = DistanceCosts(PLACES, terms)
         self.distance.measured_ms = {Distance.SAME_REGION: 1.0, Distance.OTHER_REGION: TRIP_MS}
-        self.board = ClusterLoad(random.Random(1), self.distance)
+        self.load = ClusterLoad(random.Random(1), self.distance)
         self.runners = [runner(name) for name in ZONES]
         self.num_turns = 0
 
-    def place(self, now_s: float = 0.0, **changes: object) -> Advice:
+    def place(self, now_s: float = 0.0, **changes: object) -> Placed:
         self.num_turns += 1
         name = f"turn-{self.num_turns}"
         values: dict[str, object] = {
             "turn_id": name,
-            "line": name,
+            "chain": name,
             "parts": (PromptPart(name, 600),),
             "most_tokens": 80,
             "left_s": LONG_S,
@@ -51,17 +58,17 @@
             "connected": set(ZONES),
             **changes,
         }
-        advice = self.board.advise(Demand(**values), self.runners, CAPACITY, now_s)  # type: ignore[arg-type]
-        assert advice is not None
-        return advice
+        placed = self.load.place(Demand(**values), self.runners, CAPACITY, now_s)  # type: ignore[arg-type]
+        assert isinstance(placed, Placed)
+        return placed
 
     def num_away(self, num_turns: int, now_s: float = 0.0, **changes: object) -> int:
         places = [self.place(now_s, **changes) for _ in range(num_turns)]
-        return sum(1 for advice in places if advice.distance is Distance.OTHER_REGION)
+        return sum(1 for placed in places if placed.distance is Distance.OTHER_REGION)
 
     def end_all(self, now_s: float) -> None:
         for number in range(1, self.num_turns + 1):
-            self.board.end(Ended(f"turn-{number}"), now_s)
+            self.load.end(Ended(f"turn-{number}"), now_s)
 
     def test_while_the_own_region_has_places_nothing_leaves_it(self) -> None:
         self.assertEqual(self.num_away(4 * SLOTS), 0)
@@ -87,8 +94,8 @@
         for _ in range(3):
             self.place()
         east = tuple(set(ZONES) - WEST)
-        self.board.end(Ended("turn-1", "", failed=east), 0.0)
-        self.board.end(Ended("turn-2", "", failed=east), 0.0)
+        self.load.end(Ended("turn-1", "", failed=east), 0.0)
+        self.load.end(Ended("turn-2", "", failed=east), 0.0)
         self.assertEqual(self.num_away(3), 3)
 
     def test_a_new_connection_costs_the_way_twice(self) -> None:
@@ -121,44 +128,44 @@
 class SpillGateTest(unittest.TestCase):
     def test_the_first_turn_leaves_for_a_clear_gain_and_the_next_for_any(self) -> None:
         gate = SpillGate()
-        self.assertFalse(gate.may_leave(MARGIN_MS, 24, 0, 0.0))
-        self.assertTrue(gate.may_leave(MARGIN_MS + 1, 24, 0, 0.0))
+        self.assertFalse(gate.may_redirect(MARGIN_MS, 24, 0, 0.0))
+        self.assertTrue(gate.may_redirect(MARGIN_MS + 1, 24, 0, 0.0))
         gate.begin("t1", 0, 0.0)
-        self.assertTrue(gate.may_leave(1.0, 24, 0, 0.9 * KEPT_S))
-        self.assertFalse(gate.may_leave(0.0, 24, 0, 0.9 * KEPT_S))
-        self.assertFalse(gate.may_leave(1.0, 24, 0, 1.1 * KEPT_S))
+        self.assertTrue(gate.may_redirect(1.0, 24, 0, 0.9 * SPILLING_S))
+        self.assertFalse(gate.may_redirect(0.0, 24, 0, 0.9 * SPILLING_S))
+        self.assertFalse(gate.may_redirect(1.0, 24, 0, 1.1 * SPILLING_S))
 
     def test_where_the_own_runners_fail_places_bound_nothing(self) -> None:
         gate = SpillGate()
         for number in range(24):
             gate.begin(f"t{number}", 0, 0.0)
-        self.assertFalse(gate.may_leave(BROKEN_GAIN_MS - 1, 24, 0, 0.0))
-        self.assertTrue(gate.may_leave(BROKEN_GAIN_MS, 24, 0, 0.0))
+        self.assertFalse(gate.may_redirect(BROKEN_GAIN_MS - 1, 24, 0, 0.0))
+        self.assertTrue(gate.may_redirect(BROKEN_GAIN_MS, 24, 0, 0.0))
 
     def test_turns_that_ended_make_room(self) -> None:
         gate = SpillGate()
         for number in range(12):
             gate.begin(f"t{number}", 0, 0.0)
-        self.assertFalse(gate.may_leave(100.0, 24, 0, 0.0))
+        self.assertFalse(gate.may_redirect(100.0, 24, 0, 0.0))
         gate.end("t3")
-        self.assertTrue(gate.may_leave(100.0, 24, 0, 0.0))
+        self.assertTrue(gate.may_redirect(100.0, 24, 0, 0.0))
 
     def test_a_turn_beyond_a_burst_leaves_and_those_behind_it_wait(self) -> None:
         gate = SpillGate(region_mbit_per_s=1.0)
-        self.assertTrue(gate.may_leave(5_000.0, 24, 40_000, 0.0))
+        self.assertTrue(gate.may_redirect(5_000.0, 24, 40_000, 0.0))
         gate.begin("large", 40_000, 0.0)
-        self.assertFalse(gate.may_leave(5_000.0, 24, 1_000, 0.1))
+        self.assertFalse(gate.may_redirect(5_000.0, 24, 1_000, 0.1))
 
     def test_bytes_that_left_without_a_choice_count_too(self) -> None:
         gate = SpillGate(region_mbit_per_s=8.0)
-        self.assertTrue(gate.may_leave(100.0, 24, 200_000, 0.0))
+        self.assertTrue(gate.may_redirect(100.0, 24, 200_000, 0.0))
         gate.begin("forced", 1_000_000, 0.0)
-        self.assertFalse(gate.may_leave(100.0, 24, 10_000, 1.0))
-        self.assertTrue(gate.may_leave(100.0, 24, 10_000, 3.0))
+        self.assertFalse(gate.may_redirect(100.0, 24, 10_000, 1.0))
+        self.assertTrue(gate.may_redirect(100.0, 24, 10_000, 3.0))
 
 
 class OwnChoiceTest(unittest.TestCase):
-    """What a front chooses without advice."""
+    """What a front chooses without placed."""
 
     def setUp(self) -> None:
         self.records = {name: RunnerRecord(runner(name)) for name in ZONES}
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -6,17 +6,12 @@
 from bendshed.model.address import Address
 from bendshed.model.prompt import PromptPart
 from bendshed.model.runner import RunnerState, ServiceRunner
-from bendshed.placement.cluster_load import (
-    FAILED_TURN_MS,
-    FIRST_TURN_MS,
-    MAX_CANDIDATES,
-    Advice,
-    ClusterLoad,
-    Demand,
-    Ended,
-)
+from bendshed.placement.cluster_load import MAX_CANDIDATES, ClusterLoad, NotPlaced, Placed
+from bendshed.placement.placement_cost import FAILED_TURN_MS
 from bendshed.placement.prompt_cache import PromptCache
 from bendshed.placement.runner_health import HALF_LIFE_S, RunnerHealth, median_pace
+from bendshed.placement.running_turns import FIRST_TURN_MS
+from bendshed.placement.turn_demand import Demand, Ended
 
 SLOTS = 6
 CAPACITY = 60_000
@@ -29,7 +24,7 @@
 
 class ColdCostTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.board = ClusterLoad(random.Random(1))
+        self.load = ClusterLoad(random.Random(1))
         self.num_turns = 0
 
     def place(self, ran_at: str = "") -> str:
@@ -38,9 +33,9 @@
         parts = (PromptPart("shared", 500), PromptPart(name, 300))
         demand = Demand(name, name, parts, 80, LONG_S, zone="z", ran_at=ran_at)
         pool = [runner("warm"), runner("cold")]
-        advice = self.board.advise(demand, pool, CAPACITY, 0.0, cold={"cold"})
-        assert advice is not None
-        return advice.runner_id
+        placed = self.load.place(demand, pool, CAPACITY, 0.0, cold={"cold"})
+        assert isinstance(placed, Placed)
+        return placed.runner_id
 
     def test_a_cold_runner_is_filled_when_the_warm_one_is_loaded(self) -> None:
         chosen = [self.place() for _ in range(20)]
@@ -50,13 +45,13 @@
 
     def test_first_turns_come_to_it_sooner_than_those_with_a_history(self) -> None:
         before = [self.place(ran_at="warm") for _ in range(12)].count("warm")
-        self.board = ClusterLoad(random.Random(1))
+        self.load = ClusterLoad(random.Random(1))
         self.assertLess([self.place() for _ in range(12)].count("warm"), before)
 
 
-class LoadBoardTest(unittest.TestCase):
+class ClusterLoadTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.board = ClusterLoad(random.Random(1))
+        self.load = ClusterLoad(random.Random(1))
         self.runners = [runner(name) for name in "abcde"]
         self.num_turns = 0
 
@@ -64,7 +59,7 @@
         self.num_turns += 1
         values: dict[str, object] = {
             "turn_id": f"turn-{self.num_turns}",
-            "line": line or f"line-{self.num_turns}",
+            "chain": line or f"line-{self.num_turns}",
             "parts": (PromptPart(line or f"line-{self.num_turns}", tokens),),
             "most_tokens": 80,
             "left_s": LONG_S,
@@ -72,18 +67,22 @@
         }
         return Demand(**{**values, **changes})  # type: ignore[arg-type]
 
-    def place(self, demand: Demand, now_s: float = 0.0) -> Advice:
-        advice = self.board.advise(demand, self.runners, CAPACITY, now_s)
-        assert advice is not None
-        return advice
+    def place(self, demand: Demand, now_s: float = 0.0) -> Placed:
+        placed = self.load.place(demand, self.runners, CAPACITY, now_s)
+        assert isinstance(placed, Placed)
+        return placed
 
-    def end(self, demand: Demand, advice: Advice, now_s: float, gap_ms: float = 30.0) -> None:
-        self.board.end(Ended(demand.turn_id, advice.runner_id, gap_ms), now_s)
+    def num_at(self, runner_id: str) -> int:
+        loads = dict(self.load.own_loads())
+        return loads[runner_id].num_running if runner_id in loads else 0
+
+    def end(self, demand: Demand, placed: Placed, now_s: float, gap_ms: float = 30.0) -> None:
+        self.load.end(Ended(demand.turn_id, placed.runner_id, gap_ms), now_s)
 
     def test_turns_of_all_nodes_spread_evenly(self) -> None:
         for _ in range(20):
             self.place(self.demand())
-        loads = [self.board.running_at(runner.runner_id) for runner in self.runners]
+        loads = [self.num_at(runner.runner_id) for runner in self.runners]
         self.assertEqual(loads, [4] * 5)
 
     def test_a_line_stays_where_its_prompt_is_kept_while_there_is_a_slot(self) -> None:
@@ -118,7 +117,7 @@
         shared = PromptPart("shared", 1_000)
         for number in range(20):
             self.place(self.demand(parts=(shared, PromptPart(f"own-{number}", 100))))
-        loads = [self.board.running_at(runner.runner_id) for runner in self.runners]
+        loads = [self.num_at(runner.runner_id) for runner in self.runners]
         self.assertLessEqual(max(loads) - min(loads), 2)
 
     def test_a_line_leaves_a_runner_whose_slots_are_taken(self) -> None:
@@ -143,7 +142,7 @@
     def test_an_idle_connection_is_used_while_it_costs_little(self) -> None:
         for _ in range(5):
             self.assertEqual(self.place(self.demand(connected={"c"})).runner_id, "c")
-        while self.board.running_at("c") < SLOTS + 1:
+        while self.num_at("c") < SLOTS + 1:
             self.place(self.demand(avoided=set("abde")))
         self.assertNotEqual(self.place(self.demand(connected={"c"})).runner_id, "c")
 
@@ -151,58 +150,58 @@
         first = self.demand()
         self.end(first, self.place(first), 0.0)
         for row in self.runners:
-            self.board.end(Ended("old", row.runner_id, 30.0), 0.0)
+            self.load.end(Ended("old", row.runner_id, 30.0), 0.0)
         for _ in range(3):
-            self.board.end(Ended("old", "c", 150.0), 0.0)
+            self.load.end(Ended("old", "c", 150.0), 0.0)
         for _ in range(15):
             self.place(self.demand(left_s=1.0))
-        self.assertEqual(self.board.running_at("c"), 0)
+        self.assertEqual(self.num_at("c"), 0)
         for _ in range(10):
             self.place(self.demand(), 8 * HALF_LIFE_S)
-        self.assertGreater(self.board.running_at("c"), 0)
+        self.assertGreater(self.num_at("c"), 0)
 
     def test_when_all_others_are_full_a_slow_runner_is_used(self) -> None:
         self.place(self.demand())
         for row in self.runners:
-            self.board.end(Ended("old", row.runner_id, 30.0), 0.0)
+            self.load.end(Ended("old", row.runner_id, 30.0), 0.0)
         for _ in range(3):
-            self.board.end(Ended("old", "c", 150.0), 0.0)
+            self.load.end(Ended("old", "c", 150.0), 0.0)
         for _ in range(200):
             self.place(self.demand())
-        self.assertGreater(self.board.running_at("c"), 0)
+        self.assertGreater(self.num_at("c"), 0)
 
     def test_a_runner_where_no_turn_ends_counts_as_slow(self) -> None:
         stuck = self.place(self.demand())
         later_s = 20 * FIRST_TURN_MS / 1000
         for _ in range(12):
             self.place(self.demand(), later_s)
-        self.assertEqual(self.board.running_at(stuck.runner_id), 1)
+        self.assertEqual(self.num_at(stuck.runner_id), 1)
 
     def test_one_long_turn_among_others_that_end_is_no_slowness(self) -> None:
         long = self.place(self.demand())
         later_s = 20 * FIRST_TURN_MS / 1000
-        self.board.end(Ended("another", long.runner_id), later_s)
+        self.load.end(Ended("another", long.runner_id), later_s)
         for _ in range(14):
             self.place(self.demand(), later_s)
-        self.assertEqual(self.board.running_at(long.runner_id), 3)
+        self.assertEqual(self.num_at(long.runner_id), 3)
 
     def test_a_failing_runner_is_left_for_a_while(self) -> None:
         self.place(self.demand())
-        self.board.end(Ended("turn-1", "", failed=("a",)), 0.0)
+        self.load.end(Ended("turn-1", "", failed=("a",)), 0.0)
         for _ in range(12):
             self.place(self.demand())
-        self.assertEqual(self.board.running_at("a"), 0)
+        self.assertEqual(self.num_at("a"), 0)
         self.assertEqual(self.place(self.demand(avoided=set("bcde")), 30.0).runner_id, "a")
 
     def test_a_turn_counts_until_its_end_or_its_deadline(self) -> None:
         first, second = self.demand(left_s=2.0), self.demand(left_s=4.0)
-        advice = self.place(first)
+        placed = self.place(first)
         self.place(second)
-        self.end(first, advice, 0.2)
-        self.end(first, advice, 0.3)
-        self.assertEqual(self.board.num_running, 1)
+        self.end(first, placed, 0.2)
+        self.end(first, placed, 0.3)
+        self.assertEqual(self.load.num_running, 1)
         self.place(self.demand(), 4.1)
-        self.assertEqual(self.board.num_running, 1)
+        self.assertEqual(self.load.num_running, 1)
 
     def test_memory_that_would_overflow_is_avoided(self) -> None:
         for row in self.runners[:-1]:
@@ -217,16 +216,16 @@
         self.end(first, home, 0.3)
         for _ in range(20):
             again = self.demand("line", 8_000)
-            advice = self.place(again, 0.4)
-            self.end(again, advice, 0.5)
-            self.assertEqual(advice.runner_id, home.runner_id)
+            placed = self.place(again, 0.4)
+            self.end(again, placed, 0.5)
+            self.assertEqual(placed.runner_id, home.runner_id)
 
     def test_runners_that_are_gone_are_forgotten_with_their_turns(self) -> None:
-        advice = self.place(self.demand())
-        self.board.keep_only([])
-        self.assertEqual(self.board.num_running, 0)
-        self.board.end(Ended("turn-1", advice.runner_id, 30.0), 1.0)
-        self.assertIsNone(self.board.advise(self.demand(), [], CAPACITY, 1.0))
+        placed = self.place(self.demand())
+        self.load.keep_only([])
+        self.assertEqual(self.load.num_running, 0)
+        self.load.end(Ended("turn-1", placed.runner_id, 30.0), 1.0)
+        self.assertEqual(self.load.place(self.demand(), [], CAPACITY, 1.0), NotPlaced())
 
     def test_a_failure_costs_more_than_any_wait_for_a_slot(self) -> None:
         self.assertGreater(FAILED_TURN_MS, FIRST_TURN_MS)
--- a/tests/test_other_loads.py
+++ b/tests/test_other_loads.py
@@ -5,8 +5,15 @@
 
 from bendshed.model.address import Address
 from bendshed.model.runner import RunnerState, ServiceRunner
-from bendshed.placement.cluster_load import ClusterLoad, Demand
-from bendshed.placement.other_loads import KEPT_S, MAX_COUNTED, NO_LOAD, OtherLoad, OtherLoads
+from bendshed.placement.cluster_load import ClusterLoad, Placed
+from bendshed.placement.other_loads import (
+    MAX_COUNTED,
+    NO_LOAD,
+    REPORT_VALID_S,
+    OtherLoad,
+    OtherLoads,
+)
+from bendshed.placement.turn_demand import Demand
 from bendshed.rehearsal.site.layout import TWO_REGIONS
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.sim_world import SiteWorld
@@ -18,7 +25,7 @@
 
 
 class LoadsTest(unittest.TestCase):
-    def test_the_newest_word_of_each_leader_counts(self) -> None:
+    def test_the_latest_report_of_each_leader_counts(self) -> None:
         loads = OtherLoads()
         loads.take("x", 5, [("a", OtherLoad(2, 20))], 0.0)
         loads.take("y", 1, [("a", OtherLoad(3, 30))], 0.0)
@@ -28,24 +35,24 @@
         loads.take("x", 6, [], 0.3)
         self.assertEqual(loads.at("a", 0.3), OtherLoad(3, 30))
 
-    def test_an_old_word_counts_no_more(self) -> None:
+    def test_an_old_report_counts_no_more(self) -> None:
         loads = OtherLoads()
         loads.take("x", 5, [("a", OtherLoad(2, 20))], 0.0)
-        self.assertEqual(loads.at("a", KEPT_S), NO_LOAD)
+        self.assertEqual(loads.at("a", REPORT_VALID_S), NO_LOAD)
 
-    def test_a_word_is_bounded(self) -> None:
+    def test_a_report_is_bounded(self) -> None:
         loads = OtherLoads()
         loads.take("x", 5, [("a", OtherLoad(10_000, 20))], 0.0)
         self.assertEqual(loads.at("a", 0.0).num_running, MAX_COUNTED)
 
-    def test_a_board_avoids_what_others_have_filled(self) -> None:
+    def test_a_placement_avoids_what_others_have_filled(self) -> None:
         for full, free in (("a", "b"), ("b", "a")):
-            board = ClusterLoad(random.Random(1))
-            board.others.take("x", 1, [(full, OtherLoad(4, 0))], 0.0)
+            load = ClusterLoad(random.Random(1))
+            load.elsewhere.take("x", 1, [(full, OtherLoad(4, 0))], 0.0)
             demand = Demand("t", "line", (), most_tokens=10, left_s=3.0, zone="z")
-            advice = board.advise(demand, RUNNERS, 50_000, 0.0)
-            assert advice is not None
-            self.assertEqual(advice.runner_id, free)
+            placed = load.place(demand, RUNNERS, 50_000, 0.0)
+            assert isinstance(placed, Placed)
+            self.assertEqual(placed.runner_id, free)
 
     def test_leaders_of_two_regions_know_each_others_turns(self) -> None:
         world = SiteWorld.started(1, TWO_REGIONS)
@@ -56,10 +63,10 @@
             world.start_program(ProgramPlan(turns=4, tools=0), budget_tokens=100_000)
         world.run_for(0.8)
         leaders = [world.leader(group) for group in range(2)]
-        boards = [leader.replica._advice.board for leader in leaders]  # type: ignore[union-attr]
+        loads = [leader.replica._advice.board for leader in leaders]  # type: ignore[union-attr]
         now_s = world.loop.time()
-        for board, other in (boards, reversed(boards)):
-            known = sum(board.others.at(name, now_s).num_running for name in world.runners)
+        for load, other in (loads, reversed(loads)):
+            known = sum(load.elsewhere.at(name, now_s).num_running for name in world.runners)
             self.assertGreater(known, 0)
             self.assertLessEqual(known, other.num_running + 12)
 
