--- a/src/bendshed/catalog/cold_runner_tracker.py
+++ b/src/bendshed/catalog/cold_runner_tracker.py
@@ -2,15 +2,12 @@
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
 
 from bendshed.logs import PartLog
+from bendshed.model.runner import ServiceRunner
 from bendshed.model.service_document import ServiceDocument
 from bendshed.placement.cold_runners import ColdRunners
-
-if TYPE_CHECKING:
-    from bendshed.model.runner import ServiceRunner
-    from bendshed.services.runners import RunnerRecord
+from bendshed.placement.runner_record import RunnerRecord
 
 log = PartLog("cold")
 
@@ -38,22 +35,22 @@
         """A configuration is in force: bounds and times of cold starts."""
         self._state.services = document.services
 
-    def put(self, runner: "ServiceRunner") -> None:
+    def put(self, runner: ServiceRunner) -> None:
         """A runner's entry is new or has changed."""
         self._note(runner, self._state.note_listed, "its entry")
 
-    def put_kept(self, runner: "ServiceRunner") -> None:
+    def put_kept(self, runner: ServiceRunner) -> None:
         """An earlier life kept this of a runner."""
         self._note(runner, self._state.note_kept, "kept, and of unknown age")
 
-    def confirm(self, runner: "ServiceRunner") -> None:
+    def confirm(self, runner: ServiceRunner) -> None:
         """A runner's entry is told that is known already."""
         self._note(runner, self._state.note_confirmed, "its entry")
 
     def _note(
         self,
-        runner: "ServiceRunner",
-        note: Callable[["ServiceRunner", float], float],
+        runner: ServiceRunner,
+        note: Callable[[ServiceRunner, float], float],
         reason: str,
     ) -> None:
         was_cold = self.is_cold(runner.runner_id)
@@ -93,7 +90,7 @@
                 log.say("a runner is warm again", runner=warm)
         return self._state.is_cold(runner_id, now_s)
 
-    def only_warm(self, records: "Sequence[RunnerRecord]") -> "Sequence[RunnerRecord]":
+    def only_warm(self, records: Sequence[RunnerRecord]) -> Sequence[RunnerRecord]:
         """Those of some runners that get work without leave."""
         if not self.has_cold:
             return records
--- a/src/bendshed/placement/cold_runners.py
+++ b/src/bendshed/placement/cold_runners.py
@@ -10,13 +10,10 @@
 from collections import OrderedDict
 from collections.abc import Mapping
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
 
+from bendshed.model.runner import ServiceRunner
 from bendshed.model.service_document import Service
 
-if TYPE_CHECKING:
-    from bendshed.model.runner import ServiceRunner
-
 MAX_GONE = 1_000
 """Runners remembered that vanished from the list; an entry that comes back is doubtful."""
 
@@ -70,7 +67,7 @@
     _gone: "OrderedDict[str, None]" = field(default_factory=OrderedDict)
     _kept: set[str] = field(default_factory=set)
 
-    def note_listed(self, runner: "ServiceRunner", now_s: float) -> float:
+    def note_listed(self, runner: ServiceRunner, now_s: float) -> float:
         """Take a runner's entry, as told now; return for how long it is cold, in seconds.
 
         One whose entry had vanished has very likely been gone itself, so it counts as just started.
@@ -81,13 +78,13 @@
             left_s = max(left_s, self._start_s(runner.service))
         return self._note(runner, left_s, now_s)
 
-    def note_confirmed(self, runner: "ServiceRunner", now_s: float) -> float:
+    def note_confirmed(self, runner: ServiceRunner, now_s: float) -> float:
         """Somebody tells the entry that is known already: it replaces a word of a kept file."""
         if runner.runner_id not in self._kept:
             return self.left_ms(runner.runner_id, now_s) / 1000
         return self.note_listed(runner, now_s)
 
-    def note_kept(self, runner: "ServiceRunner", now_s: float) -> float:
+    def note_kept(self, runner: ServiceRunner, now_s: float) -> float:
         """Take a runner from a file that an earlier life kept.
 
         Nobody knows how old that is, so what was left then counts in full from now on, until the
@@ -97,7 +94,7 @@
         self._kept.add(runner.runner_id)
         return left_s
 
-    def _note(self, runner: "ServiceRunner", left_s: float, now_s: float) -> float:
+    def _note(self, runner: ServiceRunner, left_s: float, now_s: float) -> float:
         self._kept.discard(runner.runner_id)
         self._words[runner.runner_id] = _Word(runner.service, runner.zone, now_s)
         if left_s > 0:
--- /dev/null
+++ b/src/bendshed/placement/eligibility.py
@@ -0,0 +1,113 @@
+"""Decides which runners a request may go to at all. Pure.
+
+A runner is eligible if it is listed, ready, in no closed zone and in a region that the request's
+route and tenant allow (`placement/allowed_regions.py`). The same rule holds for each path of a
+request to a runner: the leader's placement, a node's own choice, a retry, a resumed stream. Cold
+runners are eligible, but need a permit (`admission/cold_permits.py`).
+"""
+
+from collections.abc import Collection, Iterable
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from bendshed.model.places import Places
+from bendshed.model.runner import RunnerState
+from bendshed.placement.runner_record import RunnerRecord
+
+UNLISTED_VALID_S = 2.5
+"""Time, in seconds, for which a runner that vanished from an untrusted list is a last resort.
+Bridges a restart of the registry: a live runner lists itself again within 2 s of that, and its
+entry takes up to 0.5 s to arrive."""
+
+
+class Located(Protocol):
+    """Something that is located in a zone."""
+
+    @property
+    def zone(self) -> str:
+        """Its zone."""
+
+
+@dataclass(frozen=True, slots=True)
+class ClosedZones:
+    """Zones that operators closed, as of a revision of the registry.
+
+    Attributes:
+        at: revision up to which this is known; 0: nothing is known.
+        closed: names of the zones.
+
+    """
+
+    at: int = 0
+    closed: frozenset[str] = frozenset()
+
+
+@dataclass(frozen=True, slots=True)
+class RunnerFilter:
+    """The places where requests may run.
+
+    Attributes:
+        zones: closed ones.
+        places: regions of all zones.
+
+    """
+
+    zones: ClosedZones = field(default_factory=ClosedZones)
+    places: Places = field(default_factory=Places)
+
+    def may_get(self, runner: Located, regions: Collection[str] | None = None) -> bool:
+        """Whether a runner's place allows a request.
+
+        Args:
+            runner: where it is located.
+            regions: that the request may run in; ``None``: anywhere; empty: nowhere, since route
+                and tenant contradict each other.
+
+        """
+        if runner.zone in self.zones.closed:
+            return False
+        return self.places.is_within(runner.zone, regions)
+
+    def lets_all(self, regions: Collection[str] | None) -> bool:
+        """Whether every place allows the request (the usual case), so no runner is checked."""
+        return regions is None and not self.zones.closed
+
+
+def eligible_runners(
+    records: Iterable[RunnerRecord], places: RunnerFilter, regions: Collection[str] | None
+) -> list[RunnerRecord]:
+    """The eligible runners of a service; if there are none, those that an untrusted list lost."""
+    allowed = _allowed(_ready(records), places, regions)
+    listed = [record for record in allowed if record.unlisted_at_s is None]
+    return listed or allowed
+
+
+def are_all_excluded(
+    records: Iterable[RunnerRecord], places: RunnerFilter, regions: Collection[str] | None
+) -> bool:
+    """Whether runners are ready, but each is in a closed zone or a region that is not allowed.
+
+    A request is then refused at once: no wait for a runner would help.
+    """
+    if places.lets_all(regions):
+        return False
+    ready = _ready(records)
+    return bool(ready) and not _allowed(ready, places, regions)
+
+
+def is_outdated(record: RunnerRecord, now_s: float) -> bool:
+    """Whether a runner vanished from the list too long ago to be a last resort."""
+    unlisted_at_s = record.unlisted_at_s
+    return unlisted_at_s is not None and now_s - unlisted_at_s > UNLISTED_VALID_S
+
+
+def _ready(records: Iterable[RunnerRecord]) -> list[RunnerRecord]:
+    return [record for record in records if record.listed.state is RunnerState.READY]
+
+
+def _allowed(
+    records: list[RunnerRecord], places: RunnerFilter, regions: Collection[str] | None
+) -> list[RunnerRecord]:
+    if places.lets_all(regions):
+        return records
+    return [record for record in records if places.may_get(record.listed, regions)]
--- a/src/bendshed/placement/node_choice.py
+++ b/src/bendshed/placement/node_choice.py
@@ -13,8 +13,8 @@
 from bendshed.identifiers import rendezvous_rank
 from bendshed.model.places import Places
 from bendshed.placement.runner_health import median_pace
+from bendshed.placement.runner_record import RunnerRecord
 from bendshed.policy import EVERYTHING, Policy
-from bendshed.services.runners import RunnerRecord
 
 SESSION_MAX_EXTRA = 3
 """A session leaves its runner when this many more requests are there than at the idlest."""
--- a/src/bendshed/placement/zones.py
+++ b/src/bendshed/placement/zones.py
@@ -1,80 +1,35 @@
-"""Which runners may get new work at all: closed zones and allowed regions. Pure.
+"""Closed zones as one node knows them, from the updates that it received. Pure.
 
-One predicate answers for every way by which a request reaches a runner: a leader's advice, a node's
-own choice, a retry, a resumed stream.
+An update carries every closed zone as of a revision of the registry, and the zones that were opened
+lately: a node that missed both the closing and the opening must still treat their runners as cold.
 """
 
-from collections.abc import Collection, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass, field
-from typing import Protocol
 
-from bendshed.model.places import Places
+from bendshed.placement.eligibility import ClosedZones, RunnerFilter
 
-REOPENED_TOLD_S = 60.0
-"""Others are told of an opened zone for this long; a longer standstill is not reckoned with."""
-REOPENED_KNOWN_S = 2 * REOPENED_TOLD_S
-"""It is remembered for longer, so that a late word of it is no second opening."""
-SAME_OPENING_S = 1.0
-"""Two words of an opening whose times differ by less are one: what a word spends on its way."""
-
-
-class Standing(Protocol):
-    """Something that stands in a zone."""
-
-    @property
-    def zone(self) -> str:
-        """Its zone."""
-
-
-@dataclass(frozen=True, slots=True)
-class ClosedZones:
-    """Zones that operators closed, as of a revision of the registry.
-
-    Attributes:
-        at: revision up to which this is known; 0: nothing is known.
-        closed: names of the zones.
-
-    """
-
-    at: int = 0
-    closed: frozenset[str] = frozenset()
-
-
-@dataclass(frozen=True, slots=True)
-class RunnerFilter:
-    """Who may get a request.
-
-    Attributes:
-        zones: closed ones.
-        places: regions of all zones.
-
-    """
-
-    zones: ClosedZones = field(default_factory=ClosedZones)
-    places: Places = field(default_factory=Places)
+__all__ = ["ClosedZones", "OpenedZone", "RunnerFilter", "ZoneChanges", "ZoneRecord", "ZoneUpdate"]
 
-    def may_get(self, runner: Standing, regions: Collection[str] | None = None) -> bool:
-        """Whether a runner may be sent a request that is allowed in some regions.
-
-        ``None``: anywhere; empty: nowhere, since route and tenant contradict each other.
-        """
-        if runner.zone in self.zones.closed:
-            return False
-        return self.places.is_within(runner.zone, regions)
-
-    def lets_all(self, regions: Collection[str] | None) -> bool:
-        """Whether no runner is shut out, so that nobody need be asked (the usual case)."""
-        return regions is None and not self.zones.closed
+REOPENED_REPORTED_S = 60.0
+"""Time, in seconds, for which an opening is passed on; covers a node that receives no update for so
+long. Chosen, not measured."""
+REOPENED_KNOWN_S = 2 * REOPENED_REPORTED_S
+"""Time, in seconds, for which an opening is remembered: longer than it is passed on, so that a late
+update of it does not count as a second opening."""
+SAME_OPENING_S = 1.0
+"""Openings of a zone whose times differ by less, in seconds, are one: an update takes less time
+between two nodes."""
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneUpdate:
-    """What one source tells of closed zones.
+    """What one source knows of closed zones.
 
     Attributes:
         zones: all that are closed, as of a revision.
-        reopened_ago_s: zones that were opened a moment ago, also such as were never heard closed;
-            by name, seconds.
+        reopened_ago_s: for how long zones that were opened lately have been open, in seconds, by
+            name; the receiver may never have known that one was closed.
 
     """
 
@@ -84,7 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedZone:
-    """A zone that may get work again, and since when as far as known (steady time)."""
+    """A zone that may get work again, and since when as far as known.
+
+    Attributes:
+        at_s: steady time.
+
+    """
 
     zone: str
     at_s: float
@@ -92,11 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneChanges:
-    """What a word changed.
+    """What an update changed.
 
     Attributes:
-        closed: zones that get nothing new from now on.
-        opened: zones that may again; their runners may be cold.
+        closed: zones that get no new work from now on.
+        opened: zones that may get it again; their runners may be cold.
 
     """
 
@@ -115,10 +75,10 @@
     Invariant: what is known never goes back to an older revision.
 
     Attributes:
-        zones: the newest word.
-        changed_at: revision of the word that last changed which zones are closed.
-        closed_since_s: steady time at which each closed zone was first heard closed.
-        opened_at_s: steady time at which zones were opened, for those opened lately.
+        zones: the newest update.
+        changed_at: revision of the update that last changed which zones are closed.
+        closed_since_s: steady time at which this node learned of each closing.
+        opened_at_s: steady time of openings, for ``REOPENED_KNOWN_S``.
 
     """
 
@@ -127,16 +87,16 @@
     closed_since_s: dict[str, float] = field(default_factory=dict)
     opened_at_s: dict[str, float] = field(default_factory=dict)
 
-    def take(self, word: ZoneUpdate, now_s: float) -> ZoneChanges:
-        """Take a word; one older than what is known changes nothing."""
-        told = word.zones
-        if told.at < self.zones.at or told.at == 0:
+    def take(self, update: ZoneUpdate, now_s: float) -> ZoneChanges:
+        """Take an update; one older than what is known changes nothing."""
+        latest = update.zones
+        if latest.at < self.zones.at or latest.at == 0:
             return ZoneChanges()
-        closed = tuple(sorted(told.closed - self.zones.closed))
-        opened = self._opened_by(word, now_s)
-        if told.closed != self.zones.closed or not self.changed_at:
-            self.changed_at = told.at
-        self.zones = told
+        closed = tuple(sorted(latest.closed - self.zones.closed))
+        opened = self._opened_by(update, now_s)
+        if latest.closed != self.zones.closed or not self.changed_at:
+            self.changed_at = latest.at
+        self.zones = latest
         for zone in closed:
             self.closed_since_s[zone] = now_s
             self.opened_at_s.pop(zone, None)
@@ -145,19 +105,19 @@
             self.opened_at_s[row.zone] = row.at_s
         return ZoneChanges(closed, opened)
 
-    def _opened_by(self, word: ZoneUpdate, now_s: float) -> tuple[OpenedZone, ...]:
-        """Zones that were closed here, and such as were closed and opened unheard."""
-        open_again = self.zones.closed - word.zones.closed
-        heard = {zone: now_s for zone in open_again}
-        for zone, ago_s in word.reopened_ago_s.items():
-            if zone in word.zones.closed:
+    def _opened_by(self, update: ZoneUpdate, now_s: float) -> tuple[OpenedZone, ...]:
+        """Zones that were closed here, and those whose closing this node never learned of."""
+        open_again = self.zones.closed - update.zones.closed
+        opened = {zone: now_s for zone in open_again}
+        for zone, ago_s in update.reopened_ago_s.items():
+            if zone in update.zones.closed:
                 continue
             at_s = now_s - ago_s
-            if zone in open_again or self._is_news(zone, at_s):
-                heard[zone] = at_s
-        return tuple(OpenedZone(zone, at_s) for zone, at_s in sorted(heard.items()))
+            if zone in open_again or self._is_new_opening(zone, at_s):
+                opened[zone] = at_s
+        return tuple(OpenedZone(zone, at_s) for zone, at_s in sorted(opened.items()))
 
-    def _is_news(self, zone: str, at_s: float) -> bool:
+    def _is_new_opening(self, zone: str, at_s: float) -> bool:
         known_s = self.opened_at_s.get(zone)
         return known_s is None or at_s > known_s + SAME_OPENING_S
 
@@ -169,10 +129,10 @@
         return bool(old)
 
     def word(self, now_s: float) -> ZoneUpdate:
-        """What this node tells others."""
+        """What this node reports to others."""
         reopened = {
             zone: max(0.0, now_s - at_s)
             for zone, at_s in self.opened_at_s.items()
-            if now_s - at_s <= REOPENED_TOLD_S
+            if now_s - at_s <= REOPENED_REPORTED_S
         }
         return ZoneUpdate(self.zones, reopened)
--- a/tests/test_distance_placement.py
+++ b/tests/test_distance_placement.py
@@ -10,6 +10,7 @@
 from bendshed.placement.cluster_load import ClusterLoad, Placed
 from bendshed.placement.distance import DistanceCosts, LinkTerms
 from bendshed.placement.node_choice import NodeView, choose_runner
+from bendshed.placement.runner_record import RunnerRecord
 from bendshed.placement.spill import (
     BROKEN_GAIN_MS,
     MARGIN_MS,
@@ -18,7 +19,6 @@
     SpillGate,
 )
 from bendshed.placement.turn_demand import Demand, Ended
-from bendshed.services.runners import RunnerRecord
 
 PLACES = Places({"a": "east", "b": "east", "x": "west", "y": "west"})
 SLOTS, CAPACITY, LONG_S = 6, 60_000, 100.0
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -10,6 +10,7 @@
 from bendshed.model.route_index import RouteIndex, choose_target
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.model.service_document import Route, RouteKind, ServiceDocument, WeightedService
+from bendshed.placement.eligibility import UNLISTED_VALID_S
 from bendshed.placement.node_choice import (
     SESSION_MAX_EXTRA,
     SLOW_FROM,
@@ -17,9 +18,10 @@
     NodeView,
     choose_runner,
 )
+from bendshed.placement.runner_record import FAILURES_TO_AVOID, RunnerRecord
 from bendshed.policy import EVERYTHING, Policy
 from bendshed.services.events import EventSplitter, read_event
-from bendshed.services.runners import FAILURES_TO_AVOID, UNLISTED_KEPT_S, RunnerRecord, RunnerTable
+from bendshed.services.runners import RunnerTable
 
 
 def route(prefix: str, host: str = "h.example", **changes: object) -> Route:
@@ -91,7 +93,7 @@
         self.table.put(runner("b"))
         self.assertEqual(self.usable(), ["b"])
         self.table.remove("b", 0.0, trusted=True)
-        self.assertEqual(self.usable(UNLISTED_KEPT_S + 1), [])
+        self.assertEqual(self.usable(UNLISTED_VALID_S + 1), [])
 
     def test_a_runner_that_does_not_come_back_with_the_store_is_gone(self) -> None:
         """Entries that lapsed with the store are back 2 s after its return, or gone."""
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -22,7 +22,7 @@
 from bendshed.placement.allowed_regions import allowed_regions, unknown_regions
 from bendshed.placement.zones import (
     REOPENED_KNOWN_S,
-    REOPENED_TOLD_S,
+    REOPENED_REPORTED_S,
     ClosedZones,
     OpenedZone,
     RunnerFilter,
@@ -85,8 +85,8 @@
     def test_telling_of_an_opening_ends(self) -> None:
         self.record.take(word(9), 20.0)
         self.assertEqual(self.record.word(23.0).reopened_ago_s, {"a": 3.0})
-        self.assertEqual(self.record.word(20.5 + REOPENED_TOLD_S).reopened_ago_s, {})
-        self.assertFalse(self.record.forget_old(20.5 + REOPENED_TOLD_S))
+        self.assertEqual(self.record.word(20.5 + REOPENED_REPORTED_S).reopened_ago_s, {})
+        self.assertFalse(self.record.forget_old(20.5 + REOPENED_REPORTED_S))
         self.assertTrue(self.record.forget_old(20.5 + REOPENED_KNOWN_S))
         self.assertEqual(self.record.opened_at_s, {})
 
