--- a/src/bendshed/placement/node_choice.py
+++ b/src/bendshed/placement/node_choice.py
@@ -1,13 +1,16 @@
-"""Chooses the runner of one request by what this node knows. Pure but for the random source.
+"""Chooses the runner of one request by one node's own counts. Pure but for the random source.
 
-Turns follow the advice of the turn log's leader, which knows the load of all nodes
-(`placement/cluster_load.py`); this is for requests that are no turns, and for turns without advice.
+Turns run at the runner that the turn log's leader placed them at, by the load of all nodes
+(`placement/cluster_load.py`). This is for requests that are not turns, for turns that have no
+preferred runner, and for repeats.
 """
 
 import math
 import random
 from collections.abc import Collection
 from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import Literal
 
 from bendshed.admission.sliding_window import NO_PERMIT, TimedPermit
 from bendshed.identifiers import rendezvous_rank
@@ -17,26 +20,28 @@
 from bendshed.policy import EVERYTHING, Policy
 
 SESSION_MAX_EXTRA = 3
-"""A session leaves its runner when this many more requests are there than at the idlest."""
-THING_MAX_EXTRA = 1
-"""A thing's runner is passed over when so many more requests of this node are there."""
+"""Requests of this node by which a session's runner may exceed the least loaded one; beyond it the
+session goes to the next in its rank, as a wait costs more than its prompt cache saves. Chosen, not
+measured."""
+AFFINITY_MAX_EXTRA = 1
+"""The same for the runner of an affinity key, where less can be saved. Chosen, not measured."""
 NEW_CONNECTION_LOAD = 1.5
-"""A new connection is opened when the idle ones lead to runners with this many more requests of
-this node: one may wait behind another for a moment, two may not."""
+"""Cost of a new connection, in requests of this node at a runner: a request rather waits behind one
+other at a connected runner than opens a connection, but not behind two."""
 
 SLOW_FROM = 3.0
-"""A runner counts as slow from this many times the pool's median work time on: single requests of
-a route differ by a factor of e on today's services."""
+"""Ratio to the pool's median work time from which on a runner counts as slow. Smaller ratios are
+chance: single requests of a route were measured to differ by a factor of e."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeView:
-    """Who chooses.
+    """The node that chooses, and its time.
 
     Attributes:
-        node: a name that other nodes do not have; each node opens its connections to other runners.
-        zone: this node's; decides between equals.
-        connected: ids of runners to which a connection rests.
+        node: its unique name; ranks runners of equal cost, so that nodes connect to different ones.
+        zone: its own, preferred between equals.
+        connected: ids of runners to which it has an idle connection.
         now_s: loop time.
         places: regions of all zones; runners of the node's own region come first.
 
@@ -49,26 +54,40 @@
     places: Places = field(default_factory=Places)
 
     def is_near(self, record: RunnerRecord) -> bool:
-        """Whether a runner stands in this node's region."""
+        """Whether a runner is located in this node's region."""
         return self.places.region(record.listed.zone) == self.places.region(self.zone)
 
 
+class ChoiceReason(StrEnum):
+    """Why a node chose a runner; the values of the log field ``chosen_by``."""
+
+    SESSION = "session"
+    """It holds the session's prompt cache."""
+    STEP_ASIDE = "step_aside"
+    """The session's runner is loaded; this one is next in the session's rank."""
+    AFFINITY_KEY = "thing"
+    """It is the affinity key's among the connected ones."""
+    CONNECTED = "connected"
+    """It has the least cost, and an idle connection."""
+    LEAST_LOADED = "least_loaded"
+    """It has the least cost, and no idle connection."""
+    ONLY_AVOIDED = "only_avoided"
+    """All runners that are left failed or were full lately."""
+
+
 @dataclass(frozen=True, slots=True)
 class Choice:
     """The chosen runner and why, for the log.
 
     Attributes:
-        reason: ``advised``: by the leader of the turn log; ``session``: holds the session's cache;
-            ``thing``: may have seen what the request names, and a connection rests there;
-            ``step_aside``: that one is loaded; ``connected``: a connection rests there;
-            ``least_loaded``: none does; ``only_avoided``: all failed or were full lately;
-            ``permitted``: no warm runner was left, and the leader chose.
-        leave: the leader's for this very sending, if the runner is cold.
+        reason: by this node; or by the leader of the turn log: ``advised``: it placed the turn
+            there; ``permitted``: no warm runner was left, and it chose a cold one.
+        leave: the leader's permit for this one dispatch, if the runner is cold.
 
     """
 
     record: RunnerRecord
-    reason: str
+    reason: ChoiceReason | Literal["advised", "permitted"]
     leave: TimedPermit = NO_PERMIT
 
 
@@ -83,14 +102,17 @@
 ) -> Choice | None:
     """Choose a runner that was not tried yet; ``None``: there is none.
 
+    Runners that failed or were full lately come last, then those of other regions. Among the rest
+    the affinity key decides, else the session, else connections and load.
+
     Args:
-        usable: runners that may get new work.
-        tried: runner ids that this request was sent to before.
-        session: requests of one session go where its cache is; empty: anywhere.
+        usable: eligible runners that need no permit.
+        tried: ids of runners that this request was sent to before.
+        session: requests of one session share a prompt cache; empty: no session.
         view: the node that chooses.
-        rng: decides between the rest.
-        policy: what of this is in use.
-        thing: requests that name the same run faster where it was seen; empty: none.
+        rng: decides between equals where connections do not count.
+        policy: mechanisms that are on.
+        thing: affinity key: requests with the same one run faster at the same runner; empty: none.
 
     """
     untried = [record for record in usable if record.listed.runner_id not in tried]
@@ -99,20 +121,21 @@
     sound = [r for r in untried if not (policy.avoidance and r.is_avoided(view.now_s))]
     pool = _near_first(sound or untried, view)
     if thing and policy.thing_affinity:
-        choice = _by_thing(pool, thing, view)
+        choice = _by_affinity_key(pool, thing, view)
     elif session and policy.session_affinity:
         choice = _by_session(pool, session, SESSION_MAX_EXTRA if policy.step_aside else math.inf)
     elif policy.kept_connections:
         choice = _by_connection(pool, view)
     else:
-        choice = Choice(_least_loaded(pool, view.zone, rng), "least_loaded")
-    return choice if sound else Choice(choice.record, "only_avoided")
+        choice = Choice(_least_loaded(pool, view.zone, rng), ChoiceReason.LEAST_LOADED)
+    return choice if sound else Choice(choice.record, ChoiceReason.ONLY_AVOIDED)
 
 
 def _near_first(pool: list[RunnerRecord], view: NodeView) -> list[RunnerRecord]:
-    """The runners of the node's own region while any of them has a place by this node's own count.
+    """The runners of the node's region, while any of them has a free slot by this node's own count.
 
-    What runs elsewhere costs a round trip between regions before its first byte, and the link.
+    Elsewhere a request waits a round trip between regions (60 ms measured) for its first byte, and
+    its bytes load the link.
     """
     near = [record for record in pool if view.is_near(record)]
     has_room = any(record.in_flight < max(1, record.listed.slots) for record in near)
@@ -126,15 +149,15 @@
     for place, runner_id in enumerate(ranked):
         record = by_id[runner_id]
         if record.in_flight <= fewest + max_extra:
-            return Choice(record, "session" if place == 0 else "step_aside")
-    return Choice(by_id[ranked[0]], "session")
+            return Choice(record, ChoiceReason.STEP_ASIDE if place else ChoiceReason.SESSION)
+    return Choice(by_id[ranked[0]], ChoiceReason.SESSION)
 
 
-def _by_thing(pool: list[RunnerRecord], thing: str, view: NodeView) -> Choice:
-    """The thing's own runner among those with an idle connection; without any, by connection.
+def _by_affinity_key(pool: list[RunnerRecord], key: str, view: NodeView) -> Choice:
+    """The key's first in rank among runners with an idle connection; without any, by connection.
 
-    A thing seen before saves part of the work (half of 108 ms on one of today's services), but most
-    are new: a connection opened for each runner that may have seen one costs more than that.
+    A repeated key saves part of the work (half of 108 ms measured at one service), but most keys
+    are new: a connection for each runner that may have seen one costs more than that.
     """
     pool_pace = median_pace(record.health for record in pool)
     fewest = min(record.in_flight for record in pool)
@@ -142,19 +165,19 @@
         record.listed.runner_id: record
         for record in pool
         if record.listed.runner_id in view.connected
-        and record.in_flight <= fewest + THING_MAX_EXTRA
+        and record.in_flight <= fewest + AFFINITY_MAX_EXTRA
         and record.health.slowness_now(pool_pace, view.now_s, SLOW_FROM) <= 1.0
     }
     if not by_id:
         return _by_connection(pool, view)
-    return Choice(by_id[rendezvous_rank(thing, by_id)[0]], "thing")
+    return Choice(by_id[rendezvous_rank(key, by_id)[0]], ChoiceReason.AFFINITY_KEY)
 
 
 def _by_connection(pool: list[RunnerRecord], view: NodeView) -> Choice:
-    """The least loaded; an idle connection is worth waiting for a moment.
+    """The least loaded, where a new connection counts as ``NEW_CONNECTION_LOAD`` requests.
 
-    Between equals of a zone each node has a rank of its own that stays, so that it opens few
-    connections and all nodes together use all runners alike (deterministic subsetting).
+    Between equals of a zone each node has a fixed rank of its own, so that it opens few connections
+    and all nodes together use all runners alike (deterministic subsetting).
     """
     pool_pace = median_pace(record.health for record in pool)
 
@@ -169,7 +192,10 @@
     near = [record for record in equal if record.listed.zone == view.zone] or equal
     by_id = {record.listed.runner_id: record for record in near}
     chosen = rendezvous_rank(view.node, by_id)[0]
-    return Choice(by_id[chosen], "connected" if chosen in view.connected else "least_loaded")
+    is_connected = chosen in view.connected
+    return Choice(
+        by_id[chosen], ChoiceReason.CONNECTED if is_connected else ChoiceReason.LEAST_LOADED
+    )
 
 
 def _least_loaded(pool: list[RunnerRecord], zone: str, rng: random.Random) -> RunnerRecord:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -12,9 +12,9 @@
 from bendshed.model.service_document import Route, RouteKind, ServiceDocument, WeightedService
 from bendshed.placement.eligibility import UNLISTED_VALID_S
 from bendshed.placement.node_choice import (
+    AFFINITY_MAX_EXTRA,
     SESSION_MAX_EXTRA,
     SLOW_FROM,
-    THING_MAX_EXTRA,
     NodeView,
     choose_runner,
 )
@@ -158,7 +158,7 @@
         home = self.choose(thing="7", connected="bcd")
         self.assertEqual({self.choose(thing="7", connected="bcd") for _ in range(9)}, {home})
         record = next(r for r in self.records if r.listed.runner_id == home)
-        record.in_flight = THING_MAX_EXTRA + 1
+        record.in_flight = AFFINITY_MAX_EXTRA + 1
         self.assertNotEqual(self.choose(thing="7", connected="bcd"), home)
 
     def test_a_thing_opens_no_connection_where_one_rests(self) -> None:
