--- a/src/bendshed/catalog/cold_runner_tracker.py
+++ b/src/bendshed/catalog/cold_runner_tracker.py
@@ -13,26 +13,26 @@
 
 
 def _no_clock() -> float:
-    """Nothing ages in what has no clock yet."""
+    """Stands in until the process sets its clock; nothing ages before."""
     return 0.0
 
 
 @dataclass(slots=True)
 class ColdRunnerTracker:
-    """Follows the list of runners.
+    """Keeps which runners are cold, from the entries of the list and from openings of zones.
 
     Attributes:
-        clock: steady time in seconds; the loop's own.
+        clock: steady time in seconds, of the event loop.
 
     """
 
     clock: Callable[[], float] = _no_clock
     _state: ColdRunners = field(default_factory=ColdRunners)
 
-    # --- what is told ----------------------------------------------------------------------
+    # --- updates ---------------------------------------------------------------------------
 
     def take_document(self, document: ServiceDocument) -> None:
-        """A configuration is in force: bounds and times of cold starts."""
+        """Take the bounds and durations of cold starts from a configuration that is in force."""
         self._state.services = document.services
 
     def put(self, runner: ServiceRunner) -> None:
@@ -40,11 +40,11 @@
         self._note(runner, self._state.note_listed, "its entry")
 
     def put_kept(self, runner: ServiceRunner) -> None:
-        """An earlier life kept this of a runner."""
-        self._note(runner, self._state.note_kept, "kept, and of unknown age")
+        """Take a runner's entry that an earlier incarnation persisted."""
+        self._note(runner, self._state.note_persisted, "kept, and of unknown age")
 
     def confirm(self, runner: ServiceRunner) -> None:
-        """A runner's entry is told that is known already."""
+        """A runner's entry was received again, unchanged."""
         self._note(runner, self._state.note_confirmed, "its entry")
 
     def _note(
@@ -63,7 +63,7 @@
         self._state.note_vanished(runner_id)
 
     def reopen(self, zone: str, at_s: float) -> None:
-        """A zone was opened again, at a time of the clock."""
+        """A zone was opened again, at a time of ``clock``."""
         for runner_id in self._state.reopen(zone, at_s):
             left_s = self._state.left_ms(runner_id, self.clock()) / 1000
             self._say_cold(runner_id, left_s, "its zone was opened again")
@@ -73,15 +73,15 @@
         if rate > 0:
             log.say("a runner is cold", runner=runner_id, for_s=left_s, reason=reason, rate=rate)
 
-    # --- what is asked ---------------------------------------------------------------------
+    # --- look-ups --------------------------------------------------------------------------
 
     @property
     def has_cold(self) -> bool:
-        """Whether any runner may be cold: the first question, since mostly none is."""
+        """Whether any runner may be cold; checked first, since usually none is."""
         return bool(self._state.cold)
 
     def is_cold(self, runner_id: str) -> bool:
-        """Whether a runner gets a bounded rate now."""
+        """Whether a runner's rate is bounded now."""
         if not self.has_cold:
             return False
         now_s = self.clock()
@@ -91,17 +91,17 @@
         return self._state.is_cold(runner_id, now_s)
 
     def only_warm(self, records: Sequence[RunnerRecord]) -> Sequence[RunnerRecord]:
-        """Those of some runners that get work without leave."""
+        """The runners that get work without a permit."""
         if not self.has_cold:
             return records
         return [record for record in records if not self.is_cold(record.listed.runner_id)]
 
     def rate_of(self, runner_id: str) -> float:
-        """Requests a second that a runner bears while it is cold; 0: no bound."""
+        """Requests a second that a runner serves while it is cold; 0: no bound."""
         return self._state.rate_of(runner_id)
 
     def left_ms(self, runner_id: str) -> int:
-        """For how long a runner is still cold; 0: warm, as far as known."""
+        """Time for which a runner is still cold, in milliseconds; 0: warm, as far as known."""
         return self._state.left_ms(runner_id, self.clock())
 
     @property
--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -1,10 +1,15 @@
-"""The leader's word on cold runners: what it grants, and whom it sends away."""
+"""Decides whether a request may be dispatched to cold runners, at the leader of the turn log.
+
+Owns the permits of this process and the requests that it rejected lately. How many permits a leader
+may give is decided in `admission/cold_permits.py`, when rejected requests come back in
+`admission/retry_schedule.py`.
+"""
 
 from collections import OrderedDict
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass, field
 
-from bendshed.admission.cold_permits import LEAVE_S, WINDOW_MS, ColdPermitCounts
+from bendshed.admission.cold_permits import PERMIT_VALID_S, WINDOW_MS, ColdPermitCounts
 from bendshed.admission.retry_schedule import RetrySchedule
 from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
 from bendshed.identifiers import rendezvous_rank
@@ -13,35 +18,38 @@
 from bendshed.placement.cold_runners import ColdTerms
 from bendshed.turns.metrics import ColdEnd, TurnLogMetrics
 
-PERMIT_MS = int(1000 * LEAVE_S)
-REFUSED_KEPT_S = 2.0
-"""A turn that was refused is remembered for so long: its begin may arrive behind the refusal."""
+PERMIT_MS = int(1000 * PERMIT_VALID_S)
+"""Validity of a permit, in milliseconds from the request for it."""
+REJECTED_VALID_S = 2.0
+"""Time, in seconds, for which the rejection of a turn rejects its begin too, which may arrive
+afterwards; otherwise the program would count as begun when its client comes back."""
 MIN_WAIT_MS = 100
-"""Callers are not told to come back sooner: the way there and back takes some ms."""
+"""Least retry time, in milliseconds: above the round trip of a client, so that it does not retry
+in a loop."""
 
 log = PartLog("cold")
 
 
 @dataclass(frozen=True, slots=True)
 class PermitRequest:
-    """What wants to be sent.
+    """A request that may need a permit.
 
     Attributes:
-        program_id: whose; of a request without one, the request's own id.
-        is_new_program: nothing of the program has run yet, so it may be refused first.
-        line: of turns that follow each other; empty: not told.
+        program_id: its program; of a request without one, the request's own id.
+        is_new_program: nothing of the program has run yet, so it is rejected first.
+        chain: of a turn; empty: unknown.
 
     """
 
     request_id: str
     program_id: str
     is_new_program: bool
-    line: str = ""
+    chain: str = ""
 
     @property
-    def returns_as(self) -> tuple[str, str]:
-        """What comes back after a refusal, whatever the id of its next try."""
-        return self.program_id, self.line
+    def retry_key(self) -> tuple[str, str]:
+        """What comes back after a rejection, whatever id its next attempt has."""
+        return self.program_id, self.chain
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,9 +57,9 @@
     """Where a request may run.
 
     Attributes:
-        runner_id: empty: none is known here.
-        permit_ms: above 0: it may be sent there once, within this time from its question.
-        retry_after_ms: above 0: no runner may take it now, and when there is room again.
+        runner_id: empty: no eligible runner is known here.
+        permit_ms: above 0: it may be dispatched there once, within this time from its request.
+        retry_after_ms: above 0: rejected, and when there is room again.
 
     """
 
@@ -62,10 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Openings:
-    """Runners that may get a request.
+    """Runners that a request may be placed at now.
 
     Attributes:
-        runners: warm ones, and cold ones with room.
+        runners: warm ones, and cold ones with permits left.
         cold: ids of the latter.
 
     """
@@ -76,10 +84,17 @@
 
 @dataclass(slots=True)
 class ColdAdmission:
-    """Leave to send to cold runners, by this process while it leads.
+    """Gives permits for cold runners, while this process leads.
+
+    Running programs that were rejected come back; until then the permits that they will need are
+    not given to new programs.
+
+    Attributes:
+        tracker: which runners are cold.
+        terms: bound on requests to a cold runner.
+        num_leaders: groups of the turn log, whose leaders share the bound.
+        grants: permits given lately.
 
-    Programs that were refused in their midst come back; until then what they need is not given to
-    new ones.
     """
 
     tracker: ColdRunnerTracker
@@ -87,52 +102,51 @@
     metrics: TurnLogMetrics
     num_leaders: int = 1
     grants: ColdPermitCounts = field(init=False)
-    _refused: "OrderedDict[str, tuple[float, int]]" = field(default_factory=OrderedDict)
-    _returns: dict[bool, RetrySchedule] = field(init=False)
+    _rejected: "OrderedDict[str, tuple[float, int]]" = field(default_factory=OrderedDict)
+    _retries: dict[bool, RetrySchedule] = field(init=False)
 
     def __post_init__(self) -> None:
         self.grants = ColdPermitCounts(self.terms, self.num_leaders)
-        self._returns = {is_new: RetrySchedule() for is_new in (True, False)}
+        self._retries = {is_new: RetrySchedule() for is_new in (True, False)}
 
     def openings(
-        self, runners: Sequence[ServiceRunner], ask: PermitRequest, now_s: float
+        self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
     ) -> Openings:
-        """Leave out the cold runners that have got what they bear.
-
-        Whoever asks again for the same request is judged anew.
-        """
-        self._refused.pop(ask.request_id, None)
+        """Leave out the cold runners that have no permit left; a repeated request is decided
+        again."""
+        self._rejected.pop(request.request_id, None)
         if not self.tracker.has_cold:
             return Openings(runners)
         cold = [runner for runner in runners if self.tracker.is_cold(runner.runner_id)]
         if not cold:
             return Openings(runners)
-        has_room = {runner.runner_id for runner in self._with_room(cold, ask, now_s)}
+        has_room = {runner.runner_id for runner in self._with_room(cold, request, now_s)}
         is_full = {runner.runner_id for runner in cold} - has_room
         return Openings([r for r in runners if r.runner_id not in is_full], has_room)
 
     def counted_openings(
-        self, runners: Sequence[ServiceRunner], ask: PermitRequest, now_s: float
+        self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
     ) -> Openings:
-        """Hold each runner to the bound, warm or not: the asker may know what is not known here."""
-        has_room = self._with_room(runners, ask, now_s)
+        """Bound each runner, warm or not: the requesting node may know a runner to be cold that is
+        warm here."""
+        has_room = self._with_room(runners, request, now_s)
         return Openings(has_room, {runner.runner_id for runner in has_room})
 
     def _with_room(
-        self, runners: Sequence[ServiceRunner], ask: PermitRequest, now_s: float
+        self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
     ) -> list[ServiceRunner]:
-        kept = self._kept_for_others(ask, now_s) / max(1, len(runners))
-        return [runner for runner in runners if self._room(runner, ask, now_s) > kept]
+        reserved = self._reserved_for_others(request, now_s) / max(1, len(runners))
+        return [runner for runner in runners if self._room(runner, request, now_s) > reserved]
 
-    def _kept_for_others(self, ask: PermitRequest, now_s: float) -> int:
-        """Sendings that programs under way will ask for once more."""
-        if not ask.is_new_program:
+    def _reserved_for_others(self, request: PermitRequest, now_s: float) -> int:
+        """Permits that rejected requests of running programs will request again."""
+        if not request.is_new_program:
             return 0
-        return self._returns[False].num_others(ask.returns_as, int(1000 * now_s))
+        return self._retries[False].num_others(request.retry_key, int(1000 * now_s))
 
-    def _room(self, runner: ServiceRunner, ask: PermitRequest, now_s: float) -> int:
+    def _room(self, runner: ServiceRunner, request: PermitRequest, now_s: float) -> int:
         rate = self.tracker.rate_of(runner.runner_id)
-        return self.grants.room(runner.runner_id, rate, ask.is_new_program, now_s)
+        return self.grants.room(runner.runner_id, rate, request.is_new_program, now_s)
 
     def least_loaded(
         self,
@@ -142,7 +156,7 @@
         avoided: Collection[str],
         now_s: float,
     ) -> str:
-        """Runner of a request whose work the board does not know: a warm one, with most room."""
+        """Runner of a request whose load is unknown: a warm one first, then the fewest permits."""
         rank = rendezvous_rank(request_id, [runner.runner_id for runner in runners])
 
         def cost(runner: ServiceRunner) -> tuple[bool, bool, int, bool, int]:
@@ -157,17 +171,17 @@
 
         return min(runners, key=cost).runner_id
 
-    def grant(self, runner_id: str, ask: PermitRequest, now_s: float) -> Placement:
-        """Permit one sending."""
+    def grant(self, runner_id: str, request: PermitRequest, now_s: float) -> Placement:
+        """Permit one dispatch, and count it."""
         self.grants.grant(runner_id, now_s)
-        self._refused.pop(ask.request_id, None)
-        self._returns[ask.is_new_program].forget(ask.returns_as)
+        self._rejected.pop(request.request_id, None)
+        self._retries[request.is_new_program].forget(request.retry_key)
         self.metrics.cold_permits.labels(ColdEnd.GRANTED.value).inc()
         log.say(
             "permits a sending",
-            request=ask.request_id,
+            request=request.request_id,
             runner=runner_id,
-            is_new_program=ask.is_new_program,
+            is_new_program=request.is_new_program,
             granted=self.grants.num_granted(runner_id, now_s),
             most=self.grants.most(self.tracker.rate_of(runner_id), False, now_s),
             cold_for_ms=self.tracker.left_ms(runner_id),
@@ -175,21 +189,21 @@
         return Placement(runner_id, PERMIT_MS)
 
     def refuse(
-        self, runners: Sequence[ServiceRunner], ask: PermitRequest, now_s: float
+        self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
     ) -> Placement:
-        """No runner may take it now: tell when to come back, each behind those told before."""
+        """Reject a request: it may come back when there is room behind those rejected before it."""
         self.grants.sweep(now_s)
         now_ms = int(1000 * now_s)
-        returns = self._returns[ask.is_new_program]
-        num_before = returns.num_others(ask.returns_as, now_ms)
-        retry_ms = max(MIN_WAIT_MS, self._wait_ms(runners, ask, num_before, now_s))
-        returns.note(ask.returns_as, now_ms + retry_ms)
-        self._note_refused(ask.request_id, retry_ms, now_s)
+        retries = self._retries[request.is_new_program]
+        num_before = retries.num_others(request.retry_key, now_ms)
+        retry_ms = max(MIN_WAIT_MS, self._wait_ms(runners, request, num_before, now_s))
+        retries.note(request.retry_key, now_ms + retry_ms)
+        self._note_rejected(request.request_id, retry_ms, now_s)
         self.metrics.cold_permits.labels(ColdEnd.REFUSED.value).inc()
         log.say(
             "refuses a request",
-            request=ask.request_id,
-            is_new_program=ask.is_new_program,
+            request=request.request_id,
+            is_new_program=request.is_new_program,
             runners=len(runners),
             share=self.grants.touch.share(now_s),
             retry_after_ms=retry_ms,
@@ -197,27 +211,32 @@
         return Placement(retry_after_ms=retry_ms)
 
     def _wait_ms(
-        self, runners: Sequence[ServiceRunner], ask: PermitRequest, num_before: int, now_s: float
+        self,
+        runners: Sequence[ServiceRunner],
+        request: PermitRequest,
+        num_before: int,
+        now_s: float,
     ) -> int:
         rates = {runner.runner_id: self.tracker.rate_of(runner.runner_id) for runner in runners}
-        is_new = ask.is_new_program
+        is_new = request.is_new_program
         least_ms = min(self.grants.wait_ms(r, rate, is_new, now_s) for r, rate in rates.items())
         per_window = sum(self.grants.most(rate, is_new, now_s) for rate in rates.values())
         return least_ms + WINDOW_MS * num_before // max(1, per_window)
 
-    def _note_refused(self, request_id: str, retry_ms: int, now_s: float) -> None:
-        self._refused[request_id] = (now_s, retry_ms)
-        self._refused.move_to_end(request_id)
-        while next(iter(self._refused.values()))[0] < now_s - REFUSED_KEPT_S:
-            self._refused.popitem(last=False)
+    def _note_rejected(self, request_id: str, retry_ms: int, now_s: float) -> None:
+        self._rejected[request_id] = (now_s, retry_ms)
+        self._rejected.move_to_end(request_id)
+        while next(iter(self._rejected.values()))[0] < now_s - REJECTED_VALID_S:
+            self._rejected.popitem(last=False)
 
     def forget_refused(self, request_id: str) -> None:
-        """A refusal that binds no begin."""
-        self._refused.pop(request_id, None)
+        """Forget a rejection that no begin follows."""
+        self._rejected.pop(request_id, None)
 
     def refused_for_ms(self, request_id: str, now_s: float) -> int:
-        """When a turn that was refused a moment ago was told to come back; 0: it was not."""
-        if not self._refused:
+        """Retry time of a turn that was rejected within ``REJECTED_VALID_S``, in ms; 0: it was
+        not."""
+        if not self._rejected:
             return 0
-        at_s, retry_ms = self._refused.get(request_id, (float("-inf"), 0))
-        return retry_ms if now_s - at_s <= REFUSED_KEPT_S else 0
+        at_s, retry_ms = self._rejected.get(request_id, (float("-inf"), 0))
+        return retry_ms if now_s - at_s <= REJECTED_VALID_S else 0
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -1,4 +1,8 @@
-"""The leader's advice on where turns run: the load board between its messages and the catalog."""
+"""Places turns at the leader of the turn log: decodes previews, calls the decisions, logs them.
+
+Which runner is decided in `placement/cluster_load.py`, whether a cold one may be used in
+`turns/cold_admission.py`; eligible runners come from the catalog.
+"""
 
 import random
 from collections.abc import Sequence
@@ -17,7 +21,13 @@
 
 
 class TurnPlacement:
-    """Advises nodes, and learns from what they report."""
+    """Places turns, and learns from what nodes report of them.
+
+    Attributes:
+        board: load of all nodes at each runner.
+        cold: permits for cold runners.
+
+    """
 
     def __init__(
         self,
@@ -34,7 +44,7 @@
     def advise(
         self, preview: wire.TurnPreview, ran_at: str, is_new_program: bool, now_s: float
     ) -> Placement:
-        """Where a turn had best run, or that no runner may take it.
+        """Place a turn, or reject it because all its runners are cold and full.
 
         Args:
             preview: the turn.
@@ -46,19 +56,20 @@
         self._follow_list()
         regions = frozenset(preview.demand.regions) or None
         runners = self._catalog.ready_runners(preview.demand.service, regions)
-        begin, line = preview.begin, preview.demand.line
-        ask = PermitRequest(begin.turn_id, begin.program_id, is_new_program, line)
-        openings = self.cold.openings(runners, ask, now_s)
+        begin, chain = preview.begin, preview.demand.line
+        request = PermitRequest(begin.turn_id, begin.program_id, is_new_program, chain)
+        openings = self.cold.openings(runners, request, now_s)
         if runners and not openings.runners:
-            return self.cold.refuse(runners, ask, now_s)
+            return self.cold.refuse(runners, request, now_s)
         demand = _read_demand(preview.begin, preview.demand, ran_at)
         runner_id = self._choose(demand, preview.demand.service, openings, now_s)
         if runner_id in openings.cold:
-            return self.cold.grant(runner_id, ask, now_s)
+            return self.cold.grant(runner_id, request, now_s)
         return Placement(runner_id)
 
     def place(self, asked: wire.RunnerAsk, now_s: float) -> Placement:
-        """Permit one sending of a request that has no preview; whose runner may be warm here."""
+        """Permit one dispatch of a request without a preview, also to a runner that is warm
+        here."""
         self._follow_list()
         demand = asked.demand
         regions = frozenset(demand.regions) or None
@@ -69,16 +80,16 @@
         ]
         if not runners:
             return Placement()
-        ask = PermitRequest(asked.request_id, asked.request_id, asked.is_new_program)
-        openings = self.cold.counted_openings(runners, ask, now_s)
+        request = PermitRequest(asked.request_id, asked.request_id, asked.is_new_program)
+        openings = self.cold.counted_openings(runners, request, now_s)
         if not openings.runners:
-            placement = self.cold.refuse(runners, ask, now_s)
-            self.cold.forget_refused(asked.request_id)  # no begin stands beside it
+            placement = self.cold.refuse(runners, request, now_s)
+            self.cold.forget_refused(asked.request_id)  # no begin follows it
             return placement
-        return self.cold.grant(self._place(asked, openings.runners, now_s), ask, now_s)
+        return self.cold.grant(self._place(asked, openings.runners, now_s), request, now_s)
 
     def _place(self, asked: wire.RunnerAsk, runners: Sequence[ServiceRunner], now_s: float) -> str:
-        """A turn by the load of all turns; of other requests nobody tells the end."""
+        """A turn by the cluster load; another request by permits, as its end is not reported."""
         demand = asked.demand
         if not demand.parts:
             avoided = frozenset(demand.avoided)
@@ -88,7 +99,7 @@
         return self._choose(turn, demand.service, Openings(runners, cold), now_s)
 
     def _choose(self, demand: Demand, service: str, openings: Openings, now_s: float) -> str:
-        """Id of the runner with the least cost; empty: there is none."""
+        """Id of the runner with the least cost; empty: no runner is eligible."""
         memory_tokens = self._memory_tokens(service)
         placed = self.board.place(demand, openings.runners, memory_tokens, now_s, openings.cold)
         if isinstance(placed, NotPlaced):
@@ -115,7 +126,7 @@
         self.board.end(ended, now_s)
 
     def take_refusal(self, turn_id: str, now_s: float) -> None:
-        """A turn that was advised may not run after all."""
+        """A turn that was placed was rejected after all."""
         self.board.end(Ended(turn_id), now_s)
 
     def _memory_tokens(self, service: str) -> int:
@@ -130,6 +141,7 @@
 
 
 def _read_demand(begin: wire.BeginTurn, wanted: wire.TurnDemand, ran_at: str) -> Demand:
+    """Decode the wire's demand; its ``line`` is the id of the chain."""
     return Demand(
         turn_id=begin.turn_id,
         chain=wanted.line,
--- a/tests/test_cold_runners.py
+++ b/tests/test_cold_runners.py
@@ -9,8 +9,8 @@
 
 from bendshed.admission.cold_permits import (
     ESTABLISHED_S,
-    LEAVE_S,
     LOOK_GAP_S,
+    PERMIT_VALID_S,
     STALE_S,
     WINDOW_MS,
     ColdPermitCounts,
@@ -71,10 +71,10 @@
             self.cold.note_listed(runner(f"r{number}"), 0.0)
             self.cold.note_vanished(f"r{number}")
         self.assertEqual(len(self.cold._gone), MAX_GONE)
-        self.assertEqual(len(self.cold._words), MAX_GONE)
+        self.assertEqual(len(self.cold._entries), MAX_GONE)
 
     def test_a_word_that_was_kept_counts_in_full_until_it_is_told_anew(self) -> None:
-        self.cold.note_kept(runner("a", 3_000), 0.0)
+        self.cold.note_persisted(runner("a", 3_000), 0.0)
         self.assertEqual(self.cold.left_ms("a", 0.0), 3_000)
         self.cold.note_confirmed(runner("a", 500), 0.1)
         self.assertEqual(self.cold.left_ms("a", 0.1), 500)
@@ -129,7 +129,7 @@
             self.grants.touch.look(term, hears_majority=True, now_s=at_s)
             if self.grants.room("r", COLD_PER_S, False, at_s) > 0:
                 self.grants.grant("r", at_s)
-                self.sent_s.append(at_s + rng.uniform(0, LEAVE_S))
+                self.sent_s.append(at_s + rng.uniform(0, PERMIT_VALID_S))
             at_s += rng.uniform(0.001, 0.02)
 
 
@@ -140,8 +140,8 @@
 
 class ColdGrantsTest(unittest.TestCase):
     def test_the_times_bear_the_shares(self) -> None:
-        self.assertGreater(ESTABLISHED_S, 1 + LEAVE_S + STALE_S)
-        self.assertEqual(WINDOW_MS, 1000 * (1 + LEAVE_S))
+        self.assertGreater(ESTABLISHED_S, 1 + PERMIT_VALID_S + STALE_S)
+        self.assertEqual(WINDOW_MS, 1000 * (1 + PERMIT_VALID_S))
 
     def test_an_established_leader_grants_half_and_a_new_one_a_quarter(self) -> None:
         grants = ColdPermitCounts(TERMS)
