--- a/src/bendshed/catalog/cold_runner_tracker.py
+++ b/src/bendshed/catalog/cold_runner_tracker.py
@@ -71,7 +71,7 @@
     def _say_cold(self, runner_id: str, left_s: float, reason: str) -> None:
         rate = self._state.rate_of(runner_id)
         if rate > 0:
-            log.say("a runner is cold", runner=runner_id, for_s=left_s, reason=reason, rate=rate)
+            log.say("runner is cold", runner=runner_id, for_s=left_s, reason=reason, rate=rate)
 
     # --- look-ups --------------------------------------------------------------------------
 
@@ -87,7 +87,7 @@
         now_s = self.clock()
         for warm in self._state.take_warm(now_s):
             if self._state.rate_of(warm) > 0:
-                log.say("a runner is warm again", runner=warm)
+                log.say("runner is warm again", runner=warm)
         return self._state.is_cold(runner_id, now_s)
 
     def only_warm(self, records: Sequence[RunnerRecord]) -> Sequence[RunnerRecord]:
--- a/src/bendshed/services/runners.py
+++ b/src/bendshed/services/runners.py
@@ -32,7 +32,9 @@
     def avoid(self, now_s: float, reason: str) -> None:
         super().avoid(now_s, reason)
         runner = self.listed.runner_id
-        log.say("is avoided", runner=runner, reason=reason, failures=self.failures, for_s=AVOID_S)
+        log.say(
+            "runner is avoided", runner=runner, reason=reason, failures=self.failures, for_s=AVOID_S
+        )
 
 
 @dataclass(slots=True)
@@ -70,7 +72,7 @@
         self.cold.put(runner)
         self._by_service(runner.service)[runner.runner_id] = record
         log.say(
-            "is listed",
+            "runner is listed",
             runner=runner.runner_id,
             service=runner.service,
             address=str(runner.address),
@@ -90,7 +92,7 @@
         record = self.by_id.get(runner_id)
         if record is None:
             return
-        log.say("is not listed any more", runner=runner_id, trusted=trusted)
+        log.say("runner is not listed any more", runner=runner_id, trusted=trusted)
         self.cold.vanish(runner_id)
         if trusted:
             self._drop(record)
--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -178,7 +178,7 @@
         self._retries[request.is_new_program].forget(request.retry_key)
         self.metrics.cold_permits.labels(ColdEnd.GRANTED.value).inc()
         log.say(
-            "permits a sending",
+            "dispatch permitted",
             request=request.request_id,
             runner=runner_id,
             is_new_program=request.is_new_program,
@@ -201,7 +201,7 @@
         self._note_rejected(request.request_id, retry_ms, now_s)
         self.metrics.cold_permits.labels(ColdEnd.REFUSED.value).inc()
         log.say(
-            "refuses a request",
+            "request rejected: its runners are cold and full",
             request=request.request_id,
             is_new_program=request.is_new_program,
             runners=len(runners),
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -105,7 +105,7 @@
         if isinstance(placed, NotPlaced):
             return ""
         log.say(
-            "advises a runner",
+            "turn placed",
             request=demand.turn_id,
             runner=placed.runner_id,
             cost_ms=round(placed.cost_ms, 1),
--- a/tests/test_explanation.py
+++ b/tests/test_explanation.py
@@ -73,9 +73,15 @@
         self.assertNotIn("cold", explain("r1", [warm, lines[1]]).cause)
 
     def test_a_refusal_since_all_runners_are_cold(self) -> None:
-        told = line(10.0, "store-1", "cold: refuses a request", request="r1", retry_after_ms=300)
+        told = line(
+            10.0,
+            "store-1",
+            "cold: request rejected: its runners are cold and full",
+            request="r1",
+            retry_after_ms=300,
+        )
         refused = line(10.1, "front-1", "forward: refused", request="r1", kind="no_room", detail="")
-        near = line(9.0, "front-1", "cold: a runner is cold", runner="i-1", for_s=8.0)
+        near = line(9.0, "front-1", "cold: runner is cold", runner="i-1", for_s=8.0)
         explanation = explain("r1", [near, told, refused])
         self.assertIn("was cold", explanation.cause)
         self.assertEqual(explanation.lines, [near, told, refused])
