--- a/src/bendshed/model/places.py
+++ b/src/bendshed/model/places.py
@@ -1,4 +1,4 @@
-"""Where machines and runners stand: zones, regions, and what lies between two places. Pure."""
+"""Where machines and runners are located: zones, regions, and the distance of two zones. Pure."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 
 
 class Distance(StrEnum):
-    """What lies between two places."""
+    """Distance of two zones."""
 
     SAME_ZONE = "same_zone"
     SAME_REGION = "same_region"
@@ -18,7 +18,7 @@
 class Places:
     """Zones and their regions, as operators declare them.
 
-    A zone that is not declared stands in the region with the empty name.
+    A zone that is not declared is located in the region with the empty name.
 
     Attributes:
         region_of: region by zone.
@@ -37,7 +37,7 @@
         return sorted(set(self.region_of.values()))
 
     def distance(self, zone: str, other: str) -> Distance:
-        """What lies between two zones."""
+        """Distance of two zones."""
         if zone == other:
             return Distance.SAME_ZONE
         if self.region(zone) == self.region(other):
@@ -45,5 +45,5 @@
         return Distance.OTHER_REGION
 
     def is_within(self, zone: str, regions: Collection[str] | None) -> bool:
-        """Whether a zone stands in one of some regions; ``None``: anywhere."""
+        """Whether a zone is located in one of some regions; ``None``: in any."""
         return regions is None or self.region(zone) in regions
--- a/src/bendshed/model/route_index.py
+++ b/src/bendshed/model/route_index.py
@@ -19,7 +19,7 @@
             routes.sort(key=lambda route: -len(route.path_prefix))
 
     def match(self, host: str, path: str) -> Route | None:
-        """Route of a request; ``None``: none takes it. A port in ``host`` is passed over."""
+        """Route of a request; ``None``: none takes it. A port in ``host`` is ignored."""
         name = host.partition(":")[0].lower()
         for route in self._by_host.get(name, ()):
             if path.startswith(route.path_prefix):
@@ -28,7 +28,7 @@
 
 
 def choose_target(route: Route, key: str) -> str:
-    """Service of the split that a key falls to; shares follow the weights over many keys."""
+    """Service of the split for a key; over many keys the shares are the weights."""
     if len(route.targets) == 1:
         return route.targets[0].service
     total = sum(target.weight for target in route.targets)
--- a/src/bendshed/model/runner.py
+++ b/src/bendshed/model/runner.py
@@ -7,7 +7,7 @@
 
 
 class RunnerState(StrEnum):
-    """What a runner says of itself."""
+    """A runner's state, as it reports it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -18,7 +18,7 @@
     """One incarnation of a runner, as listed.
 
     Attributes:
-        cold_left_ms: it stays cold for so long from the moment at which this was told; 0: warm.
+        cold_left_ms: time for which it stays cold, from the receipt of this entry; 0: warm.
 
     """
 
--- a/src/bendshed/model/service_document.py
+++ b/src/bendshed/model/service_document.py
@@ -31,12 +31,12 @@
         priority: 0 is the most urgent.
         targets: services by weight; one without a split.
         max_attempts: runners to which one request may be sent.
-        keeps_turns: turns bring only what is new; their chains are kept here.
-        retention_ms: how long a turn is kept after its answer.
+        keeps_turns: turns bring only their new input; transcripts of their chains are stored here.
+        retention_ms: how long a turn is stored after its answer.
         is_sticky: requests share prompt prefixes, so a session stays at its runner.
         is_resumable: a broken stream may go on at another runner.
         is_public: requests need no credential.
-        allowed_regions: it is served, cached and kept only there; empty: anywhere.
+        allowed_regions: it is served, cached and stored only there; empty: anywhere.
 
     """
 
@@ -70,7 +70,7 @@
     Attributes:
         slots: requests that run at once.
         event_tokens: tokens that one event of a stream holds at most.
-        memory_tokens: running requests and kept parts of prompts together; 0: not told.
+        memory_tokens: running requests and cached prompt parts together; 0: not configured.
 
     """
 
@@ -84,7 +84,7 @@
     """Runners of one kind.
 
     Attributes:
-        cold_per_s: requests a second that a cold runner bears; 0: no bound.
+        cold_per_s: requests a second that a cold runner serves; 0: no bound.
         cold_start_ms: how long a runner stays cold after its start.
 
     """
@@ -109,14 +109,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """Who may ask, and how much.
+    """Whose callers are admitted, and their limits.
 
     Attributes:
-        credentials: SHA-256 of each, in hex; the credentials themselves are kept nowhere.
+        credentials: SHA-256 of each, in hex; the credentials themselves are not stored.
         priority: 0 is the most urgent; a route's priority decides between equals.
         rate_per_s: requests a second over all nodes; 0: without limit.
         burst: requests on top of the rate in one window.
-        allowed_regions: its requests are served, cached and kept only there; empty: anywhere.
+        allowed_regions: its requests are served, cached and stored only there; empty: anywhere.
 
     """
 
@@ -133,7 +133,7 @@
     """The whole configuration at one version.
 
     Attributes:
-        tenants: empty: nobody is asked who he is.
+        tenants: empty: callers need no credential.
 
     """
 
--- a/src/bendshed/placement/__init__.py
+++ b/src/bendshed/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where turns run, decided from the load of all nodes."""
+"""Decides which runners are eligible for a request, and which of them it goes to. Pure."""
--- a/src/bendshed/placement/allowed_regions.py
+++ b/src/bendshed/placement/allowed_regions.py
@@ -18,7 +18,7 @@
 
 
 def describe_regions(route: Route, principal: Principal) -> str:
-    """What route and tenant allow, for a refusal."""
+    """What route and tenant allow, for the error of a rejected request."""
     tenant = principal.tenant.allowed_regions if principal.tenant is not None else ()
     of_route = ", ".join(route.allowed_regions) or "any"
     of_tenant = ", ".join(tenant) or "any"
@@ -26,7 +26,7 @@
 
 
 def unknown_regions(document: ServiceDocument, places: Places) -> dict[str, list[str]]:
-    """Regions that no zone stands in, by the route or tenant that names them."""
+    """Regions without a declared zone, by the route or tenant that names them."""
     known = set(places.regions)
     named = {f"route {route.name}": route.allowed_regions for route in document.routes}
     named.update({f"tenant {one.name}": one.allowed_regions for one in document.tenants})
--- a/src/bendshed/placement/groups.py
+++ b/src/bendshed/placement/groups.py
@@ -1,7 +1,7 @@
-"""Groups of the turn log: one at home in each region, or one for all. Pure.
+"""Groups of the turn log: one whose home is each region, or one for all. Pure.
 
 The number of groups follows from the regions that operators declare, so that all nodes agree on it
-without a message: who may spend how much of a program's budget depends on it.
+without a message: each group's share of a program's budget depends on it.
 """
 
 from dataclasses import dataclass, field
@@ -52,16 +52,16 @@
         return [number for number in self.numbers if number != group_id]
 
     def at_home_in(self, zone: str) -> int:
-        """The group that serves the callers of a zone; 0 where no group is at home."""
+        """The group that serves the callers of a zone; 0 where its region is no group's home."""
         region = self.places.region(zone)
         return self.homes.index(region) if region in self.homes else 0
 
     def of_tenant(self, tenant: str) -> int:
-        """The one group that holds all of a tenant: its programs, turns and usage."""
+        """Home group of a tenant: the one that holds its programs, turns and usage."""
         return group_of(tenant, self.count)
 
     def home_zones(self, group_id: int) -> frozenset[str] | None:
-        """Zones of a group's region; ``None``: all are alike to it."""
+        """Zones of a group's home region; ``None``: it has none, as the only group."""
         if self.count == 1:
             return None
         home = self.homes[group_id]
--- a/src/bendshed/placement/prompt_cache.py
+++ b/src/bendshed/placement/prompt_cache.py
@@ -1,8 +1,8 @@
-"""What a runner very likely keeps of the prompts that it has read. Pure.
+"""Estimates which prompt parts a runner has cached, as an LRU of the prompts sent to it. Pure.
 
-A runner keeps parts of prompts while its memory lasts and gives up the longest unused ones; a part
-helps only if every part before it is kept too. Its events tell this late and with gaps, so it is
-inferred from the prompts that were sent there.
+A runner caches parts of prompts while its memory lasts and evicts the least recently used ones; a
+part helps only if every part before it is cached too. Its own events report this late and with
+gaps, so it is estimated from the prompts that were dispatched there.
 """
 
 from collections import OrderedDict
@@ -14,13 +14,13 @@
 
 @dataclass(slots=True)
 class PromptCache:
-    """The parts that one runner keeps.
+    """The parts that one runner is expected to have cached.
 
     Invariant: ``num_tokens`` is the sum of all parts and at most ``capacity_tokens``, unless one
     prompt alone is longer.
 
     Attributes:
-        capacity_tokens: memory for running requests and kept parts together.
+        capacity_tokens: memory for running requests and cached parts together.
 
     """
 
@@ -32,18 +32,18 @@
         """Tokens of a prompt that need not be read again."""
         num_cached = 0
         for part in parts:
-            kept = self._parts.get(part.part_id, 0)
-            num_cached += min(kept, part.tokens)
-            if kept < part.tokens:
+            cached = self._parts.get(part.part_id, 0)
+            num_cached += min(cached, part.tokens)
+            if cached < part.tokens:
                 break
         return num_cached
 
     def note_read(self, parts: Sequence[PromptPart]) -> None:
-        """A prompt was sent there: its parts are the latest used ones."""
+        """Count a prompt that was dispatched there: its parts are the most recently used ones."""
         for part in parts:
-            kept = self._parts.pop(part.part_id, 0)
-            self._parts[part.part_id] = max(kept, part.tokens)
-            self.num_tokens += max(0, part.tokens - kept)
+            cached = self._parts.pop(part.part_id, 0)
+            self._parts[part.part_id] = max(cached, part.tokens)
+            self.num_tokens += max(0, part.tokens - cached)
         while self.num_tokens > self.capacity_tokens and len(self._parts) > len(parts):
-            _, dropped = self._parts.popitem(last=False)
-            self.num_tokens -= dropped
+            _, evicted = self._parts.popitem(last=False)
+            self.num_tokens -= evicted
--- a/src/bendshed/placement/runner_health.py
+++ b/src/bendshed/placement/runner_health.py
@@ -1,4 +1,4 @@
-"""How fast and how sound one runner has been lately, against the others of its service. Pure."""
+"""Pace and failures of one runner lately, compared with the others of its service. Pure."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,12 +6,12 @@
 from bendshed.median import median
 
 PACE_WEIGHT = 0.4
-"""Weight of the newest pace in a runner's mean: two or three requests tell a change."""
+"""Weight of the newest pace in a runner's mean: two or three requests show a change."""
 HALF_LIFE_S = 1.5
-"""A finding that nobody has repeated loses half of its weight in this time, so that a runner that
-was slow or failing gets work again and can show that it is well."""
+"""Time, in seconds, in which slowness or failures lose half of their weight unless they are seen
+again: a runner that was slow or failing gets work again and can show that it recovered."""
 FAILURE_WEIGHT = 0.4
-"""Weight of the newest try in a runner's share of failures."""
+"""Weight of the newest attempt in a runner's share of failures."""
 
 
 @dataclass(slots=True)
@@ -22,9 +22,9 @@
 
     Attributes:
         pace: the mean, the latest ones weighing most; 0: unknown.
-        pace_at_s: when the last one was told.
-        failure_share: share of tries that failed, the latest ones weighing most.
-        failure_at_s: when the last try was told.
+        pace_at_s: steady time of the latest report.
+        failure_share: share of attempts that failed, the latest ones weighing most.
+        failure_at_s: steady time of the latest attempt's report.
 
     """
 
@@ -40,19 +40,19 @@
         self.pace_at_s = now_s
 
     def note_try(self, failed: bool, now_s: float) -> None:
-        """A try ended."""
+        """An attempt ended."""
         before = self.failures_now(now_s)
         self.failure_share = before + FAILURE_WEIGHT * (float(failed) - before)
         self.failure_at_s = now_s
 
     def failures_now(self, now_s: float) -> float:
-        """Share of tries that are likely to fail now."""
+        """Share of attempts that are expected to fail now."""
         if not self.failure_share:
             return 0.0
         return self.failure_share * _fading(now_s - self.failure_at_s)
 
     def slowness_now(self, pool_pace: float, now_s: float, slow_from: float) -> float:
-        """How many times as long work very likely takes there as at the others; at least 1.
+        """How many times as long work is expected to take there as at the others; at least 1.
 
         Args:
             pool_pace: ``median_pace`` of the service's runners; 0: unknown.
