--- a/src/bendshed/consensus/group_client.py
+++ b/src/bendshed/consensus/group_client.py
@@ -48,7 +48,6 @@
 
     Attributes:
         leaders: group -> node id of the leader last heard of (a hint).
-        expected_round_trip_s: tells the round trip to a node.
 
     While no leader is known, one of the nodes that may lead is asked, the likely ones first.
 
@@ -62,9 +61,10 @@
         resolve: Callable[[str], Address | None],
         disk_nodes: Callable[[], list[str]],
         likely_nodes: Callable[[int], list[str]] = lambda _group: [],
+        expected_round_trip_s: Callable[[Address], float] = lambda _peer: 0.0,
     ) -> None:
         self.leaders: dict[int, str] = {}
-        self.expected_round_trip_s: Callable[[Address], float] = lambda _peer: 0.0
+        self._expected_round_trip_s = expected_round_trip_s
         self.group_count = group_count
         self._transport = transport
         self._rng = rng
@@ -136,7 +136,7 @@
         if address is None:
             self._forget(group_id, target)
             return None
-        expected_round_trip_s = self.expected_round_trip_s(address)
+        expected_round_trip_s = self._expected_round_trip_s(address)
         given_s = min(timeout_s + FAR_TRIPS * expected_round_trip_s, most_s)
         try:
             content = await self._transport.request(address, method, payload, given_s)
@@ -153,7 +153,7 @@
     def round_trip_to_leader_s(self, group_id: int) -> float:
         """The round trip to the supposed leader: sooner no answer comes; 0: nobody is known."""
         address = self._resolve(self.leaders.get(group_id, ""))
-        return self.expected_round_trip_s(address) if address is not None else 0.0
+        return self._expected_round_trip_s(address) if address is not None else 0.0
 
     def follow_hint(self, group_id: int, hint: str, said_by: str) -> None:
         """A node that does not lead the group named who may; empty: nobody known.
--- a/src/bendshed/consensus/host.py
+++ b/src/bendshed/consensus/host.py
@@ -99,7 +99,6 @@
         self.groups: dict[int, HostedGroup] = {}
         self.on_role_changed: Callable[[int, raft.RoleChanged], None] = lambda _group, _change: None
         self.on_foreign_message: Callable[[str], None] = lambda _sender: None
-        self.commits = 0
         self.stalls = StallWatch()
         self._storage = storage
         self._transport = transport
@@ -330,7 +329,6 @@
                 await self._commit_until_done(writes)
                 self.stalls.end_sync()
                 self._writing = False
-                self.commits += 1
                 self._durable.set()
                 self._durable = asyncio.Event()
             for message in messages:
--- a/src/bendshed/paths/echo.py
+++ b/src/bendshed/paths/echo.py
@@ -53,15 +53,27 @@
 
     Attributes:
         watch: which regions are heard.
-        on_measured: told the median round trip of each kind of distance after each round, in ms.
 
     """
 
     def __init__(
-        self, transport: Transport, peers: Callable[[], list[Address]], neighbours: Neighbours
+        self,
+        transport: Transport,
+        peers: Callable[[], list[Address]],
+        neighbours: Neighbours,
+        on_measured: Callable[[dict[Distance, float]], None],
     ) -> None:
+        """Answer echoes from now on.
+
+        Args:
+            transport: measures the round trip of each request.
+            peers: the other replica machines.
+            neighbours: where they are located.
+            on_measured: gets the median round trip by distance after each round, in ms.
+
+        """
         self.watch = RegionWatch()
-        self.on_measured: Callable[[dict[Distance, float]], None] = lambda _found: None
+        self._on_measured = on_measured
         self._transport = transport
         self._peers = peers
         self._neighbours = neighbours
@@ -79,7 +91,7 @@
             answered = await asyncio.gather(*(self._is_heard(peer) for peer in peers))
             heard = [peer for peer, is_heard in zip(peers, answered, strict=True) if is_heard]
             self._tell(self._regions(peers), self._regions(heard))
-            self.on_measured(self._medians_ms())
+            self._on_measured(self._medians_ms())
 
     async def _is_heard(self, peer: Address) -> bool:
         try:
--- a/src/bendshed/platform/translate.py
+++ b/src/bendshed/platform/translate.py
@@ -131,5 +131,4 @@
 
 def read_retirement(item: StoredObject) -> Retirement:
     """Read an operator's wish to empty a machine."""
-    state = (item.status or {}).get("state")
-    return Retirement(item.name, state == "complete")
+    return Retirement(item.name)
--- a/src/bendshed/ports/registry.py
+++ b/src/bendshed/ports/registry.py
@@ -28,7 +28,6 @@
     """An operator's wish that a replica machine is emptied."""
 
     name: str
-    is_complete: bool
 
 
 class RegistryUnavailable(Exception):
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -134,8 +134,8 @@
             self.directory.resolve,
             self.directory.node_ids,
             lambda group: self.directory.node_ids_in(groups.home_zones(group)),
+            self._requests.expected_round_trip_s,
         )
-        leaders.expected_round_trip_s = self._requests.expected_round_trip_s
         home_group = groups.at_home_in(place.zone)
         client = TurnClient(rng, leaders, self._refuses_alone, home_group)
         life = f"{place.address}/{rng.getrandbits(48):012x}"
--- a/src/bendshed/turns/group_peers.py
+++ b/src/bendshed/turns/group_peers.py
@@ -37,9 +37,7 @@
             directory.resolve,
             directory.node_ids,
             lambda group: directory.node_ids_in(groups.home_zones(group)),
-        )
-        self._client.expected_round_trip_s = lambda peer: neighbours.expected_round_trip_s(
-            peer.host, transport.round_trip_s(peer)
+            lambda peer: neighbours.expected_round_trip_s(peer.host, transport.round_trip_s(peer)),
         )
         self._turns = TurnClient(rng, self._client)
         self._looked_s: dict[int, float] = {}
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -134,9 +134,8 @@
         self.catalog.is_told = lambda: self.follower.is_head and self.follower.is_fresh
         self.catalog.num_askers_elsewhere = self._num_askers_of_teller
         self.follower.num_behind = lambda: self.catalog.num_fronts
-        self._echo = Echo(transport, self._other_replicas, self.neighbours)
-        self._echo.on_measured = self._take_distances
         self._distance = DistanceCosts(self.neighbours.places, link_terms or LinkTerms())
+        self._echo = Echo(transport, self._other_replicas, self.neighbours, self._take_distances)
         known = self.catalog.catalog
         cold = ColdAdmission(known.cold, cold_terms or ColdTerms(), metrics, groups.count)
         self._advice = TurnPlacement(known, cold, rng, self._distance)
--- a/tests/test_group_client.py
+++ b/tests/test_group_client.py
@@ -31,8 +31,14 @@
         asyncio.set_event_loop(self.loop)
         self.addCleanup(self.loop.close)
         self.silent = Silent()
+        self.round_trip_s = 0.0
         self.client = GroupClient(
-            self.silent, random.Random(1), 1, lambda name: Address(name, 1), lambda: ["far"]
+            self.silent,
+            random.Random(1),
+            1,
+            lambda name: Address(name, 1),
+            lambda: ["far"],
+            expected_round_trip_s=lambda _peer: self.round_trip_s,
         )
         self.client.leaders[GROUP] = "far"
 
@@ -44,19 +50,19 @@
 
     def test_a_far_leader_has_more_time_and_never_more_than_is_left(self) -> None:
         self.assertEqual(self.ask(0.2, 9.0), 0.2)
-        self.client.expected_round_trip_s = lambda _peer: WAY_S
+        self.round_trip_s = WAY_S
         self.assertAlmostEqual(self.ask(0.2, 9.0), 0.2 + FAR_TRIPS * WAY_S)
         self.assertEqual(self.ask(0.2, 0.25), 0.25)
 
     def test_a_leader_that_had_no_time_to_answer_is_not_forgotten(self) -> None:
-        self.client.expected_round_trip_s = lambda _peer: WAY_S
+        self.round_trip_s = WAY_S
         self.ask(0.2, 1.5 * WAY_S)
         self.assertEqual(self.client.leaders, {GROUP: "far"})
         self.ask(0.2, 9.0)
         self.assertEqual(self.client.leaders, {})
 
     def test_the_way_to_a_leader_that_is_not_known_counts_nothing(self) -> None:
-        self.client.expected_round_trip_s = lambda _peer: WAY_S
+        self.round_trip_s = WAY_S
         self.assertEqual(self.client.round_trip_to_leader_s(GROUP), WAY_S)
         del self.client.leaders[GROUP]
         self.client._resolve = lambda name: Address(name, 1) if name else None
