--- /dev/null
+++ b/src/bendshed/catalog/demand.py
@@ -0,0 +1,110 @@
+"""Which nodes rely on this replica machine, and whether it reads the registry for them."""
+
+import asyncio
+from collections.abc import Callable
+
+from bendshed.catalog.messages import ReadRequest
+from bendshed.catalog.times import CatalogTimes, ReadingPace
+from bendshed.logs import PartLog
+from bendshed.model.address import Address
+
+REQUESTER_MEMORY_S = 3.0
+"""A node whose last request is older than this does not rely on the machine any more."""
+MIN_SHARED_ASKERS = 8
+"""From this many nodes on it costs the registry less to be read by one machine for all of them,
+several times a second, than by each of them (docs/design/0004)."""
+SILENT_REQUESTER_S = 1.2
+"""A front without a request for this long may have started again and know no replica machine."""
+GREETED_S = 30.0
+"""A front that has been silent for this long is forgotten."""
+
+log = PartLog("catalog")
+
+
+def is_shared(num_relying: int) -> bool:
+    """Whether one machine on which so many nodes rely reads the registry for all of them."""
+    return num_relying >= MIN_SHARED_ASKERS
+
+
+class Demand:
+    """Nodes that requested the catalog of this machine lately.
+
+    All times are of the loop's clock.
+
+    Attributes:
+        fronts_at_s: when each front requested it last.
+        pace: how this machine reads the registry now.
+        on_pace: called when that has changed.
+
+    """
+
+    def __init__(self, times: CatalogTimes) -> None:
+        self.fronts_at_s: dict[Address, float] = {}
+        self.pace = times.pace(in_demand=False)
+        self.on_pace: list[Callable[[ReadingPace], None]] = []
+        self._times = times
+        self._replicas_at_s: dict[Address, float] = {}
+        self._num_behind: dict[Address, int] = {}
+
+    def note(self, request: ReadRequest) -> bool:
+        """Count a requesting node; ``True``: it is new here."""
+        at_s = self._replicas_at_s if request.is_replica else self.fronts_at_s
+        is_new = request.requester not in at_s
+        at_s[request.requester] = asyncio.get_running_loop().time()
+        if request.is_replica:
+            self._num_behind[request.requester] = request.num_behind
+        return is_new
+
+    @property
+    def num_relying(self) -> int:
+        """Fronts and replica machines that rely on this one, with those that rely on these."""
+        replicas = self._lately(self._replicas_at_s)
+        num_behind = sum(self._num_behind.get(replica, 0) for replica in replicas)
+        return self.num_fronts + len(replicas) + num_behind
+
+    @property
+    def num_fronts(self) -> int:
+        """Fronts that requested the catalog of this machine lately."""
+        return len(self._lately(self.fronts_at_s))
+
+    def _lately(self, requested_at_s: dict[Address, float]) -> list[Address]:
+        oldest_s = asyncio.get_running_loop().time() - REQUESTER_MEMORY_S
+        return [node for node, at_s in requested_at_s.items() if at_s >= oldest_s]
+
+    def silent_fronts(self) -> list[Address]:
+        """Fronts that requested the catalog of this machine and do not any more."""
+        now_s = asyncio.get_running_loop().time()
+        return [
+            front
+            for front, at_s in self.fronts_at_s.items()
+            if SILENT_REQUESTER_S < now_s - at_s < GREETED_S
+        ]
+
+    def forget_silent(self) -> None:
+        """Forget nodes that have been silent for long."""
+        now_s = asyncio.get_running_loop().time()
+        for known, memory_s in (
+            (self.fronts_at_s, GREETED_S),
+            (self._replicas_at_s, REQUESTER_MEMORY_S),
+        ):
+            for node in [node for node, at_s in known.items() if now_s - at_s > memory_s]:
+                del known[node]
+        for replica in [name for name in self._num_behind if name not in self._replicas_at_s]:
+            del self._num_behind[replica]
+
+    def follow(self) -> None:
+        """Read the registry often while enough nodes rely on this machine, rarely else."""
+        num_relying = self.num_relying
+        is_in_demand = is_shared(num_relying)
+        pace = self._times.pace(is_in_demand)
+        if pace == self.pace:
+            return
+        self.pace = pace
+        log.say(
+            "reads the registry for others, or not any more",
+            is_in_demand=is_in_demand,
+            askers=num_relying,
+            every_s=pace.wait_s,
+        )
+        for on_pace in self.on_pace:
+            on_pace(pace)
--- /dev/null
+++ b/src/bendshed/catalog/messages.py
@@ -0,0 +1,189 @@
+"""Requests for the catalog and their replies, decoded once into types.
+
+The wire (``wire/catalog.proto``) has other names for some: ``asker`` is the requesting node,
+``num_askers`` how many nodes rely on the machine that replies.
+"""
+
+from dataclasses import dataclass
+
+from bendshed.catalog.codec import read_peer, read_runner, read_zones, write_address
+from bendshed.catalog.state import KnownRunner, Removal
+from bendshed.consensus.directory import from_wire
+from bendshed.model.address import Address
+from bendshed.placement.zones import ZoneUpdate
+from bendshed.ports.registry import ReplicaNode
+from bendshed.wire import catalog_pb2 as wire
+
+NEVER_CONFIRMED_MS = 2**31
+"""Age on the wire of a catalog that the registry has not confirmed since its machine started."""
+
+
+@dataclass(frozen=True, slots=True)
+class ReadRequest:
+    """What a node that requests the catalog knows already, and how long the machine may wait.
+
+    Attributes:
+        requester: address of the requesting node.
+        requester_zone: empty: not said.
+        runners_at: revision up to which it knows the runners; 0: none.
+        document_version: configuration that it has in force; 0: none.
+        zones_at: revision up to which it knows the closed zones; 0: none.
+        wait_s: longest time to wait for a change before the reply.
+        directory_digest: of the directory that the same machine sent last; 0: none.
+        is_replica: it holds replicas itself and relays nothing.
+        is_cut_off: only relays reach the machine from it: it is no relay for others.
+        num_behind: fronts that rely on it, if it holds replicas.
+
+    """
+
+    requester: Address
+    requester_zone: str
+    runners_at: int
+    document_version: int
+    zones_at: int
+    wait_s: float
+    directory_digest: int
+    is_replica: bool
+    is_cut_off: bool
+    num_behind: int
+
+
+def write_request(request: ReadRequest) -> bytes:
+    """Encode a request."""
+    return wire.CatalogRequest(
+        runners_at=request.runners_at,
+        document_version=request.document_version,
+        wait_ms=int(request.wait_s * 1000),
+        asker=write_address(request.requester, request.requester_zone),
+        directory_digest=request.directory_digest,
+        is_replica=request.is_replica,
+        zones_at=request.zones_at,
+        is_cut_off=request.is_cut_off,
+        num_behind=request.num_behind,
+    ).SerializeToString()
+
+
+def read_request(content: bytes) -> ReadRequest:
+    """Decode a request; raise ``DecodeError``."""
+    request = wire.CatalogRequest.FromString(content)
+    return ReadRequest(
+        read_peer(request.asker),
+        request.asker.zone,
+        request.runners_at,
+        request.document_version,
+        request.zones_at,
+        request.wait_ms / 1000,
+        request.directory_digest,
+        request.is_replica,
+        request.is_cut_off,
+        request.num_behind,
+    )
+
+
+@dataclass(frozen=True, slots=True)
+class RunnerUpdate:
+    """Runners that changed.
+
+    Attributes:
+        since: revision that the update builds on; 0: it holds all runners.
+        at: revision that it leads to.
+
+    """
+
+    since: int
+    at: int
+    runners: tuple[KnownRunner, ...]
+    removed: tuple[Removal, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class DirectoryUpdate:
+    """All replica machines, and those that operators want emptied.
+
+    Attributes:
+        retiring: ``None``: the machine has not read operators' wishes.
+
+    """
+
+    replicas: tuple[ReplicaNode, ...]
+    retiring: tuple[str, ...] | None
+
+
+@dataclass(frozen=True, slots=True)
+class FrontPlace:
+    """A front that may relay requests, and its zone (empty: not said)."""
+
+    address: Address
+    zone: str
+
+
+@dataclass(frozen=True, slots=True)
+class CatalogUpdate:
+    """What a machine sent of configuration, runners, closed zones and replica machines.
+
+    Attributes:
+        age_ms: since the registry last confirmed all of it.
+        num_relying: fronts and replica machines that rely on the machine.
+        is_lost: the registry does not answer the machine, so it must not be relied on.
+        document_version: of the configuration that the machine knows.
+        document: that configuration, encoded; empty: it is not newer than the requesting node's.
+        runners: ``None``: the machine knows no list of runners.
+        zones: empty, but for its revision, unless that is above the requesting node's.
+        directory: ``None``: as the machine sent it last.
+        fronts: some others that requested the catalog lately.
+
+    """
+
+    age_ms: int
+    num_relying: int
+    is_lost: bool
+    document_version: int
+    document: bytes
+    runners: RunnerUpdate | None
+    zones: ZoneUpdate
+    directory: DirectoryUpdate | None
+    directory_digest: int
+    fronts: tuple[FrontPlace, ...]
+
+    @property
+    def age_s(self) -> float:
+        """Since the registry last confirmed all of it."""
+        return self.age_ms / 1000
+
+    @property
+    def confirmed_age_ms(self) -> int | None:
+        """For the log; ``None``: not confirmed since the machine started."""
+        return self.age_ms if self.age_ms < NEVER_CONFIRMED_MS else None
+
+
+def read_update(content: bytes) -> CatalogUpdate:
+    """Decode a reply; raise ``DecodeError``."""
+    reply = wire.CatalogReply.FromString(content)
+    return CatalogUpdate(
+        reply.age_ms,
+        reply.num_askers,
+        reply.is_lost,
+        reply.document_version,
+        reply.document,
+        _read_runners(reply) if reply.has_runners else None,
+        read_zones(reply),
+        _read_directory(reply) if reply.has_directory else None,
+        reply.directory_digest,
+        read_fronts(reply),
+    )
+
+
+def _read_runners(reply: wire.CatalogReply) -> RunnerUpdate:
+    removed = (Removal(gone.runner_id, gone.revision, gone.is_trusted) for gone in reply.removed)
+    runners = tuple(read_runner(row) for row in reply.runners)
+    return RunnerUpdate(reply.since, reply.runners_at, runners, tuple(removed))
+
+
+def _read_directory(reply: wire.CatalogReply) -> DirectoryUpdate:
+    replicas = tuple(from_wire(hello) for hello in reply.replicas)
+    return DirectoryUpdate(replicas, tuple(reply.retiring) if reply.knows_retiring else None)
+
+
+def read_fronts(reply: wire.CatalogReply) -> tuple[FrontPlace, ...]:
+    """Decode the fronts that a machine names."""
+    return tuple(FrontPlace(read_peer(front), front.zone) for front in reply.fronts)
--- /dev/null
+++ b/src/bendshed/catalog/persistence.py
@@ -0,0 +1,49 @@
+"""The catalog on a replica machine's disk: read at the start, saved after changes."""
+
+import asyncio
+from collections.abc import Callable
+
+from bendshed.catalog.codec import StoredCatalog, decode_kept, encode_kept
+from bendshed.model.address import Address
+from bendshed.ports.catalog_storage import CatalogStorage
+
+SAVE_PACE_S = 1.0
+"""Shortest pause between two saves: a burst of changes is written once a second."""
+PREVIOUS_FRONTS_S = 10.0
+"""Fronts that the disk names and that have sent no request by then are forgotten."""
+
+
+class CatalogPersistence:
+    """What the previous incarnation saved, and the saving in this one.
+
+    Attributes:
+        stored: what the disk held at the start.
+
+    """
+
+    def __init__(self, storage: CatalogStorage, reads_stored: bool) -> None:
+        self.stored = decode_kept(storage.load() if reads_stored else None)
+        self._storage = storage
+        self._forgets_fronts_at_s = 0.0
+        self._unsaved = asyncio.Event()
+
+    def start(self) -> None:
+        """From now on count the time until fronts of the previous incarnation are forgotten."""
+        self._forgets_fronts_at_s = asyncio.get_running_loop().time() + PREVIOUS_FRONTS_S
+
+    def previous_fronts(self) -> tuple[Address, ...]:
+        """Fronts of the previous incarnation; empty some time after the start."""
+        is_recent = asyncio.get_running_loop().time() < self._forgets_fronts_at_s
+        return self.stored.fronts if is_recent else ()
+
+    def note_change(self) -> None:
+        """Something is to be saved."""
+        self._unsaved.set()
+
+    async def run(self, snapshot: Callable[[], StoredCatalog]) -> None:
+        """Save a snapshot after changes, at a bounded pace, until cancelled."""
+        while True:
+            await self._unsaved.wait()
+            self._unsaved.clear()
+            await self._storage.save(encode_kept(snapshot()))
+            await asyncio.sleep(SAVE_PACE_S)
--- a/src/bendshed/catalog/reader_choice.py
+++ b/src/bendshed/catalog/reader_choice.py
@@ -1,12 +1,13 @@
-"""Whom a node asks for the catalog, so that it crosses the link between regions once. Pure.
+"""Whom a node requests the catalog from, so that it crosses the link between regions once. Pure.
 
 All nodes share a rank of the replica machines. The first by rank reads the registry for all. In its
-region all others ask it. In another region the first by rank there asks it across the link, and all
-others there ask that one, the region's head. Without regions everybody asks the reader.
+region all others request the catalog of it. In another region the first by rank there requests it
+across the link, and all others there request it of that one, the regional reader. Without regions
+everybody requests it of the reader.
 
-No two machines can rely on each other for long: a word carries its age, which only the registry's
-answer makes young, and a machine that has lost the registry says so to other replica machines
-however well it is told.
+No two machines can rely on each other for long: an update carries its age, which only the
+registry's answer makes young, and a machine that has lost the registry says so to other replica
+machines however fresh its own updates are.
 """
 
 from collections.abc import Collection, Sequence
@@ -16,15 +17,20 @@
 from bendshed.model.places import Places
 from bendshed.ports.registry import ReplicaNode
 
+AVOIDED_MIN_S, AVOIDED_MAX_S = 1.0, 8.0
+"""A machine that does not reply, or has lost the registry, is avoided for so long, twice as long
+after each further failure: the next by rank reads meanwhile, and a dead machine costs a node one
+request in 8 s instead of one a reply."""
+
 
 @dataclass(frozen=True, slots=True)
 class RequestingNode:
-    """Who asks.
+    """A node that requests the catalog.
 
     Attributes:
         me: its address.
-        zone: where it stands.
-        is_replica: it is one of those that others may ask.
+        zone: where it is located.
+        is_replica: it is one of those that others may request it of.
 
     """
 
@@ -34,30 +40,69 @@
     is_replica: bool
 
     def is_near(self, node: ReplicaNode) -> bool:
-        """Whether a replica machine stands in the asker's region."""
+        """Whether a replica machine is located in the node's region."""
         return self.places.region(node.zone) == self.places.region(self.zone)
 
 
 def choose_catalog_source(
-    asker: RequestingNode, ranked: Sequence[ReplicaNode], avoided: Collection[Address]
+    requester: RequestingNode, ranked: Sequence[ReplicaNode], avoided: Collection[Address]
 ) -> Address | None:
-    """Whom to ask; ``None``: nobody, since the asker is the reader or all are avoided.
+    """Whom to request it of; ``None``: the node is the reader, or all machines are avoided.
 
     Args:
-        asker: who asks.
+        requester: the requesting node.
         ranked: the replica machines in the rank that all share.
-        avoided: those that did not answer or lost the registry a moment ago.
+        avoided: those that did not reply or lost the registry lately.
 
     """
     usable = [node for node in ranked if node.address not in avoided]
     if not usable:
         return None
     reader = usable[0]
-    near = [node for node in usable if asker.is_near(node)]
-    head = near[0] if near else reader
-    if not asker.is_replica:
-        return head.address
-    if reader.address == asker.me:
+    near = [node for node in usable if requester.is_near(node)]
+    regional_reader = near[0] if near else reader
+    if not requester.is_replica:
+        return regional_reader.address
+    if reader.address == requester.me:
         return None
-    is_head = head.address == asker.me
-    return reader.address if is_head else head.address
+    crosses_link = regional_reader.address == requester.me
+    return reader.address if crosses_link else regional_reader.address
+
+
+@dataclass(frozen=True, slots=True)
+class _Avoidance:
+    """A machine that is avoided until a loop time; ``for_s``: how long that was from its start."""
+
+    until_s: float
+    for_s: float
+
+
+class ReaderChoice:
+    """Chooses among the machines that are not avoided, else the one avoided least long.
+
+    Times are of the caller's clock, in seconds.
+    """
+
+    def __init__(self, requester: RequestingNode) -> None:
+        self._requester = requester
+        self._avoided: dict[Address, _Avoidance] = {}
+
+    def target(self, ranked: Sequence[ReplicaNode], now_s: float) -> Address | None:
+        """Whom to request it of; ``None``: no machine, this node reads the registry itself."""
+        avoided = {peer for peer, avoidance in self._avoided.items() if avoidance.until_s > now_s}
+        if any(node.address not in avoided for node in ranked):
+            return choose_catalog_source(self._requester, ranked, avoided)
+        addresses = [node.address for node in ranked]
+        soonest = min(addresses, key=lambda address: self._avoided[address].until_s, default=None)
+        return soonest if soonest != self._requester.me else None
+
+    def avoid(self, machine: Address, now_s: float) -> float:
+        """Avoid a machine from now on; return for how long."""
+        before = self._avoided.get(machine)
+        for_s = AVOIDED_MIN_S if before is None else min(AVOIDED_MAX_S, 2 * before.for_s)
+        self._avoided[machine] = _Avoidance(now_s + for_s, for_s)
+        return for_s
+
+    def forgive(self, machine: Address) -> None:
+        """A machine is well: use it, and begin with the shortest time at its next failure."""
+        self._avoided.pop(machine, None)
--- a/src/bendshed/catalog/reading.py
+++ b/src/bendshed/catalog/reading.py
@@ -33,7 +33,7 @@
         self._others = others
         self._may_read = True
         leading.on_trouble = self._follow_trouble
-        follower.on_freshness = self._follow_freshness
+        follower.on_freshness.append(self._follow_freshness)
 
     @property
     def is_lost(self) -> bool:
@@ -60,8 +60,8 @@
                 while not is_found:
                     await asyncio.sleep(LOOK_INTERVAL_S)
                     is_found = await look()
-                await self._follower.told.wait()
-        if self._follower.told.is_set():
+                await self._follower.first_update.wait()
+        if self._follower.first_update.is_set():
             await asyncio.sleep(settle_s)
         self._may_read = True
         log.say("may read the registry", is_told=self._follower.is_fresh)
@@ -72,7 +72,7 @@
         if not self._may_read:
             return
         for watcher in (self._leading, *self._others):
-            watcher.is_known = self._follower.told.is_set()
+            watcher.is_known = self._follower.first_update.is_set()
         if self._follower.is_fresh:
             for watcher in (self._leading, *self._others):
                 watcher.pause()
--- a/src/bendshed/catalog/relay_list.py
+++ b/src/bendshed/catalog/relay_list.py
@@ -4,7 +4,8 @@
 import random
 from collections.abc import Iterable, Mapping
 
-from bendshed.catalog.codec import read_peer, write_address
+from bendshed.catalog.codec import write_address
+from bendshed.catalog.messages import FrontPlace
 from bendshed.model.address import Address
 from bendshed.paths.neighbours import Neighbours
 from bendshed.wire import catalog_pb2 as wire
@@ -33,19 +34,25 @@
         self._heard_s = max(HEARD_S, HEARD_INTERVALS * interval_s)
         self._cut_off: set[Address] = set()
 
-    def note_asker(self, front: Address, is_cut_off: bool) -> None:
-        """A front asked, itself or through others."""
+    def note_requester(self, front: Address, is_cut_off: bool) -> None:
+        """A front requested the catalog, directly or through a relay."""
         if is_cut_off:
             self._cut_off.add(front)
         else:
             self._cut_off.discard(front)
 
-    def take_told(self, fronts: Iterable[wire.PeerAddress]) -> None:
-        """Another replica machine names fronts that it hears."""
+    def take_named(self, fronts: Iterable[FrontPlace]) -> None:
+        """Another replica machine named fronts that send it requests."""
         now_s = asyncio.get_running_loop().time()
         for front in fronts:
-            self._neighbours.put(front.host, front.zone)
-            self.elsewhere[read_peer(front)] = now_s
+            self._neighbours.put(front.address.host, front.zone)
+            self.elsewhere[front.address] = now_s
+
+    def forget_silent(self, memory_s: float) -> None:
+        """Forget fronts that no other machine has named for so long."""
+        now_s = asyncio.get_running_loop().time()
+        for front in [front for front, at_s in self.elsewhere.items() if now_s - at_s > memory_s]:
+            del self.elsewhere[front]
 
     def keep_only(self, known: Iterable[Address]) -> None:
         """Forget what was noted of fronts that are not known any more."""
--- /dev/null
+++ b/src/bendshed/catalog/replica_parts.py
@@ -0,0 +1,144 @@
+"""Builds the parts of a replica machine's catalog, and runs them."""
+
+import asyncio
+import random
+from collections.abc import Coroutine
+from dataclasses import dataclass
+from typing import Any
+
+from bendshed.catalog.codec import StoredCatalog
+from bendshed.catalog.demand import REQUESTER_MEMORY_S, Demand
+from bendshed.catalog.follower import CatalogFollower, FollowerPaths
+from bendshed.catalog.front_exchange import FrontExchange
+from bendshed.catalog.persistence import CatalogPersistence
+from bendshed.catalog.relay_list import RelayList
+from bendshed.catalog.replica_catalog import ReplicaCatalog
+from bendshed.catalog.server import CatalogServer
+from bendshed.catalog.times import CatalogTimes
+from bendshed.consensus.directory import ReplicaDirectory
+from bendshed.logs import PartLog
+from bendshed.model.address import Address
+from bendshed.paths.neighbours import Neighbours
+from bendshed.policy import Policy
+from bendshed.ports.catalog_storage import CatalogStorage
+from bendshed.ports.transport import Transport
+
+SHARE_INTERVAL_S = 1.0
+"""Fronts are named to the other replica machines, and silent nodes forgotten, this often."""
+
+log = PartLog("catalog")
+
+
+@dataclass(frozen=True, slots=True)
+class CatalogSurroundings:
+    """What a replica machine's catalog shares with other parts of the process.
+
+    Attributes:
+        me: this machine's address.
+
+    """
+
+    transport: Transport
+    directory: ReplicaDirectory
+    neighbours: Neighbours
+    me: Address
+    storage: CatalogStorage
+
+
+class ReplicaCatalogParts:
+    """The catalog, who relies on it, and the machine that it follows.
+
+    Attributes:
+        catalog: what this machine knows.
+        demand: which nodes rely on this machine, and how it reads the registry for them.
+        follower: requests the catalog of another machine, so that one reads the registry for all.
+        server: answers nodes that request the catalog.
+
+    """
+
+    def __init__(
+        self, around: CatalogSurroundings, times: CatalogTimes, policy: Policy, rng: random.Random
+    ) -> None:
+        self._around = around
+        self._persistence = CatalogPersistence(around.storage, policy.kept_catalog)
+        self.catalog = ReplicaCatalog(self._persistence, times, around.neighbours.places)
+        self.demand = Demand(times)
+        self._relay_list = RelayList(around.neighbours, rng, times.interval_s)
+        self._exchange = FrontExchange(
+            around.transport,
+            around.directory,
+            around.me,
+            self.demand,
+            self._relay_list,
+            self._persistence,
+        )
+        self.follower = CatalogFollower(
+            FollowerPaths(around.transport, around.transport, around.neighbours),
+            around.directory,
+            self.catalog,
+            around.me,
+            times,
+            rng,
+            may_share=policy.shared_reading and policy.replicas_follow,
+            num_behind=lambda: self.demand.num_fronts,
+            is_replica=True,
+        )
+        self.server = CatalogServer(
+            self.catalog,
+            around.directory,
+            self.demand,
+            self._relay_list,
+            around.neighbours,
+            self.follower.upstream,
+        )
+
+    def start(self) -> None:
+        """Begin to answer, with what the disk held."""
+        self._persistence.start()
+        self.catalog.start()
+        for node in self._persistence.stored.replicas:
+            self._around.directory.put(node)
+        self._around.directory.on_change.append(self.catalog.announce)
+        self.catalog.note_unsaved()
+        self.server.start(self._around.transport)
+        self._exchange.start()
+        catalog, zones_at = self.catalog.catalog, self.catalog.zones.record.zones.at
+        log.say(
+            "starts with",
+            version=catalog.version,
+            runners_at=catalog.runners_at,
+            zones_at=zones_at,
+        )
+        self.follower.note_known(catalog.version, catalog.runners_at)
+        self.follower.note_zones(zones_at)
+
+    def loops(self) -> list[Coroutine[Any, Any, None]]:
+        """What runs in the background until cancelled."""
+        return [
+            self._exchange.greet(),
+            self._tend(),
+            self._persistence.run(self._snapshot),
+            self.follower.run(),
+        ]
+
+    async def _tend(self) -> None:
+        """Forget who is silent, follow the demand, name fronts to the other machines."""
+        zones = self.catalog.zones.record
+        while True:
+            await asyncio.sleep(SHARE_INTERVAL_S)
+            self.demand.forget_silent()
+            self._relay_list.forget_silent(REQUESTER_MEMORY_S)
+            self._relay_list.keep_only(self.demand.fronts_at_s)
+            if zones.forget_old(asyncio.get_running_loop().time()):
+                self.catalog.note_unsaved()
+            self.demand.follow()
+            self._exchange.share()
+
+    def _snapshot(self) -> StoredCatalog:
+        """What the disk is to hold now."""
+        return StoredCatalog(
+            self.catalog.catalog,
+            tuple(self._around.directory.by_name.values()),
+            self._exchange.all_fronts(),
+            self.catalog.zones.record.word(asyncio.get_running_loop().time()),
+        )
--- /dev/null
+++ b/src/bendshed/catalog/upstream.py
@@ -0,0 +1,44 @@
+"""The machine that a node's catalog comes from; the follower writes it, the server reads it."""
+
+from dataclasses import dataclass
+
+from bendshed.model.address import Address
+from bendshed.paths.neighbours import Neighbours
+
+
+@dataclass(slots=True)
+class Upstream:
+    """The last machine that sent this node an update.
+
+    Attributes:
+        neighbours: where other nodes are located.
+        is_replica: this node is a replica machine.
+        machine: ``None``: this node reads the registry itself, or was sent nothing yet.
+        directory_digest: of the directory that the machine sent.
+        num_relying: nodes that rely on the machine, with those that rely on these.
+        is_fresh: the registry confirmed the catalog lately enough that this node need not read it.
+
+    """
+
+    neighbours: Neighbours
+    is_replica: bool
+    machine: Address | None = None
+    directory_digest: int = 0
+    num_relying: int = 0
+    is_fresh: bool = False
+
+    @property
+    def is_regional_reader(self) -> bool:
+        """Whether this node gets the catalog across the link, for its whole region."""
+        machine = self.machine
+        return self.is_replica and machine is not None and self.neighbours.is_far(machine.host)
+
+    @property
+    def is_updated_across_regions(self) -> bool:
+        """Whether a machine of another region keeps this regional reader fresh."""
+        return self.is_regional_reader and self.is_fresh
+
+    @property
+    def num_relying_across_regions(self) -> int:
+        """Nodes that rely on the machine of another region; 0: this is no regional reader."""
+        return self.num_relying if self.is_regional_reader else 0
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -8,9 +8,9 @@
 from prometheus_client import CollectorRegistry
 
 from bendshed.adapters.tcp_transport import TcpTransport
+from bendshed.catalog.confirmations import CatalogPart
 from bendshed.catalog.file import FileCatalogStorage
 from bendshed.catalog.reading import RegistryReading
-from bendshed.catalog.server import CatalogPart
 from bendshed.catalog.state import KnownRunner
 from bendshed.catalog.times import ReadingPace
 from bendshed.catalog.watcher import KindHandler, KindWatcher
@@ -25,7 +25,7 @@
 from bendshed.ports.objects import ObjectEvent, ObjectList, StoredObject
 from bendshed.tasks import start_loop
 from bendshed.turns.metrics import TurnLogMetrics
-from bendshed.turns.node import TurnLogNode
+from bendshed.turns.node import ReplicaPlace, ReplicaPorts, ReplicaTerms, TurnLogNode
 
 WATCH_S = 8.0
 RETRY_GROWTH = 2.0
@@ -49,23 +49,24 @@
         self._api = ObjectApi(read_address(settings.platform.addr))
         self._storage = open_or_replace(data_folder)
         self._node = TurnLogNode(
-            settings.nodeName,
-            settings.zone,
-            settings.peer_address,
-            self._storage,
-            self._transport,
-            PlatformReplicaRegistry(self._api),
-            2 * settings.faultTolerance.most + 1,
+            ReplicaPlace(settings.nodeName, settings.zone, settings.peer_address, settings.places),
+            ReplicaPorts(
+                self._storage,
+                FileCatalogStorage(data_folder),
+                self._transport,
+                PlatformReplicaRegistry(self._api),
+            ),
+            ReplicaTerms(
+                2 * settings.faultTolerance.most + 1,
+                settings.catalog_times,
+                settings.policy,
+                settings.bounds.quota_terms,
+                settings.turn_groups,
+                settings.bounds.cold_terms,
+                settings.placement,
+            ),
             self._rng,
             TurnLogMetrics(registry),
-            FileCatalogStorage(data_folder),
-            settings.catalog_times,
-            settings.policy,
-            settings.bounds.quota_terms,
-            groups=settings.turn_groups,
-            places=settings.places,
-            cold_terms=settings.bounds.cold_terms,
-            link_terms=settings.placement,
         )
         self._transport.traffic.distance = self._node.neighbours.distance
         self._transport.traffic.add_to(registry)
@@ -102,7 +103,7 @@
         self._watchers = [self._runners, *others]
         self._reading = RegistryReading(self._node.follower, self._runners, others)
         self._reading.on_change = lambda: self._node.note_registry(self._reading.is_lost)
-        self._node.catalog.on_pace = self._set_pace
+        self._node.demand.on_pace.append(self._set_pace)
 
     async def run(self, stopping: asyncio.Event) -> None:
         """Serve until told to stop."""
@@ -119,7 +120,7 @@
         self._storage.close()
 
     def _watcher(self, kind: str, handler: KindHandler) -> KindWatcher:
-        pace = self._node.catalog.pace
+        pace = self._node.demand.pace
         return KindWatcher(
             self._api, kind, handler, pace.wait_s, self._rng, pace.pace_s, RETRY_GROWTH
         )
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -7,7 +7,7 @@
 
 from prometheus_client import CollectorRegistry
 
-from bendshed.catalog.server import CatalogPart
+from bendshed.catalog.confirmations import CatalogPart
 from bendshed.catalog.state import KnownRunner
 from bendshed.catalog.times import CatalogTimes
 from bendshed.model.address import Address
@@ -38,7 +38,7 @@
 from bendshed.services.metrics import ServiceMetrics
 from bendshed.services.node import NodePlace, ServiceNode
 from bendshed.turns.metrics import TurnLogMetrics
-from bendshed.turns.node import TurnLogNode
+from bendshed.turns.node import ReplicaPlace, ReplicaPorts, ReplicaTerms, TurnLogNode
 
 PEER_PORT = 7000
 NUM_ENGINES, NUM_TOOLS = 3, 2
@@ -240,21 +240,17 @@
         metrics = TurnLogMetrics(CollectorRegistry())
         self.metrics[machine.process.name] = metrics
         machine.replica = TurnLogNode(
-            machine.name,
-            machine.zone,
-            address,
-            SimLogStorage(disk),
-            transport,
-            self.registry,
-            self.layout.num_voters,
+            ReplicaPlace(machine.name, machine.zone, address, self.layout.places),
+            ReplicaPorts(SimLogStorage(disk), SimCatalogStorage(disk), transport, self.registry),
+            ReplicaTerms(
+                self.layout.num_voters,
+                TIMES,
+                quotas=QUOTA_TERMS,
+                groups=self.layout.groups,
+                cold=COLD_TERMS,
+            ),
             rng,
             metrics,
-            SimCatalogStorage(disk),
-            TIMES,
-            quota_terms=QUOTA_TERMS,
-            groups=self.layout.groups,
-            places=self.layout.places,
-            cold_terms=COLD_TERMS,
         )
         machine.replica.start()
         machine.process.spawn(self.loop, self._follow(machine, self._tell_store))
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
-from bendshed.catalog.follower import CatalogFollower
+from bendshed.catalog.follower import CatalogFollower, FollowerPaths
 from bendshed.catalog.server import CATALOG_METHOD
 from bendshed.catalog.state import KnownRunner
 from bendshed.catalog.times import CatalogTimes
@@ -116,16 +116,13 @@
             transport, rng, self._other_nodes, RELAYED_METHODS, self.neighbours
         )
         self.catalog = CatalogFollower(
-            transport,
-            self._requests,
+            FollowerPaths(transport, self._requests, self.neighbours, self._requests.is_cut),
             self.directory,
             _CatalogTaker(self),
             place.address,
             times,
             rng,
             policy.shared_reading,
-            is_cut=self._requests.is_cut,
-            neighbours=self.neighbours,
         )
         leaders = GroupClient(
             self._requests,
@@ -240,7 +237,7 @@
             return False
         self.forwarder.index = RouteIndex(document)
         self._table.cold.take_document(document)
-        self.catalog.version = document.version
+        self.catalog.note_known(document.version, 0)
         log.say(
             "puts a configuration in force",
             version=document.version,
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -3,8 +3,9 @@
 import unittest
 from unittest import mock
 
-from bendshed.catalog import follower, server
+from bendshed.catalog import demand, follower
 from bendshed.catalog.codec import StoredCatalog, decode_kept, encode_kept
+from bendshed.catalog.known_fronts import KnownFronts
 from bendshed.catalog.server import CATALOG_METHOD
 from bendshed.catalog.state import MAX_REMOVED, Catalog, KnownRunner
 from bendshed.identifiers import rendezvous_rank
@@ -114,34 +115,29 @@
 
 class FrontsForRelayingTest(unittest.TestCase):
     def setUp(self) -> None:
-        world = SiteWorld.started(1)
-        self.addCleanup(world.close)
-        node = world.fronts["front-1"].front
-        assert node is not None
-        self.follower = node.catalog
+        self.fronts = KnownFronts()
         self.told = [Address(f"10.0.9.{number}", 7000) for number in range(20)]
 
     def test_a_machine_that_knows_few_fronts_takes_none_away(self) -> None:
-        self.follower._take_fronts(self.told[:6])
-        self.follower._take_fronts([])
-        self.assertEqual(self.follower.fronts, self.told[:6])
-        self.follower._take_fronts(self.told[6:8])
-        self.assertEqual(self.follower.fronts, [*self.told[6:8], *self.told[:4]])
+        self.fronts.take(self.told[:6])
+        self.fronts.take([])
+        self.assertEqual(self.fronts.addresses, self.told[:6])
+        self.fronts.take(self.told[6:8])
+        self.assertEqual(self.fronts.addresses, [*self.told[6:8], *self.told[:4]])
 
     def test_a_machine_that_knows_many_replaces_those_that_may_be_cut_off_meanwhile(self) -> None:
-        self.follower._take_fronts(self.told[:6])
-        self.follower._take_fronts(self.told[6:12])
-        self.assertEqual(self.follower.fronts, self.told[6:12])
+        self.fronts.take(self.told[:6])
+        self.fronts.take(self.told[6:12])
+        self.assertEqual(self.fronts.addresses, self.told[6:12])
 
 
 class SharedReadingTest(unittest.TestCase):
     """With enough fronts one replica machine of a zone asks the registry for all of them."""
 
     def setUp(self) -> None:
-        for module in (follower, server):
-            patch = mock.patch.object(module, "MIN_SHARED_ASKERS", 1)
-            patch.start()
-            self.addCleanup(patch.stop)
+        patch = mock.patch.object(demand, "MIN_SHARED_ASKERS", 1)
+        patch.start()
+        self.addCleanup(patch.stop)
         self.world = SiteWorld.started(3)
         self.addCleanup(self.world.close)
         self.world.run_for(3.0)
--- a/tests/test_follower_ways.py
+++ b/tests/test_follower_ways.py
@@ -4,13 +4,14 @@
 import random
 import unittest
 
-from bendshed.catalog.follower import CatalogFollower
-from bendshed.catalog.server import MIN_SHARED_ASKERS
+from bendshed.catalog.demand import MIN_SHARED_ASKERS
+from bendshed.catalog.follower import CatalogFollower, FollowerPaths
 from bendshed.catalog.state import Catalog, KnownRunner
 from bendshed.catalog.times import CatalogTimes
 from bendshed.consensus.directory import ReplicaDirectory
 from bendshed.model.address import Address
 from bendshed.model.service_document import ServiceDocument
+from bendshed.paths.neighbours import Neighbours
 from bendshed.placement.zones import ZoneUpdate
 from bendshed.ports.registry import ReplicaNode
 from bendshed.rehearsal.simulator.loop import SimProcess, VirtualTimeLoop
@@ -79,14 +80,12 @@
         directory.put(ReplicaNode("store", "n1", STORE, "a"))
         self.taker = taker = Taker()
         follower = CatalogFollower(
-            transport,
-            relays,
+            FollowerPaths(transport, relays, Neighbours(), is_cut=lambda _peer: True),
             directory,
             taker,
             Address("front", 7000),
             times,
             random.Random(2),
-            is_cut=lambda _peer: True,
         )
         follower.note_zones(knows_zones_at)
         asking = loop.create_task(follower.run())
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -35,7 +35,9 @@
         self.loop = VirtualTimeLoop()
         asyncio.set_event_loop(self.loop)
         self.addCleanup(self.loop.close)
-        self.follower = mock.Mock(told=asyncio.Event(), is_fresh=False, runners_at=0)
+        self.follower = mock.Mock(
+            first_update=asyncio.Event(), is_fresh=False, runners_at=0, on_freshness=[]
+        )
         self.leading, self.other = StubWatch(), StubWatch()
         self.reading = RegistryReading(self.follower, self.leading, [self.other])  # type: ignore
         self.lost: list[bool] = []
@@ -46,7 +48,8 @@
 
     def set_fresh(self, is_fresh: bool) -> None:
         self.follower.is_fresh = is_fresh
-        self.follower.on_freshness()
+        for on_freshness in self.follower.on_freshness:
+            on_freshness()
 
     def wait_for_word(self, finds: bool) -> float:
         async def look() -> bool:
@@ -77,7 +80,7 @@
         self.assertTrue(self.reading.is_lost)
 
     def test_a_node_that_starts_reads_nothing_when_others_tell(self) -> None:
-        self.follower.told.set()
+        self.follower.first_update.set()
         self.follower.is_fresh = True
         self.assertAlmostEqual(self.wait_for_word(finds=True), SETTLE_S, places=2)
         self.assertEqual(self.wanted(), (False, False))
@@ -89,12 +92,12 @@
     def test_who_is_told_asks_a_lost_registry_less_often(self) -> None:
         self.set_fresh(False)
         self.assertFalse(self.leading.is_known)
-        self.follower.told.set()
+        self.follower.first_update.set()
         self.set_fresh(False)
         self.assertTrue(self.leading.is_known)
 
     def test_a_node_that_is_told_old_words_reads_a_little_later(self) -> None:
-        self.follower.told.set()
+        self.follower.first_update.set()
         self.wait_for_word(finds=True)
         self.assertEqual(self.wanted(), (True, True))
 
--- a/tests/test_regions_catalog.py
+++ b/tests/test_regions_catalog.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from unittest import mock
 
-from bendshed.catalog import follower, server
+from bendshed.catalog import demand, follower
 from bendshed.catalog.reader_choice import RequestingNode, choose_catalog_source
 from bendshed.catalog.server import CATALOG_METHOD
 from bendshed.identifiers import rendezvous_rank
@@ -83,10 +83,9 @@
     """Eight fronts and four replica machines in two regions, 30 ms apart one way."""
 
     def setUp(self) -> None:
-        for module in (follower, server):
-            patch = mock.patch.object(module, "MIN_SHARED_ASKERS", 1)
-            patch.start()
-            self.addCleanup(patch.stop)
+        patch = mock.patch.object(demand, "MIN_SHARED_ASKERS", 1)
+        patch.start()
+        self.addCleanup(patch.stop)
         self.world = SiteWorld.started(3, two_zones_a_region(NUM_FRONTS))
         self.addCleanup(self.world.close)
         self.world.run_for(3.0)
@@ -138,7 +137,7 @@
         self.world.run_for(PLAYED_S)
         askers = self.askers_over_the_link()
         self.assertEqual(set(askers), {self.far_head().host})
-        most = PLAYED_S / (follower.HEAD_SHARE * TIMES.interval_s)
+        most = PLAYED_S / (follower.REGIONAL_READER_SHARE * TIMES.interval_s)
         self.assertLessEqual(askers[self.far_head().host], most + 2)
 
     def test_all_stay_fresh_all_day(self) -> None:
@@ -217,7 +216,7 @@
     """Neither region has enough nodes for a reader of its own; both together have."""
 
     def test_both_regions_count_together(self) -> None:
-        world = SiteWorld.started(3, two_zones_a_region(server.MIN_SHARED_ASKERS))
+        world = SiteWorld.started(3, two_zones_a_region(demand.MIN_SHARED_ASKERS))
         self.addCleanup(world.close)
         world.run_for(4.0)
         for front in world.fronts.values():
--- a/tests/test_regions_site.py
+++ b/tests/test_regions_site.py
@@ -8,7 +8,7 @@
 import unittest
 from unittest import mock
 
-from bendshed.catalog import follower, server
+from bendshed.catalog import demand
 from bendshed.model.places import Distance, Places
 from bendshed.paths import echo
 from bendshed.paths.echo import ECHO_INTERVAL_S, ECHO_TIMEOUT_S, ROUNDS_UNHEARD
@@ -32,10 +32,9 @@
 
 class RegionsTest(unittest.TestCase):
     def start(self, seed: int) -> SiteWorld:
-        for module in (follower, server):
-            patch = mock.patch.object(module, "MIN_SHARED_ASKERS", 1)
-            patch.start()
-            self.addCleanup(patch.stop)
+        patch = mock.patch.object(demand, "MIN_SHARED_ASKERS", 1)
+        patch.start()
+        self.addCleanup(patch.stop)
         world = SiteWorld.started(seed, two_zones_a_region(NUM_FRONTS))
         self.addCleanup(world.close)
         world.run_for(3.0)
--- a/tests/test_zone_worlds.py
+++ b/tests/test_zone_worlds.py
@@ -6,7 +6,7 @@
 
 from prometheus_client import generate_latest
 
-from bendshed.catalog import follower, server
+from bendshed.catalog import demand
 from bendshed.catalog.server import CATALOG_METHOD
 from bendshed.identifiers import rendezvous_rank
 from bendshed.rehearsal.site.documents import WIDE
@@ -25,10 +25,9 @@
     """Enough fronts ask that one replica machine reads the registry for all."""
 
     def setUp(self) -> None:
-        for module in (follower, server):
-            patch = mock.patch.object(module, "MIN_SHARED_ASKERS", 1)
-            patch.start()
-            self.addCleanup(patch.stop)
+        patch = mock.patch.object(demand, "MIN_SHARED_ASKERS", 1)
+        patch.start()
+        self.addCleanup(patch.stop)
         self.world = SiteWorld.started(5)
         self.addCleanup(self.world.close)
         self.world.run_for(3.0)
@@ -196,7 +195,7 @@
             zones_at=zones_at,
         )
         began_s = self.world.loop.time()
-        answering = reader.catalog._answer(request.SerializeToString())
+        answering = reader._catalog_parts.server.answer(request.SerializeToString())
         content = self.world.loop.run_until_complete(answering)
         return wire.CatalogReply.FromString(content), self.world.loop.time() - began_s
 
