--- a/src/bendshed/catalog/demand.py
+++ b/src/bendshed/catalog/demand.py
@@ -101,7 +101,7 @@
             return
         self.pace = pace
         log.say(
-            "reads the registry for others, or not any more",
+            "registry reading pace changed: demand of other nodes",
             is_in_demand=is_in_demand,
             askers=num_relying,
             every_s=pace.wait_s,
--- a/src/bendshed/catalog/file.py
+++ b/src/bendshed/catalog/file.py
@@ -25,7 +25,7 @@
         try:
             return read_durable(self._path)
         except (OSError, FileDamaged) as error:
-            log.say("what was kept cannot be read", reason=repr(error))
+            log.say("saved file ignored: unreadable", reason=repr(error))
             return None
 
     async def save(self, content: bytes) -> None:
@@ -33,4 +33,4 @@
         try:
             await asyncio.to_thread(write_durable, self._path, content)
         except OSError as error:
-            log.say("was not kept", reason=str(error))
+            log.say("not saved: disk failed", reason=str(error))
--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -233,7 +233,7 @@
         """Follow another machine for a while."""
         self._num_failed += 1
         for_s = self._choice.avoid(machine, asyncio.get_running_loop().time())
-        log.say("asks another machine", instead_of=str(machine), reason=reason, for_s=for_s)
+        log.say("machine avoided", instead_of=str(machine), reason=reason, for_s=for_s)
 
     async def _request(self, machine: Address, waits_there: bool) -> CatalogUpdate | None:
         """Request the catalog once; ``None``: no reply in time.
--- a/src/bendshed/catalog/freshness.py
+++ b/src/bendshed/catalog/freshness.py
@@ -41,6 +41,10 @@
         if is_fresh == self._upstream.is_fresh:
             return
         self._upstream.is_fresh = is_fresh
-        log.say("is fresh: the registry is read for this node" if is_fresh else "is not fresh")
+        log.say(
+            "fresh: another machine reads the registry"
+            if is_fresh
+            else "not fresh: this node reads the registry itself"
+        )
         for on_change in self.on_change:
             on_change()
--- a/src/bendshed/catalog/reading.py
+++ b/src/bendshed/catalog/reading.py
@@ -64,7 +64,7 @@
         if self._follower.first_update.is_set():
             await asyncio.sleep(settle_s)
         self._may_read = True
-        log.say("may read the registry", is_told=self._follower.is_fresh)
+        log.say("startup wait over: registry may be read", is_told=self._follower.is_fresh)
         self._follow_freshness()
 
     def _follow_freshness(self) -> None:
--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -104,7 +104,7 @@
         self._exchange.start()
         catalog, zones_at = self.catalog.catalog, self.catalog.zones.record.zones.at
         log.say(
-            "starts with",
+            "loaded at start",
             version=catalog.version,
             runners_at=catalog.runners_at,
             zones_at=zones_at,
--- a/src/bendshed/catalog/update_intake.py
+++ b/src/bendshed/catalog/update_intake.py
@@ -72,11 +72,11 @@
         try:
             document = read_document(update.document)
         except DocumentUnreadable as error:
-            log.say("a configuration cannot be read", reason=str(error))
+            log.say("configuration ignored: unreadable", reason=str(error))
             return
         if self._taker.take_document(document):
             log.say(
-                "tells a configuration", version=document.version, age_ms=update.confirmed_age_ms
+                "configuration received", version=document.version, age_ms=update.confirmed_age_ms
             )
         self.version = max(self.version, document.version)
 
@@ -114,4 +114,4 @@
         is_trusted = update.age_s < self._times.max_age_s
         self._taker.list_runners(list(changes.runners), changes.at, is_trusted)
         if is_first:
-            log.say("tells the runners", at=changes.at, age_ms=update.confirmed_age_ms)
+            log.say("first runner list received", at=changes.at, age_ms=update.confirmed_age_ms)
--- a/src/bendshed/catalog/watcher.py
+++ b/src/bendshed/catalog/watcher.py
@@ -174,7 +174,7 @@
                 self._note_regained()
                 await asyncio.sleep(self.pace_s)
             except HistoryGone:
-                log.say("the history is gone, lists again", kind=self._kind)
+                log.say("listing again: change history expired", kind=self._kind)
                 self._at = None
             except (StoreUnavailable, KeyError, ValueError, TypeError) as error:
                 self._note_failure(error)
@@ -240,13 +240,13 @@
         self.failed_at_s = asyncio.get_running_loop().time()
         self._num_failed += 1
         if not self._is_lost:
-            log.say("lost the store", kind=self._kind, reason=str(error))
+            log.say("platform store lost: call failed", kind=self._kind, reason=str(error))
             self._is_lost = True
             self.on_trouble()
 
     def _note_regained(self) -> None:
         self._num_failed = 0
         if self._is_lost:
-            log.say("regained the store", kind=self._kind)
+            log.say("platform store answers again", kind=self._kind)
             self._is_lost = False
             self.on_trouble()
--- a/src/bendshed/catalog/zones.py
+++ b/src/bendshed/catalog/zones.py
@@ -53,12 +53,12 @@
         changes = self.record.take(word, now_s)
         revision = self.record.zones.at
         for zone in changes.closed:
-            log.say("a zone is closed", zone=zone, revision=revision)
+            log.say("zone closed", zone=zone, revision=revision)
         for row in changes.opened:
             closed_for_s = round(row.at_s - since_s.get(row.zone, row.at_s), 3)
             ago_ms = int((now_s - row.at_s) * 1000)
             log.say(
-                "a zone is open again",
+                "zone open again",
                 zone=row.zone,
                 revision=revision,
                 ago_ms=ago_ms,
--- a/src/bendshed/consensus/bootstrap.py
+++ b/src/bendshed/consensus/bootstrap.py
@@ -49,7 +49,7 @@
                 await self._registry.announce(self._me)
                 return
             except RegistryUnavailable as error:
-                log.say("cannot announce this machine yet", reason=str(error))
+                log.say("announcement failed: registry unavailable", reason=str(error))
                 await asyncio.sleep(ANNOUNCE_RETRY_S)
 
     async def found(self) -> None:
@@ -79,7 +79,7 @@
             await self._host.flush()
             if group_id == FIRST_GROUP:
                 self._storage.mark_bootstrapped()
-            log.say("is a founding replica", group=group_id, voters=voters)
+            log.say("group bootstrapped", group=group_id, voters=voters)
         return True
 
     async def _founding_voters(self, group_id: int) -> list[str]:
@@ -93,7 +93,7 @@
             chosen = choose_replicas(group_id, nodes, self._num_voters, home_zones)
             return await self._registry.found(chosen, group_id)
         except RegistryUnavailable as error:
-            log.say("the founding waits for the registry", group=group_id, reason=str(error))
+            log.say("bootstrap waits: registry unavailable", group=group_id, reason=str(error))
             return []
 
     def _may_found(self, waited_s: float) -> bool:
--- a/src/bendshed/consensus/retirement.py
+++ b/src/bendshed/consensus/retirement.py
@@ -116,10 +116,10 @@
         try:
             await self._registry.report_retirement(name, complete)
         except RegistryUnavailable as error:
-            log.say("cannot report a retirement yet", name=name, reason=str(error))
+            log.say("retirement report failed: registry unavailable", name=name, reason=str(error))
             return
         self._reported[name] = complete
-        log.say("reported a retirement", name=name, complete=complete)
+        log.say("retirement reported", name=name, complete=complete)
 
     async def _is_emptied(self, node_id: str) -> bool:
         """Whether every group has let the machine go."""
--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -125,7 +125,7 @@
         if stall is None or not led or now_s < self._handed_on_s + HAND_ON_AGAIN_S:
             return
         self._handed_on_s = now_s
-        log.say("stalls and lets others lead", reason=stall.value, groups=led)
+        log.say("handing leadership over: disk or loop stalled", reason=stall.value, groups=led)
         self._host.hand_over_all()
 
     def _supervise_group(self, group_id: int, group: HostedGroup) -> None:
@@ -155,7 +155,11 @@
         home = [node for node in staying if places.is_home(node)]
         ready = [node for node in home if replica.followers[node].match_index >= index]
         if term == replica.term and ready:
-            log.say("lets a voter at home lead", group=group_id, voters=ready)
+            log.say(
+                "handing leadership over: leader outside the home region",
+                group=group_id,
+                voters=ready,
+            )
             self._host.hand_over(group_id, ready)
 
     def _places(self, group_id: int) -> VoterPlaces:
@@ -180,7 +184,7 @@
             self._reject(node)
         if self._host.propose_membership(group_id, wanted):
             log.say(
-                "changes the replicas",
+                "membership change proposed",
                 group=group_id,
                 voters=list(wanted.voters),
                 learners=list(wanted.learners),
--- a/src/bendshed/operators/explanation.py
+++ b/src/bendshed/operators/explanation.py
@@ -14,19 +14,19 @@
 
 CONTEXT = frozenset(
     {
-        "registry: lost the store",
-        "registry: regained the store",
+        "registry: platform store lost: call failed",
+        "registry: platform store answers again",
         "quota: cannot tell what was let through",
         "turns: no replica of the turn log answers",
         "turns: regained the turn log",
-        "paths: reaches a peer through others",
-        "paths: reaches a peer directly again",
-        "catalog: tells a configuration",
-        "catalog: is not fresh",
-        "zones: a zone is closed",
-        "zones: a zone is open again",
-        "node: puts a configuration in force",
-        "node: drains",
+        "paths: relayed path in use: direct path timed out",
+        "paths: direct path in use again",
+        "catalog: configuration received",
+        "catalog: not fresh: this node reads the registry itself",
+        "zones: zone closed",
+        "zones: zone open again",
+        "node: configuration in force",
+        "node: draining",
         "front: started",
         "front: stopped",
         "store: started",
@@ -36,9 +36,9 @@
         "runners: is not listed any more",
         "consensus: the role changed",
         "consensus: the disk does not take a commit; it is tried again",
-        "supervisor: changes the replicas",
-        "supervisor: lets a voter at home lead",
-        "supervisor: stalls and lets others lead",
+        "supervisor: membership change proposed",
+        "supervisor: handing leadership over: leader outside the home region",
+        "supervisor: handing leadership over: disk or loop stalled",
         "replicas: lost its disk",
         "logs: lines were dropped",
     }
@@ -76,7 +76,7 @@
 }
 """Last line of a request to its cause, in a sentence; the first that is found counts."""
 REFUSED = "forward: refused"
-ZONE_CLOSED, ZONE_OPEN = "zones: a zone is closed", "zones: a zone is open again"
+ZONE_CLOSED, ZONE_OPEN = "zones: zone closed", "zones: zone open again"
 SHORT_OF_RUNNERS = frozenset({"no_runner", "overloaded", "deadline_exceeded"})
 """Kinds of refusals that a closed zone may be the cause of."""
 SENT = "forward: sent"
--- a/src/bendshed/paths/echo.py
+++ b/src/bendshed/paths/echo.py
@@ -114,5 +114,8 @@
     def _tell(self, asked: Collection[str], heard: Collection[str]) -> None:
         for region, is_heard in self.watch.note(asked, heard).items():
             log.say(
-                "hears a region again" if is_heard else "hears nobody of a region", region=region
+                "region reachable again"
+                if is_heard
+                else "region unreachable: no replica machine answered",
+                region=region,
             )
--- a/src/bendshed/paths/relayed.py
+++ b/src/bendshed/paths/relayed.py
@@ -148,7 +148,7 @@
         self._note_word()
         if way.is_cut:
             way.is_cut = False
-            log.say("reaches a peer directly again", peer=str(peer))
+            log.say("direct path in use again", peer=str(peer))
         return answer
 
     async def _indirectly(
@@ -177,7 +177,7 @@
         if not way.is_cut:
             way.is_cut = True
             self._cut_since_s = asyncio.get_running_loop().time()
-            log.say("reaches a peer through others", peer=str(peer))
+            log.say("relayed path in use: direct path timed out", peer=str(peer))
 
     async def _after_scout(
         self, way: Way, peer: Address, method: str, payload: bytes, until_s: float
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -239,13 +239,13 @@
         self._table.cold.take_document(document)
         self.catalog.note_known(document.version, 0)
         log.say(
-            "puts a configuration in force",
+            "configuration in force",
             version=document.version,
             before=before,
             routes=len(document.routes),
         )
         for who, regions in unknown_regions(document, self._places).items():
-            log.say("regions are allowed that no zone stands in", who=who, regions=regions)
+            log.say("allowed regions without a zone", who=who, regions=regions)
         self.on_document(document)
         return True
 
@@ -291,7 +291,7 @@
     def start_drain(self) -> None:
         """Be not ready from now on; what comes is still served."""
         self.is_draining = True
-        log.say("drains", open=self.forwarder.num_open)
+        log.say("draining", open=self.forwarder.num_open)
 
     async def finish_late_turns(self) -> None:
         """Wait for the ends of turns that no caller waits for."""
--- a/tests/test_explanation.py
+++ b/tests/test_explanation.py
@@ -36,22 +36,22 @@
         self.assertNotIn(far, explanation.lines)
 
     def test_what_other_fronts_believed_does_not(self) -> None:
-        other = line(10.1, "front-2", "registry: lost the store", kind="config")
-        same = line(10.1, "front-1", "registry: lost the store", kind="config")
+        other = line(10.1, "front-2", "registry: platform store lost: call failed", kind="config")
+        same = line(10.1, "front-1", "registry: platform store lost: call failed", kind="config")
         explanation = explain("r1", [other, same, *LOST_RUNNER])
         self.assertIn(same, explanation.lines)
         self.assertNotIn(other, explanation.lines)
 
     def test_a_closed_zone_is_named_as_a_cause(self) -> None:
-        closed = line(1.0, "front-1", "zones: a zone is closed", zone="a", revision=7)
-        opened = line(4.0, "front-1", "zones: a zone is open again", zone="a", revision=9)
+        closed = line(1.0, "front-1", "zones: zone closed", zone="a", revision=7)
+        opened = line(4.0, "front-1", "zones: zone open again", zone="a", revision=9)
         sent = line(10.0, "front-1", "forward: sent", request="r1", runner="i-1")
         refused = line(
             10.1, "front-1", "forward: refused", request="r1", kind="no_runner", detail="none left"
         )
         self.assertIn("had closed a:", explain("r1", [closed, sent, refused]).cause)
         self.assertNotIn("had closed", explain("r1", [closed, opened, sent, refused]).cause)
-        elsewhere = line(1.0, "front-2", "zones: a zone is closed", zone="b", revision=7)
+        elsewhere = line(1.0, "front-2", "zones: zone closed", zone="b", revision=7)
         self.assertNotIn("had closed", explain("r1", [elsewhere, sent, refused]).cause)
 
     def test_an_unknown_request(self) -> None:
@@ -81,8 +81,8 @@
         self.assertEqual(explanation.lines, [near, told, refused])
 
     def test_lines_with_a_mark_in_front_and_lines_that_are_none(self) -> None:
-        read = read_line(b'  36.62 front-1 {"text":"node: drains","timestamp":3}', "x")
+        read = read_line(b'  36.62 front-1 {"text":"node: draining","timestamp":3}', "x")
         assert read is not None
-        self.assertEqual((read.text, read.process), ("node: drains", "x"))
+        self.assertEqual((read.text, read.process), ("node: draining", "x"))
         self.assertIsNone(read_line(b"Traceback (most recent call last):", "x"))
         self.assertIsNone(read_line(b"{torn", "x"))
--- a/tests/test_regions_site.py
+++ b/tests/test_regions_site.py
@@ -106,7 +106,7 @@
             world.network.cuts.clear()
             world.run_for(2 * (ECHO_INTERVAL_S + ECHO_TIMEOUT_S))
         told = [(call.args[0], call.kwargs["region"]) for call in log.say.call_args_list]
-        lost, back = "hears nobody of a region", "hears a region again"
+        lost, back = "region unreachable: no replica machine answered", "region reachable again"
         regions = ["east", "east", "west", "west"]
         expected = [(sentence, region) for sentence in (back, lost) for region in regions]
         self.assertEqual(sorted(told), expected)
--- a/tests/test_zone_processes.py
+++ b/tests/test_zone_processes.py
@@ -39,7 +39,7 @@
     async def close(self, site: SiteInstallation) -> None:
         site.metadata.put(names.ZONE_CLOSURE_KIND, CLOSED, {})
         for process in self.processes(site):
-            await site.wait_for_line(process, "zones: a zone is closed")
+            await site.wait_for_line(process, "zones: zone closed")
 
     async def restart_in_the_dark(self, site: SiteInstallation) -> None:
         await site.wait_until(lambda: all(self.is_kept(site, name) for name in site.stores))
@@ -59,7 +59,7 @@
         site.metadata.is_down = False
         site.metadata.delete(names.ZONE_CLOSURE_KIND, CLOSED)
         for process in self.processes(site):
-            await site.wait_for_line(process, "zones: a zone is open again")
+            await site.wait_for_line(process, "zones: zone open again")
 
     async def run_until_one_is_whole(self, site: SiteInstallation) -> None:
         """Runners of a zone that was opened are cold at first, and some programs are sent away."""
@@ -85,7 +85,7 @@
     async def assert_served_there(self, site: SiteInstallation) -> None:
         site.metadata.put(names.ZONE_CLOSURE_KIND, ZONES[0], {})
         for process in self.processes(site):
-            await site.wait_for_line(process, "zones: a zone is closed", times=3)
+            await site.wait_for_line(process, "zones: zone closed", times=3)
         await self.run_until_one_is_whole(site)
         self.assertEqual(await self.runs(site, "open"), {CLOSED})
 
