--- a/src/bendshed/catalog/__init__.py
+++ b/src/bendshed/catalog/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration and runners as replica machines know them, for the fronts that ask them."""
+"""Configuration and runners as replica machines know them, for the nodes that request them."""
--- a/src/bendshed/catalog/codec.py
+++ b/src/bendshed/catalog/codec.py
@@ -16,7 +16,7 @@
 from bendshed.wire import catalog_pb2 as wire
 
 PLAIN_START = b"{"
-"""A document that an earlier version of the program kept."""
+"""A document that an earlier version of the program saved."""
 
 
 class DocumentUnreadable(Exception):
@@ -39,7 +39,7 @@
 
 
 def read_document(content: bytes) -> ServiceDocument:
-    """Read a document, also one that was kept as plain JSON; raise ``DocumentUnreadable``."""
+    """Read a document, also one that was saved as plain JSON; raise ``DocumentUnreadable``."""
     try:
         plain = content if content.startswith(PLAIN_START) else zlib.decompress(content)
         return msgspec.json.decode(plain, type=ServiceDocument)
@@ -48,7 +48,7 @@
 
 
 def write_reply(catalog: Catalog, since: int, known_version: int) -> wire.CatalogReply:
-    """Write what an asker lacks that knows a revision and a version."""
+    """Write what a node lacks that knows a revision and a version."""
     reply = wire.CatalogReply(document_version=catalog.version)
     if catalog.document is not None and catalog.version > known_version:
         reply.document = catalog.written(write_document)
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredCatalog:
-    """What a replica machine keeps on its disk between lives."""
+    """What a replica machine has on its disk between incarnations."""
 
     catalog: Catalog = field(default_factory=Catalog)
     replicas: tuple[ReplicaNode, ...] = ()
@@ -75,17 +75,17 @@
     zones: ZoneUpdate = field(default_factory=ZoneUpdate)
 
 
-def encode_kept(kept: StoredCatalog) -> bytes:
-    """Write what is kept."""
-    everything = write_reply(kept.catalog, since=0, known_version=0)
-    everything.replicas.extend(to_wire(node) for node in kept.replicas)
-    everything.fronts.extend(write_address(front) for front in kept.fronts)
-    add_zones(everything, kept.zones, known_at=0)
+def encode_kept(stored: StoredCatalog) -> bytes:
+    """Write what is saved."""
+    everything = write_reply(stored.catalog, since=0, known_version=0)
+    everything.replicas.extend(to_wire(node) for node in stored.replicas)
+    everything.fronts.extend(write_address(front) for front in stored.fronts)
+    add_zones(everything, stored.zones, known_at=0)
     return everything.SerializeToString()
 
 
 def decode_kept(content: bytes | None) -> StoredCatalog:
-    """Read what was kept; nothing, or what another version of the program wrote, is no harm."""
+    """Read what was saved; nothing, or what another version of the program wrote, is no harm."""
     if content is None:
         return StoredCatalog()
     try:
@@ -110,18 +110,18 @@
     return catalog
 
 
-def add_zones(reply: wire.CatalogReply, word: ZoneUpdate, known_at: int) -> None:
-    """Add closed zones; which they are only where the asker knows an older revision."""
-    reply.zones_at = word.zones.at
-    if word.zones.at <= known_at:
+def add_zones(reply: wire.CatalogReply, update: ZoneUpdate, known_at: int) -> None:
+    """Add closed zones; which they are only for a node that knows an older revision."""
+    reply.zones_at = update.zones.at
+    if update.zones.at <= known_at:
         return
-    reply.closed_zones.extend(sorted(word.zones.closed))
-    for zone, ago_s in sorted(word.reopened_ago_s.items()):
+    reply.closed_zones.extend(sorted(update.zones.closed))
+    for zone, ago_s in sorted(update.reopened_ago_s.items()):
         reply.reopened.add(zone=zone, ago_ms=int(ago_s * 1000))
 
 
 def read_zones(reply: wire.CatalogReply) -> ZoneUpdate:
-    """Read closed zones of a reply whose revision is above the asker's."""
+    """Read closed zones of a reply whose revision is above the requesting node's."""
     zones = ClosedZones(reply.zones_at, frozenset(reply.closed_zones))
     return ZoneUpdate(zones, {row.zone: row.ago_ms / 1000 for row in reply.reopened})
 
--- a/src/bendshed/catalog/file.py
+++ b/src/bendshed/catalog/file.py
@@ -19,7 +19,7 @@
         self._path = folder / FILE_NAME
 
     def load(self) -> bytes | None:
-        """Return what was kept whole."""
+        """Return what was saved; ``None``: nothing, or the file is damaged."""
         if not self._path.exists():
             return None
         try:
--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -31,7 +31,7 @@
 from bendshed.wire import turns_pb2 as wire_turns
 
 REPLY_MARGIN_S = 0.2
-"""A neighbour may take this much longer to reply than it was asked to wait."""
+"""A neighbour may take this much longer to reply than its wait."""
 MARGIN_TRIPS = 3.0
 """A far machine has so many of its round trips more: one may open a connection, one may be lost."""
 REGIONAL_READER_SHARE = 0.25
@@ -68,6 +68,19 @@
 class CatalogFollower:
     """Requests the catalog of the machine that ``ReaderChoice`` names.
 
+    It receives greetings of replica machines from its construction on.
+
+    Args:
+        paths: how replica machines are reached.
+        directory: which replica machines there are.
+        taker: gets what is newer.
+        me: this node's address.
+        times: how often, and how old an update may be.
+        rng: spreads retries.
+        may_share: whether one machine may read the registry for all.
+        num_behind: fronts that rely on this node, if it is a replica machine.
+        is_replica: whether it is one.
+
     Attributes:
         upstream: the machine that replied last.
         first_update: set once any machine has replied.
@@ -86,20 +99,6 @@
         num_behind: Callable[[], int] = lambda: 0,
         is_replica: bool = False,
     ) -> None:
-        """Receive greetings of replica machines from now on.
-
-        Args:
-            paths: how replica machines are reached.
-            directory: which replica machines there are.
-            taker: gets what is newer.
-            me: this node's address.
-            times: how often, and how old an update may be.
-            rng: spreads retries.
-            may_share: whether one machine may read the registry for all.
-            num_behind: fronts that rely on this node, if it is a replica machine.
-            is_replica: whether it is one.
-
-        """
         self._paths = paths
         self._directory = directory
         self._me = me
--- a/src/bendshed/catalog/known_fronts.py
+++ b/src/bendshed/catalog/known_fronts.py
@@ -8,7 +8,7 @@
 """An update that names so many fronts replaces those known before: what is named sent requests
 lately, and a front that is cut off itself is no relay. A shorter one adds to them."""
 MAX_FRONTS_KNOWN = 6
-"""As many as a replica machine names (`MAX_FRONTS_TOLD` of ``relay_list.py``)."""
+"""As many as a replica machine names (`MAX_FRONTS_NAMED` of ``relay_list.py``)."""
 
 
 class KnownFronts:
--- a/src/bendshed/catalog/reading.py
+++ b/src/bendshed/catalog/reading.py
@@ -1,4 +1,4 @@
-"""When a node reads the registry itself: only while no other machine tells what it says."""
+"""When a node reads the registry itself: only while no other machine reads it for this node."""
 
 import asyncio
 import contextlib
@@ -9,9 +9,10 @@
 from bendshed.logs import PartLog
 
 LOOK_INTERVAL_S = 0.25
-"""A node that has just started looks so often for replica machines to ask."""
-UNTOLD_PATIENCE_S = 0.5
-"""A node that nobody has told anything by then reads the registry itself."""
+"""A node that has just started looks this often for replica machines."""
+NO_UPDATE_S = 0.5
+"""A node without any update this long after its start reads the registry itself: updates usually
+come within some round trips, and when all nodes start at once each own reading costs a call."""
 
 log = PartLog("registry")
 
@@ -37,25 +38,25 @@
 
     @property
     def is_lost(self) -> bool:
-        """The registry did not answer this node when it asked last.
+        """The registry did not answer this node's last call.
 
-        That stays while others tell this node: it must not be relied on by those who tell it.
+        That stays while others update this node: the machines that do must not rely on it.
         """
         return self._leading.is_lost
 
     async def wait_for_word(self, look: Callable[[], Awaitable[bool]], settle_s: float) -> None:
-        """Read nothing until others had their time to tell: all nodes may start at once.
+        """Read nothing until others had time to send updates: all nodes may start at once.
 
         Args:
             look: looks for replica machines once; ``False``: found none.
-            settle_s: once told anything, how long to wait for a word that is fresh.
+            settle_s: after the first update, how long to wait for a fresh one.
 
         """
         self._may_read = False
         for watcher in (self._leading, *self._others):
             watcher.pause()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(UNTOLD_PATIENCE_S):
+            async with asyncio.timeout(NO_UPDATE_S):
                 is_found = await look()
                 while not is_found:
                     await asyncio.sleep(LOOK_INTERVAL_S)
@@ -68,7 +69,7 @@
         self._follow_freshness()
 
     def _follow_freshness(self) -> None:
-        """Read only while nobody else tells."""
+        """Read only while no fresh updates come."""
         if not self._may_read:
             return
         for watcher in (self._leading, *self._others):
--- a/src/bendshed/catalog/relay_list.py
+++ b/src/bendshed/catalog/relay_list.py
@@ -1,4 +1,4 @@
-"""Which fronts a replica machine names as relays: heard lately, not cut off, most of them near."""
+"""Which fronts a replica machine names as relays: active lately, not cut off, most of them near."""
 
 import asyncio
 import random
@@ -10,10 +10,11 @@
 from bendshed.paths.neighbours import Neighbours
 from bendshed.wire import catalog_pb2 as wire
 
-HEARD_S, HEARD_INTERVALS = 1.5, 1.5
-"""A front that did not ask for this long, or so many intervals, may be cut off: no relay."""
-MAX_FRONTS_TOLD = 6
-MAX_FAR_FRONTS_TOLD = 2
+LATELY_S, LATELY_INTERVALS = 1.5, 1.5
+"""A front without a request for this long, or so many intervals, may be cut off: no relay. With 3 s
+here and 3 s at the other machines a cut front was named for up to 7 s (docs/design/0011)."""
+MAX_FRONTS_NAMED = 6
+MAX_FAR_FRONTS_NAMED = 2
 """Of them, those of other regions: for a cut that all of a region's fronts share."""
 MAX_FRONTS_SHARED = 12
 """Fronts that a machine names to the other replica machines: enough for others to relay through."""
@@ -23,7 +24,7 @@
     """Fronts that may pass requests on.
 
     Attributes:
-        elsewhere: fronts that other replica machines heard, and when they said so (loop time).
+        elsewhere: fronts that other replica machines named, and when (loop time).
 
     """
 
@@ -31,7 +32,7 @@
         self.elsewhere: dict[Address, float] = {}
         self._neighbours = neighbours
         self._rng = rng
-        self._heard_s = max(HEARD_S, HEARD_INTERVALS * interval_s)
+        self._lately_s = max(LATELY_S, LATELY_INTERVALS * interval_s)
         self._cut_off: set[Address] = set()
 
     def note_requester(self, front: Address, is_cut_off: bool) -> None:
@@ -59,43 +60,43 @@
         self._cut_off.intersection_update(known)
 
     def some_for(
-        self, asker: Address, asked_at_s: Mapping[Address, float]
+        self, requester: Address, requested_at_s: Mapping[Address, float]
     ) -> list[wire.PeerAddress]:
-        """Fronts that may pass an asker's requests on.
+        """Fronts that may relay a node's requests.
 
-        Half of a region's are told by others, so they are of several zones.
+        Half of a region's are named by other machines, so they are of several zones.
 
         Args:
-            asker: who looks for a way.
-            asked_at_s: when each front asked this machine (loop time).
+            requester: the node that needs relays.
+            requested_at_s: when each front sent this machine a request (loop time).
 
         """
-        asked = [front for front in self._heard(asked_at_s) if front != asker]
-        told = [front for front in self._heard(self.elsewhere) if front not in asked_at_s]
-        near_asked, far_asked = self._by_region(asked, asker)
-        near_told, far_told = self._by_region(told, asker)
-        far = self._sample([*far_asked, *far_told], MAX_FAR_FRONTS_TOLD)
-        most = MAX_FRONTS_TOLD - len(far)
-        chosen = self._sample(near_told, most // 2)
-        chosen += self._sample(near_asked, most - len(chosen))
+        here = [front for front in self._lately(requested_at_s) if front != requester]
+        named = [front for front in self._lately(self.elsewhere) if front not in requested_at_s]
+        near_here, far_here = self._by_region(here, requester)
+        near_named, far_named = self._by_region(named, requester)
+        far = self._sample([*far_here, *far_named], MAX_FAR_FRONTS_NAMED)
+        most = MAX_FRONTS_NAMED - len(far)
+        chosen = self._sample(near_named, most // 2)
+        chosen += self._sample(near_here, most - len(chosen))
         return [self._write(front) for front in [*chosen, *far]]
 
-    def to_share(self, asked_at_s: Mapping[Address, float]) -> list[wire.PeerAddress]:
+    def to_share(self, requested_at_s: Mapping[Address, float]) -> list[wire.PeerAddress]:
         """Fronts that this machine names to the others."""
-        chosen = self._sample(self._heard(asked_at_s), MAX_FRONTS_SHARED)
+        chosen = self._sample(self._lately(requested_at_s), MAX_FRONTS_SHARED)
         return [self._write(front) for front in chosen]
 
-    def _heard(self, heard_at_s: Mapping[Address, float]) -> list[Address]:
-        """Fronts that were heard a moment ago and reach this machine themselves."""
-        oldest_s = asyncio.get_running_loop().time() - self._heard_s
-        heard = [front for front, at_s in heard_at_s.items() if at_s >= oldest_s]
-        return [front for front in heard if front not in self._cut_off]
+    def _lately(self, at_s_of: Mapping[Address, float]) -> list[Address]:
+        """Fronts that sent requests lately and reach this machine directly."""
+        oldest_s = asyncio.get_running_loop().time() - self._lately_s
+        recent = [front for front, at_s in at_s_of.items() if at_s >= oldest_s]
+        return [front for front in recent if front not in self._cut_off]
 
     def _by_region(
-        self, fronts: list[Address], asker: Address
+        self, fronts: list[Address], requester: Address
     ) -> tuple[list[Address], list[Address]]:
-        """Those of the asker's region, as far as known, and the others."""
-        zone, zone_of = self._neighbours.zone_of(asker.host), self._neighbours.zone_of
+        """Those of the requester's region, as far as known, and the others."""
+        zone, zone_of = self._neighbours.zone_of(requester.host), self._neighbours.zone_of
         region = self._neighbours.places.region
         far = [f for f in fronts if zone and region(zone_of(f.host) or zone) != region(zone)]
         return [front for front in fronts if front not in far], far
--- a/src/bendshed/catalog/state.py
+++ b/src/bendshed/catalog/state.py
@@ -1,7 +1,7 @@
 """What a replica machine knows of configuration and runners, by revision. Pure.
 
-Revisions are the registry's own: one counter over all its changes. So what two machines tell can be
-compared, and an asker that names the revision it knows is told just what changed since.
+Revisions are the registry's: one counter over all its changes. So updates of two machines can be
+compared, and a node that names the revision it knows gets just what changed since.
 """
 
 from collections import OrderedDict
@@ -14,7 +14,7 @@
 from bendshed.placement.zones import RunnerFilter
 
 MAX_REMOVED = 1_000
-"""Removals remembered; whoever knows less than the oldest is told the whole list."""
+"""Removals remembered; a node that knows less than the oldest gets the whole list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     """A runner that is not listed any more.
 
     Attributes:
-        is_trusted: the registry was well when it told so.
+        is_trusted: the registry was well when it said so.
 
     """
 
@@ -44,7 +44,7 @@
     """What changed between two revisions.
 
     Attributes:
-        since: the asker's revision; 0: ``runners`` are all there are.
+        since: the requesting node's revision; 0: ``runners`` are all there are.
 
     """
 
@@ -64,7 +64,7 @@
         document: ``None``: none is known.
         runners_at: revision up to which the runners are known; 0: no list was read.
         filter: which runners may get new work at all.
-        cold: cold runners, from the moments at which that was heard here.
+        cold: cold runners, each from the time at which that was known here.
 
     """
 
@@ -75,12 +75,12 @@
     _runners: dict[str, KnownRunner] = field(default_factory=dict)
     _ready: dict[str, dict[str, ServiceRunner]] = field(default_factory=dict)
     _removed: "OrderedDict[str, Removal]" = field(default_factory=OrderedDict)
-    _told_from: int = 0
+    _history_from: int = 0
     _written: bytes = b""
     _written_version: int = -1
 
     def written(self, write: Callable[[ServiceDocument], bytes]) -> bytes:
-        """The document as it travels, written once a version and not once an asker."""
+        """The document as it is sent, encoded once a version and not once a request."""
         assert self.document is not None
         if self._written_version != self.version:
             self._written = write(self.document)
@@ -123,7 +123,7 @@
         for known in runners:
             changed |= self.put_runner(known)
         if self.runners_at == 0:
-            self._told_from = at
+            self._history_from = at
             changed = True
         self.advance(at)
         return changed
@@ -161,11 +161,11 @@
         self._removed[runner_id] = Removal(runner_id, at, is_trusted)
         while len(self._removed) > MAX_REMOVED:
             _, dropped = self._removed.popitem(last=False)
-            self._told_from = max(self._told_from, dropped.revision)
+            self._history_from = max(self._history_from, dropped.revision)
         return True
 
     def begin_incarnation(self, clock: Callable[[], float]) -> None:
-        """What is known so far was kept by an earlier life; time passes from now on."""
+        """What is known so far was saved by an earlier incarnation; time passes from now on."""
         self.cold.clock = clock
         for known in self._runners.values():
             self.cold.put_kept(known.runner)
@@ -175,8 +175,8 @@
         self.runners_at = max(self.runners_at, at)
 
     def changes_since(self, since: int) -> RunnerChanges:
-        """What an asker that knows ``since`` lacks; everything, if that cannot be told apart."""
-        if since < self._told_from or since > self.runners_at:
+        """What a node that knows ``since`` lacks; everything, if that is too long ago."""
+        if since < self._history_from or since > self.runners_at:
             return RunnerChanges(0, self.runners_at, tuple(self._runners.values()), ())
         runners = tuple(known for known in self._runners.values() if known.revision > since)
         removed = tuple(gone for gone in self._removed.values() if gone.revision > since)
--- a/src/bendshed/catalog/times.py
+++ b/src/bendshed/catalog/times.py
@@ -1,12 +1,19 @@
-"""How often configuration and runners are read, and how old a word of them may be."""
+"""How often configuration and runners are read, and how old an update may be."""
 
 from dataclasses import dataclass
 
 INTERVAL_SHARE = 0.2
 MAX_AGE_SHARE = 0.55
+"""Shares of the bound within which a change must be applied. The registry is read each 0.2 of it;
+a catalog older than 0.55 is not fresh, and 0.45 are left for the node's first own reading. Both
+ends, a silent reader and one cut off from the registry, are tested (docs/design/0004)."""
 HISTORY_SHARE = 0.75
+"""A watch waits this share of the time for which the registry remembers changes: a later one would
+have to list everything again."""
 IDLE_PACE_S = 2.0
+"""A burst of changes costs a machine on which few rely one call in this time."""
 DEMAND_PACE_S = 0.05
+"""The same for a machine that reads for others: each pause delays all of them."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,11 +37,11 @@
     """Times that follow from what the installation promises.
 
     Attributes:
-        interval_s: a replica machine in demand asks the registry, and is asked, this often.
-        max_age_s: with an older word a front asks the registry itself.
+        interval_s: a replica machine in demand reads the registry, and gets requests, this often.
+        max_age_s: with an older catalog a node reads the registry itself.
         idle_wait_s: a watch that nobody relies on may wait this long.
-        zones_lag_s: a word of closed zones may be older by this than one of the rest and counts
-            the same; ``None``: operators close no zones, and nobody reads whether they do.
+        zones_lag_s: closed zones may be older by this than the rest and count as equally
+            old; ``None``: operators close no zones, and nobody reads whether they do.
 
     """
 
@@ -47,9 +54,9 @@
     def within(
         cls, apply_s: float, history_s: float, zone_close_s: float | None = None
     ) -> "CatalogTimes":
-        """Such that a change is applied within ``apply_s``, also when the word stops midway.
+        """Such that a change is applied within ``apply_s``, also when updates stop midway.
 
-        A watch is asked anew while the registry still remembers where it began (``history_s``).
+        A watch begins again while the registry still remembers where it began (``history_s``).
 
         Args:
             apply_s: bound of the configuration and of runners.
@@ -79,7 +86,7 @@
         return self.interval_s + (self.zones_lag_s or 0.0)
 
     def pace(self, in_demand: bool) -> ReadingPace:
-        """How a replica machine reads; in demand: often enough that its word is fresh."""
+        """How a replica machine reads; in demand: often enough that its updates are fresh."""
         if in_demand:
             return ReadingPace(self.interval_s, DEMAND_PACE_S, self.zones_wait_s)
         return ReadingPace(self.idle_wait_s, IDLE_PACE_S, self.idle_wait_s)
--- a/src/bendshed/catalog/watcher.py
+++ b/src/bendshed/catalog/watcher.py
@@ -17,15 +17,15 @@
 
 RETRY_MIN_S = 0.15
 RETRY_MAX_S = 0.4
-"""A process that knows nothing yet asks again soon."""
+"""A process that knows nothing yet retries soon."""
 KNOWING_RETRY_MIN_S = 0.5
 KNOWING_RETRY_MAX_S = 0.9
 """One that knows the kind serves on meanwhile; calls to a store that is away cost like others."""
 MAX_RETRY_GROWTH = 8.0
-"""A process that others tell what the store says asks up to so many times as rarely while it
+"""A process that other nodes update retries up to so many times as rarely while the store
 fails."""
 LOST_WAIT_S = 0.1
-"""While the store is lost, a watch asks for so short a wait that its silence is noticed soon."""
+"""While the store is lost, a watch waits only this long: its failure shows soon."""
 PACE_S = 0.05
 """Shortest pause between two watches, so that a burst of changes costs few calls."""
 DOUBT_S = 5.0
@@ -43,7 +43,7 @@
 
 
 def _pass_over(_at: int) -> None:
-    """Nobody needs to know."""
+    """No part needs the confirmation."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,9 +81,9 @@
     def of_names(cls, take: NamesHandler) -> "KindHandler":
         """Take the names of all objects after each answer of the store.
 
-        They are kept here, answer by answer, so that each call tells a whole state of one revision,
-        whatever others told of the kind meanwhile. So such a watch begins where it ended, or with a
-        list, and is never resumed at a revision that is known from elsewhere.
+        They are collected here, answer by answer, so that each call has a whole state of one
+        revision, whatever updates of others held meanwhile. So such a watch begins where it ended,
+        or with a list, and is never resumed at a revision that is known from elsewhere.
         """
         present: set[str] = set()
         gone: set[str] = set()
@@ -113,9 +113,9 @@
     Attributes:
         wait_s: how long a watch may wait for a change.
         pace_s: shortest pause between two watches.
-        is_known: whether somebody else has told what the kind holds.
-        retry_growth: how many times as rarely a lost store is asked in the end; 1: not rarer.
-        is_quick_again: the first watch after a pause or a change of pace waits just a moment, so
+        is_known: whether updates of other nodes hold the kind.
+        retry_growth: how many times as rarely a lost store is tried in the end; 1: not rarer.
+        is_quick_again: the first watch after a pause or a change of pace waits ``LOST_WAIT_S``, so
             that what was missed, or a dead connection, shows at once; it costs a call.
         failed_at_s: loop time of the last failed call.
         on_trouble: called when the store is lost and again when it is regained: a watch begun in
@@ -136,7 +136,7 @@
         self.failed_at_s = float("-inf")
         self.on_trouble: Callable[[], None] = lambda: None
         self.is_quick_again = False
-        self._is_anew = False
+        self._is_again = False
         self._source = source
         self._kind = kind
         self._handler = handler
@@ -160,7 +160,7 @@
 
     @property
     def is_in_doubt(self) -> bool:
-        """Whether the store failed a moment ago."""
+        """Whether the store failed within ``DOUBT_S``."""
         return asyncio.get_running_loop().time() - self.failed_at_s < DOUBT_S
 
     async def run(self) -> None:
@@ -199,19 +199,19 @@
         return growth * self._rng.uniform(KNOWING_RETRY_MIN_S, KNOWING_RETRY_MAX_S)
 
     def pause(self) -> None:
-        """Ask nothing until ``resume``: somebody else tells of this kind."""
+        """Send nothing until ``resume``: other nodes send updates of this kind."""
         self._is_wanted.clear()
         self.restart()
 
     def resume(self, at: int = 0) -> None:
-        """Ask again; ``at``: everything up to this revision is known from elsewhere."""
+        """Watch again; ``at``: everything up to this revision is known from elsewhere."""
         if at:
             self._at = max(self._at or 0, at)
         self._is_wanted.set()
 
     def restart(self) -> None:
         """Give a watch up that may hang on a dead connection, and begin it again."""
-        self._is_anew = self.is_quick_again
+        self._is_again = self.is_quick_again
         if self._call is not None:
             self._call.cancel()
 
@@ -223,9 +223,9 @@
             self._handler.on_list(listed)
             self._handler.on_confirmed(listed.at)
             return
-        wait_s = LOST_WAIT_S if self._is_lost or self._is_anew else self.wait_s
+        wait_s = LOST_WAIT_S if self._is_lost or self._is_again else self.wait_s
         changes = await self._source.watch(self._kind, self._at, wait_s)
-        self._is_anew = False
+        self._is_again = False
         self._at = changes.at
         for event in changes.events:
             if not self._is_old(event):
@@ -233,7 +233,7 @@
         self._handler.on_confirmed(changes.at)
 
     def _is_old(self, event: ObjectEvent) -> bool:
-        """A list of several pages tells later states than those at which its watch begins."""
+        """A list of several pages holds later states than those at which its watch begins."""
         return event.object.revision < self._listed.get(event.object.name, 0)
 
     def _note_failure(self, error: Exception) -> None:
--- a/src/bendshed/catalog/zones.py
+++ b/src/bendshed/catalog/zones.py
@@ -1,4 +1,4 @@
-"""A node's closed zones: takes what it is told, says what changed, and tells who must know."""
+"""A node's closed zones: takes updates, logs what changed, and notifies who must know."""
 
 import asyncio
 from collections.abc import Callable
@@ -45,12 +45,12 @@
         """Who may get a request now."""
         return RunnerFilter(self.record.zones, self._places)
 
-    def take(self, word: ZoneUpdate) -> bool:
-        """Take a word; ``False``: nothing changed."""
+    def take(self, update: ZoneUpdate) -> bool:
+        """Take an update; ``False``: nothing changed."""
         before = self.record.zones
         since_s = dict(self.record.closed_since_s)
         now_s = self._now_s()
-        changes = self.record.take(word, now_s)
+        changes = self.record.take(update, now_s)
         revision = self.record.zones.at
         for zone in changes.closed:
             log.say("zone closed", zone=zone, revision=revision)
@@ -64,8 +64,8 @@
                 ago_ms=ago_ms,
                 closed_for_s=max(0.0, closed_for_s),
             )
-            for told in self.on_zone_opened:
-                told(row.zone, row.at_s)
+            for on_opened in self.on_zone_opened:
+                on_opened(row.zone, row.at_s)
         return bool(changes) or (before.at == 0 and revision > 0)
 
     def confirm(self, age_s: float) -> None:
@@ -78,7 +78,7 @@
         return self._clock()
 
     def add_gauges(self, metrics: GaugeMaker) -> None:
-        """Tell metrics how many zones are closed, for how long, and how old the word is."""
+        """Add how many zones are closed, for how long, and how old that knowledge is."""
         closed = metrics.gauge("bendshed_closed_zones", "Zones that operators closed")
         closed.set_function(lambda: float(len(self.record.zones.closed)))
         longest = metrics.gauge(
@@ -101,12 +101,12 @@
 
 
 def word_of_listing(names: frozenset[str], at: int, gone: frozenset[str]) -> ZoneUpdate:
-    """What the registry itself tells.
+    """An update from the registry itself.
 
     Args:
         names: all zones that are closed.
         at: revision of that.
-        gone: zones whose closing was taken back since the last word, heard before or not.
+        gone: zones whose closing was taken back since the last update, known before or not.
 
     """
     return ZoneUpdate(ClosedZones(at, names), dict.fromkeys(gone - names, 0.0))
--- a/src/bendshed/consensus/bootstrap.py
+++ b/src/bendshed/consensus/bootstrap.py
@@ -1,4 +1,4 @@
-"""Announces a replica machine and founds the groups of the turn log, each by one record."""
+"""Announces a replica machine and bootstraps the groups of the turn log, each by one record."""
 
 import asyncio
 
@@ -11,18 +11,18 @@
 from bendshed.ports.registry import RegistryUnavailable, ReplicaNode, ReplicaRegistry
 from bendshed.wire.consensus_pb2 import GroupMembership
 
-FOUND_RETRY_S = 0.3
-FOUND_WAIT_S = 4.0
-"""After this long a group is founded with fewer machines than wanted."""
+BOOTSTRAP_RETRY_S = 0.3
+BOOTSTRAP_WAIT_S = 4.0
+"""After this long a group is bootstrapped with fewer machines than wanted."""
 ANNOUNCE_RETRY_S = 0.5
 FIRST_GROUP = 0
-"""The storage remembers that this group was founded; of another its own replica is the sign."""
+"""The storage remembers that this group was bootstrapped; of another its replica is the sign."""
 
 log = PartLog("supervisor")
 
 
-class GroupFounder:
-    """Takes part in the founding of groups; a leader takes others in later."""
+class GroupBootstrap:
+    """Takes part in the bootstrap of groups; a leader takes other machines in later."""
 
     def __init__(
         self,
@@ -52,26 +52,28 @@
                 log.say("announcement failed: registry unavailable", reason=str(error))
                 await asyncio.sleep(ANNOUNCE_RETRY_S)
 
-    async def found(self) -> None:
-        """Found each group, or learn that it is founded."""
+    async def run(self) -> None:
+        """Bootstrap each group, or learn that it was."""
         started_s = asyncio.get_running_loop().time()
         open_groups = [group for group in self._groups.numbers if not self._is_settled(group)]
         while open_groups:
             waited_s = asyncio.get_running_loop().time() - started_s
-            if self._may_found(waited_s):
-                open_groups = [group for group in open_groups if not await self._found_one(group)]
+            if self._may_bootstrap(waited_s):
+                open_groups = [
+                    group for group in open_groups if not await self._bootstrap_one(group)
+                ]
             if open_groups:
-                await asyncio.sleep(FOUND_RETRY_S)
+                await asyncio.sleep(BOOTSTRAP_RETRY_S)
 
     def _is_settled(self, group_id: int) -> bool:
-        """Whether this machine has done its part in an earlier life."""
+        """Whether this machine has done its part in an earlier incarnation."""
         if group_id == FIRST_GROUP:
             return self._storage.is_bootstrapped()
         return group_id in self._host.groups
 
-    async def _found_one(self, group_id: int) -> bool:
+    async def _bootstrap_one(self, group_id: int) -> bool:
         """Do this machine's part; ``False``: the registry does not answer."""
-        voters = await self._founding_voters(group_id)
+        voters = await self._first_voters(group_id)
         if not voters:
             return False
         if self._me.node_id in voters and group_id not in self._host.groups:
@@ -82,8 +84,8 @@
             log.say("group bootstrapped", group=group_id, voters=voters)
         return True
 
-    async def _founding_voters(self, group_id: int) -> list[str]:
-        """Read the founding record, or write it if there is none; empty: the registry is down."""
+    async def _first_voters(self, group_id: int) -> list[str]:
+        """Read the bootstrap record, or write it if there is none; empty: the registry is down."""
         try:
             voters = await self._registry.bootstrap_voters(group_id)
             if voters:
@@ -96,6 +98,6 @@
             log.say("bootstrap waits: registry unavailable", group=group_id, reason=str(error))
             return []
 
-    def _may_found(self, waited_s: float) -> bool:
+    def _may_bootstrap(self, waited_s: float) -> bool:
         enough = len(self._directory.by_name) >= self._num_voters
-        return enough or waited_s > FOUND_WAIT_S
+        return enough or waited_s > BOOTSTRAP_WAIT_S
--- a/src/bendshed/consensus/group_client.py
+++ b/src/bendshed/consensus/group_client.py
@@ -13,13 +13,13 @@
 
 COMMAND_METHOD = "group.command"
 REPLY_MARGIN_S = 1.0
-"""Time that a leader may take beyond the wait that it was asked for."""
+"""Time that a leader may take beyond the wait of a request."""
 SILENT_S = 1.0
 """A node that gave no answer is not tried for this long while others can be. One whose machine
-refuses the connection costs nothing to ask, and may be about to start."""
+refuses the connection costs nothing to try, and may be about to start."""
 FAR_TRIPS = 3.0
-"""Where the leader is far, its bound has so many round trips more: one for the way, two for a
-second way when the direct one is silent (`paths/`)."""
+"""Where the leader is far, its bound has so many round trips more: one for the direct
+path, two for a relayed one when that times out (`paths/`)."""
 LEAST_TRIPS = 2.0
 """A node that had less time than so many round trips may be well though it gave no answer."""
 LEAST_S = 0.06
@@ -43,13 +43,13 @@
 class GroupClient:
     """Sends commands to group leaders; every command may be sent again without harm.
 
-    Invariant: a failed try takes back only its own supposition; what another try has learned
+    Invariant: a failed try takes back only what it supposed itself; what another try has learned
     meanwhile stays.
 
     Attributes:
-        leaders: group -> node id of the leader last heard of (a hint).
+        leaders: group -> node id of the leader last named (a hint).
 
-    While no leader is known, one of the nodes that may lead is asked, the likely ones first.
+    While no leader is known, one of the nodes that may lead is tried, the likely ones first.
 
     """
 
@@ -121,7 +121,7 @@
         timeout_s: float,
         most_s: float = math.inf,
     ) -> LeaderAnswer | None:
-        """Ask the supposed leader of a group once; ``None``: no answer, forget the supposition.
+        """Send the supposed leader of a group a request; ``None``: no answer, it is forgotten.
 
         Args:
             group_id: which group.
@@ -158,8 +158,8 @@
     def follow_hint(self, group_id: int, hint: str, said_by: str) -> None:
         """A node that does not lead the group named who may; empty: nobody known.
 
-        Followers name a dead leader until they miss it, so one that was silent a moment ago is
-        not asked again on their word.
+        Followers name a dead leader until they miss it, so one that was silent within ``SILENT_S``
+        is not tried again for their hint.
         """
         if hint and not self._is_silent(hint):
             self.leaders[group_id] = hint
@@ -180,5 +180,5 @@
             return known
         likely = [node for node in self._likely_nodes(group_id) if not self._is_silent(node)]
         candidates = likely or self._disk_nodes()
-        heard = [node for node in candidates if not self._is_silent(node)]
-        return self._rng.choice(heard or candidates) if candidates else ""
+        answering = [node for node in candidates if not self._is_silent(node)]
+        return self._rng.choice(answering or candidates) if candidates else ""
--- a/src/bendshed/consensus/retirement.py
+++ b/src/bendshed/consensus/retirement.py
@@ -1,4 +1,4 @@
-"""Tells operators how far the emptying of a replica machine is, over all groups."""
+"""Reports to operators how far the emptying of a replica machine is, over all groups."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 EMPTIED_METHOD = "replica.emptied"
-"""The leader of the first group asks that of another whether a machine is emptied there."""
+"""Request of the first group's leader to another's: whether a machine is emptied there."""
 REPORTING_GROUP = 0
 """Its leader writes the status."""
 CHECK_INTERVAL_S = 0.1
@@ -20,7 +20,7 @@
 log = PartLog("supervisor")
 
 AskEmptied = Callable[[int, str], Awaitable[bool]]
-"""Asks the leader of another group; ``False`` also where it does not answer."""
+"""Requests it of another group's leader; ``False`` also where it does not answer."""
 
 
 class EmptiedMachines:
@@ -48,7 +48,7 @@
         return self._have_all_reached(group, self._goal(group, node_id))
 
     def _goal(self, group: HostedGroup, node_id: str) -> int:
-        """Index that all voters must hold; a new term of this leader begins anew."""
+        """Index that all voters must hold; a new term of this leader begins again."""
         replica = group.replica
         begun = (replica.term, replica.commit_index)
         term, index = self._goals.setdefault((replica.group_id, node_id), begun)
@@ -98,14 +98,14 @@
                 await self._report(name)
 
     async def answer(self, payload: bytes) -> bytes:
-        """Tell the leader of the first group how far a group led here is."""
-        ask = wire.EmptiedAsk.FromString(payload)
-        group = self._host.groups.get(ask.group)
+        """Reply to the first group's leader how far a group led here is."""
+        request = wire.EmptiedAsk.FromString(payload)
+        group = self._host.groups.get(request.group)
         if group is None or not group.replica.is_ready_leader:
             leader_id = group.replica.leader_id if group is not None else ""
             hint = "" if leader_id == self._host.node_id else leader_id
             return wire.EmptiedReply(leader_id=hint).SerializeToString()
-        is_emptied = self._emptied.is_emptied(ask.group, ask.node_id)
+        is_emptied = self._emptied.is_emptied(request.group, request.node_id)
         return wire.EmptiedReply(is_leader=True, is_emptied=is_emptied).SerializeToString()
 
     async def _report(self, name: str) -> None:
--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -1,9 +1,9 @@
-"""Replaces lost replicas, moves those that stand badly, empties retiring machines."""
+"""Replaces lost replicas, moves badly placed ones, empties retiring machines."""
 
 import asyncio
 from dataclasses import replace
 
-from bendshed.consensus.bootstrap import GroupFounder
+from bendshed.consensus.bootstrap import GroupBootstrap
 from bendshed.consensus.directory import HELLO_METHOD, ReplicaDirectory, from_wire, to_wire
 from bendshed.consensus.host import GroupHost, HostedGroup
 from bendshed.consensus.membership_plan import ReplicaFacts, plan_membership
@@ -19,7 +19,7 @@
 
 CHECK_INTERVAL_S = 0.1
 SILENT_S = 1.0
-"""A member not heard for this long is replaced when a machine is free."""
+"""A member that was silent for this long is replaced when a machine is free."""
 REJECTED_S = 3.0
 """A machine that was taken in and did not answer is left alone for this long, and for twice as
 long each further time."""
@@ -66,7 +66,7 @@
         self._tick_s = tick_s
         self._num_voters = num_voters
         self._groups = groups
-        self._founder = GroupFounder(host, storage, registry, directory, me, num_voters, groups)
+        self._bootstrap = GroupBootstrap(host, storage, registry, directory, me, num_voters, groups)
         self._reporter = RetirementReporter(host, registry, directory, groups, ask_emptied)
         self._rejected_until_s: dict[str, float] = {}
         self._num_rejected: dict[str, int] = {}
@@ -83,8 +83,8 @@
         self._transport.handlers[EMPTIED_METHOD] = self._reporter.answer
         self._host.on_foreign_message = self._introduce_to
         self._tasks = [
-            start_loop(self._founder.announce(), "supervisor"),
-            start_loop(self._founder.found(), "supervisor"),
+            start_loop(self._bootstrap.announce(), "supervisor"),
+            start_loop(self._bootstrap.run(), "supervisor"),
             start_loop(self._supervise(), "supervisor"),
             start_loop(self._reporter.run(), "supervisor"),
         ]
@@ -98,7 +98,7 @@
     # --- who is who ----------------------------------------------------------------------
 
     def _introduce_to(self, sender: str) -> None:
-        """A peer wrote to an identity that this machine no longer is: tell who it is."""
+        """A peer wrote to an identity that this machine no longer has: send it the current one."""
         address = self._directory.resolve(sender)
         if address is not None:
             self._transport.send(address, HELLO_METHOD, to_wire(self.me).SerializeToString())
@@ -118,7 +118,7 @@
                     self._supervise_group(group_id, group)
 
     def _hand_on_when_stalled(self) -> None:
-        """While this machine's disk or loop stalls, others lead."""
+        """Hand leadership over while this machine's disk or loop stalls."""
         now_s = asyncio.get_running_loop().time()
         stall = self._host.stalls.stall(now_s)
         led = self._host.led_groups()
@@ -141,7 +141,7 @@
             self._change_membership(group_id, group)
 
     def _lead_from_home(self, group_id: int, group: HostedGroup, staying: list[str]) -> None:
-        """A leader away from home lets a voter there lead that has kept up with it for a moment."""
+        """Away from home, hand over to a voter there that has kept up for ``HOME_WATCH_S``."""
         places = self._places(group_id)
         if places.is_home(self.me.node_id):
             self._away_since.pop(group_id, None)
@@ -167,7 +167,7 @@
         return VoterPlaces(zone_of, self._groups.home_zones(group_id))
 
     def _change_membership(self, group_id: int, group: HostedGroup) -> None:
-        """Take the next step, if any; the plan is made anew only when what it rests on changed."""
+        """Take the next step, if any; the plan is made again only when its inputs changed."""
         replica = group.replica
         facts = self._facts(group_id, group)
         seen = (tuple(replica.membership.voters), tuple(replica.membership.learners), facts)
@@ -196,7 +196,7 @@
             )
 
     def _reject(self, node: str) -> None:
-        """Leave a machine alone that was taken in and said nothing."""
+        """Leave a machine alone that was taken in and stayed silent."""
         times = self._num_rejected.get(node, 0)
         self._num_rejected[node] = times + 1
         wait_s = min(MAX_REJECTED_S, REJECTED_S * 2.0**times)
@@ -239,7 +239,7 @@
         ]
 
     def num_sound_voters(self, group_id: int = 0) -> int:
-        """Voters that were heard lately and hold all that is committed; 0 at a follower."""
+        """Voters that answered lately and hold all that is committed; 0 at a follower."""
         group = self._host.groups.get(group_id)
         if group is None or not group.replica.is_ready_leader:
             return 0
--- a/src/bendshed/paths/__init__.py
+++ b/src/bendshed/paths/__init__.py
@@ -1,1 +1,1 @@
-"""Ways to a peer: direct, or through another node."""
+"""Paths to a peer: direct, or relayed by another node."""
--- a/src/bendshed/paths/echo.py
+++ b/src/bendshed/paths/echo.py
@@ -1,7 +1,7 @@
-"""Replica machines hear each other at a slow pace, though their log is silent between most of them.
+"""Replica machines send each other echoes, though their log is silent between most of them.
 
-That measures the way to each, for the costs of distance, and tells an operator when a whole region
-is not heard any more.
+That measures the round trip to each, for the costs of distance, and shows an operator when a whole
+region is unreachable.
 """
 
 import asyncio
@@ -15,26 +15,26 @@
 
 ECHO_METHOD = "paths.echo"
 ECHO_INTERVAL_S = 2.0
-"""Nine machines send 36 questions a second at this pace, of some 40 bytes."""
+"""Nine machines send 36 requests a second at this pace, of some 40 bytes."""
 ECHO_TIMEOUT_S = 1.0
 ROUNDS_UNHEARD = 2
-"""After so many rounds without a word of anybody there a region counts as cut off."""
+"""After so many rounds without an answer from there a region counts as unreachable."""
 
 log = PartLog("regions")
 
 
 class RegionWatch:
-    """Which regions are heard. Pure."""
+    """Which regions answer. Pure."""
 
     def __init__(self) -> None:
         self._num_silent: dict[str, int] = {}
 
-    def note(self, asked: Collection[str], heard: Collection[str]) -> dict[str, bool]:
-        """One round is over; return the regions that changed and whether they are heard now."""
+    def note(self, asked: Collection[str], answered: Collection[str]) -> dict[str, bool]:
+        """One round is over; return the regions that changed and whether they answer now."""
         changed: dict[str, bool] = {}
         for region in set(asked):
             before = self._num_silent.get(region, 0)
-            now = 0 if region in heard else before + 1
+            now = 0 if region in answered else before + 1
             self._num_silent[region] = now
             if now == ROUNDS_UNHEARD:
                 changed[region] = False
@@ -44,15 +44,15 @@
 
     @property
     def num_unheard(self) -> int:
-        """Regions that count as cut off."""
+        """Regions that count as unreachable."""
         return sum(1 for silent in self._num_silent.values() if silent >= ROUNDS_UNHEARD)
 
 
 class Echo:
-    """Asks the other replica machines again and again, and answers them.
+    """Sends echoes to the other replica machines, and answers theirs.
 
     Attributes:
-        watch: which regions are heard.
+        watch: which regions answer.
 
     """
 
@@ -84,16 +84,16 @@
         return b""
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Send echoes until cancelled."""
         while True:
             await asyncio.sleep(ECHO_INTERVAL_S)
             peers = self._peers()
-            answered = await asyncio.gather(*(self._is_heard(peer) for peer in peers))
-            heard = [peer for peer, is_heard in zip(peers, answered, strict=True) if is_heard]
-            self._tell(self._regions(peers), self._regions(heard))
+            answers = await asyncio.gather(*(self._has_answered(peer) for peer in peers))
+            answered = [peer for peer, has in zip(peers, answers, strict=True) if has]
+            self._log_changes(self._regions(peers), self._regions(answered))
             self._on_measured(self._medians_ms())
 
-    async def _is_heard(self, peer: Address) -> bool:
+    async def _has_answered(self, peer: Address) -> bool:
         try:
             await self._transport.request(peer, ECHO_METHOD, b"", ECHO_TIMEOUT_S)
         except PeerUnreachable:
@@ -106,16 +106,16 @@
         return {kind: 1000 * median_s for kind, median_s in found_s.items()}
 
     def _regions(self, peers: Collection[Address]) -> set[str]:
-        """Other regions where some of these stand."""
+        """Other regions where some of these are located."""
         zones = {self._neighbours.zone_of(peer.host) for peer in peers}
         regions = {self._neighbours.places.region(zone) for zone in zones if zone}
         return regions - {self._neighbours.places.region(self._neighbours.zone)}
 
-    def _tell(self, asked: Collection[str], heard: Collection[str]) -> None:
-        for region, is_heard in self.watch.note(asked, heard).items():
+    def _log_changes(self, asked: Collection[str], answered: Collection[str]) -> None:
+        for region, is_reachable in self.watch.note(asked, answered).items():
             log.say(
                 "region reachable again"
-                if is_heard
+                if is_reachable
                 else "region unreachable: no replica machine answered",
                 region=region,
             )
--- a/src/bendshed/paths/neighbours.py
+++ b/src/bendshed/paths/neighbours.py
@@ -1,4 +1,4 @@
-"""Where other nodes stand, as far as this process was told, and how far each kind is. Pure."""
+"""Where other nodes are located, as far as known, and the round trip by distance. Pure."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -13,11 +13,11 @@
     Distance.SAME_REGION: 0.002,
     Distance.OTHER_REGION: 0.1,
 }
-"""A round trip until one of its kind was measured: between regions rather too long, since a request
-that is given up too early goes twice; regions of one continent are 10 to 80 ms apart."""
-MAX_KEPT = 8_000
-"""Hosts of nodes and runners that are remembered, the longest untold given up first; some 150 bytes
-each."""
+"""A round trip until one at its distance was measured: between regions rather too long, since a
+request that is given up too early goes twice; regions of one continent are 10 to 80 ms apart."""
+MAX_HOSTS = 8_000
+"""Hosts of nodes and runners that are remembered, the one noted longest ago dropped first; some 150
+bytes each."""
 
 
 @dataclass(slots=True)
@@ -35,33 +35,33 @@
     _zone_of: dict[str, str] = field(default_factory=dict)
 
     def put(self, host: str, zone: str) -> None:
-        """A node told its zone; empty: it did not."""
+        """A node said its zone; empty: it did not."""
         if not zone:
             return
         self._zone_of.pop(host, None)
         self._zone_of[host] = zone
-        if len(self._zone_of) > MAX_KEPT:
+        if len(self._zone_of) > MAX_HOSTS:
             del self._zone_of[next(iter(self._zone_of))]
 
     def zone_of(self, host: str) -> str:
-        """Zone of a host; empty: not told."""
+        """Zone of a host; empty: not known."""
         return self._zone_of.get(host, "")
 
     def distance(self, host: str) -> Distance | None:
-        """What lies between this process and a host; ``None``: nobody told where it stands."""
+        """Distance of a host from this process; ``None``: its zone is not known."""
         zone = self._zone_of.get(host)
         return self.places.distance(self.zone, zone) if zone is not None else None
 
     def is_far(self, host: str) -> bool:
-        """Whether a host is known to stand in another region."""
+        """Whether a host is known to be located in another region."""
         return self.distance(host) is Distance.OTHER_REGION
 
     def expected_round_trip_s(self, host: str, measured_s: float | None) -> float:
-        """The round trip to a host as measured, or what one of its kind very likely takes."""
+        """The round trip to a host as measured, or what is usual at its distance."""
         return measured_s if measured_s is not None else UNMEASURED_S[self.distance(host)]
 
     def are_together(self, host: str, other: str) -> bool:
-        """Whether two hosts are known to stand in one region."""
+        """Whether two hosts are known to be located in one region."""
         zone, other_zone = self._zone_of.get(host), self._zone_of.get(other)
         if zone is None or other_zone is None:
             return False
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -1,4 +1,4 @@
-"""A node that forwards requests: its parts, and what it does with what it is told."""
+"""A node that forwards requests: its parts, and what it does with updates."""
 
 import asyncio
 import random
@@ -74,10 +74,10 @@
 
     Attributes:
         directory: where the turn log's replicas are.
-        neighbours: where other nodes stand.
-        catalog: what replica machines tell of configuration and runners.
+        neighbours: where other nodes are located.
+        catalog: requests configuration and runners of replica machines.
         forwarder: serves requests.
-        quotas: what the node may let through of each tenant.
+        quotas: what the node may admit of each tenant.
         zones: closed zones, where operators close any.
         on_document: called with each document that comes into force.
 
@@ -104,43 +104,69 @@
         self.is_draining = False
         self._policy = policy
         self._groups = groups
-        self.zones = ZoneKeeper(place.places)
         self._places = place.places
         self._zones_lag_s = times.zones_lag_s
-        self._table = RunnerTable(
-            filter=self.zones.filter, cold=ColdRunnerTracker(clock=_loop_time)
-        )
-        self.zones.on_zone_opened.append(self._table.cold.reopen)
         self._pool = connections
+        self.zones = ZoneKeeper(place.places)
+        self._table = self._build_table()
         self._requests = RelayedRequests(
             transport, rng, self._other_nodes, RELAYED_METHODS, self.neighbours
         )
-        self.catalog = CatalogFollower(
+        self.catalog = self._build_follower(transport, place, times, rng)
+        self._turns = self._build_turns(place, rng, metrics)
+        self.quotas = self._turns.quotas
+        self.forwarder = Forwarder(self._build_runners(protocol, place, rng, metrics), self._turns)
+        self._add_gauges(metrics)
+        self.zones.add_gauges(metrics)
+
+    def _build_follower(
+        self, transport: Transport, place: NodePlace, times: CatalogTimes, rng: random.Random
+    ) -> CatalogFollower:
+        return CatalogFollower(
             FollowerPaths(transport, self._requests, self.neighbours, self._requests.is_cut),
             self.directory,
             _CatalogTaker(self),
             place.address,
             times,
             rng,
-            policy.shared_reading,
+            self._policy.shared_reading,
         )
+
+    def _build_table(self) -> RunnerTable:
+        table = RunnerTable(filter=self.zones.filter, cold=ColdRunnerTracker(clock=_loop_time))
+        self.zones.on_zone_opened.append(table.cold.reopen)
+        return table
+
+    def _build_turns(
+        self, place: NodePlace, rng: random.Random, metrics: ServiceMetrics
+    ) -> TurnPorts:
+        """What a request needs of the turn log; each start draws a new incarnation."""
         leaders = GroupClient(
             self._requests,
             rng,
-            groups.count,
+            self._groups.count,
             self.directory.resolve,
             self.directory.node_ids,
-            lambda group: self.directory.node_ids_in(groups.home_zones(group)),
+            lambda group: self.directory.node_ids_in(self._groups.home_zones(group)),
             self._requests.expected_round_trip_s,
         )
-        home_group = groups.at_home_in(place.zone)
+        home_group = self._groups.at_home_in(place.zone)
         client = TurnClient(rng, leaders, self._refuses_alone, home_group)
-        life = f"{place.address}/{rng.getrandbits(48):012x}"
-        self.quotas = QuotaClient(life, client, metrics, groups)
+        incarnation = f"{place.address}/{rng.getrandbits(48):012x}"
+        quotas = QuotaClient(incarnation, client, metrics, self._groups)
         transcripts = TranscriptCache(TRANSCRIPT_BYTES)
-        group_locator = GroupLocator(groups, home_group)
-        self._turns = TurnPorts(client, transcripts, metrics, self.quotas, policy, group_locator)
-        runners = RunnerPorts(
+        locator = GroupLocator(self._groups, home_group)
+        return TurnPorts(client, transcripts, metrics, quotas, self._policy, locator)
+
+    def _build_runners(
+        self,
+        protocol: RunnerProtocol,
+        place: NodePlace,
+        rng: random.Random,
+        metrics: ServiceMetrics,
+    ) -> RunnerPorts:
+        """What an attempt needs to reach a runner."""
+        return RunnerPorts(
             self._table,
             self._pool,
             protocol,
@@ -148,16 +174,13 @@
             str(place.address),
             rng,
             metrics,
-            policy,
-            PermitClient(client, metrics),
+            self._policy,
+            PermitClient(self._turns.client, metrics),
             place.places,
         )
-        self.forwarder = Forwarder(runners, self._turns)
-        self._add_gauges(metrics)
-        self.zones.add_gauges(metrics)
 
     def _note_replicas(self) -> None:
-        """Remember where replica machines stand."""
+        """Remember where replica machines are located."""
         for replica in self.directory.by_name.values():
             self.neighbours.put(replica.address.host, replica.zone)
 
@@ -168,7 +191,7 @@
         return self._policy.refusal_when_isolated and self._requests.is_isolated
 
     def _add_gauges(self, metrics: ServiceMetrics) -> None:
-        """What is told as it stands when it is asked for."""
+        """Add gauges that are read when metrics are scraped."""
         opened = metrics.gauge("bendshed_open_requests", "Requests under way")
         opened.set_function(lambda: self.forwarder.num_open)
         ready = metrics.gauge("bendshed_ready", "1 while new clients may be sent here")
@@ -210,9 +233,9 @@
         return asyncio.get_running_loop().time() - lost_since_s > TURNS_LOST_S
 
     async def watch_turn_log(self) -> None:
-        """Find the leaders at the start; ask again and again while no replica answers.
+        """Find the leaders at the start; probe while no replica answers.
 
-        A node becomes ready anew by that. A region that is cut off must not hold it up.
+        A node becomes ready again by that. A region that is cut off must not hold it up.
         """
         await self._knows_replicas.wait()
         client = self._turns.client
@@ -251,7 +274,7 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether no other node has answered for a while, on any way."""
+        """Whether no other node has answered for a while, on any path."""
         return self._turns.client.is_isolated
 
     def list_runners(self, runners: Collection[ServiceRunner], trusted: bool) -> None:
@@ -274,14 +297,14 @@
         if record is not None and trusted:
             self._pool.forget(record.listed.address)
 
-    def take_zones(self, word: ZoneUpdate) -> None:
-        """Take which zones are closed; an older word changes nothing.
+    def take_zones(self, update: ZoneUpdate) -> None:
+        """Take which zones are closed; an older update changes nothing.
 
-        What is under way there ends; nothing new is sent there from here on.
+        Requests under way there end; nothing new is dispatched there from here on.
         """
-        self.zones.take(word)
+        self.zones.take(update)
         self._table.filter = self.zones.filter
-        self.catalog.note_zones(word.zones.at)
+        self.catalog.note_zones(update.zones.at)
 
     def confirm_zones(self, age_s: float) -> None:
         """The registry confirmed everything so long ago, closed zones perhaps somewhat earlier."""
@@ -303,7 +326,7 @@
 
 
 class _CatalogTaker:
-    """What replica machines tell a node; revisions are their own matter."""
+    """Passes updates on to the node; revisions are the follower's matter."""
 
     def __init__(self, node: ServiceNode) -> None:
         self._node = node
@@ -324,12 +347,12 @@
         """Take the whole list."""
         self._node.list_runners([known.runner for known in runners], is_trusted)
 
-    def take_zones(self, word: ZoneUpdate) -> None:
+    def take_zones(self, update: ZoneUpdate) -> None:
         """Take which zones are closed."""
-        self._node.take_zones(word)
+        self._node.take_zones(update)
 
     def confirm_all(self, age_s: float, _runners_at: int) -> None:
-        """A node tells nobody else, but its metrics."""
+        """Only the age of closed zones is used here."""
         self._node.confirm_zones(age_s)
 
 
--- a/src/bendshed/turns/group_peers.py
+++ b/src/bendshed/turns/group_peers.py
@@ -1,4 +1,4 @@
-"""A replica machine's way to the leaders of groups that it does not lead itself."""
+"""A replica machine's requests to the leaders of groups that it does not lead itself."""
 
 import asyncio
 import random
@@ -15,11 +15,11 @@
 
 EMPTIED_TIMEOUT_S = 0.3
 LOOK_INTERVAL_S = 2.0
-"""Who leads another group is asked this often, since one-way messages bring no answer."""
+"""The leader of another group is looked for this often, since one-way messages bring no answer."""
 
 
 class GroupPeers:
-    """Asks the leaders of other groups; what it learns of who leads is kept as a hint."""
+    """Sends requests to the leaders of other groups; who leads is remembered as a hint."""
 
     def __init__(
         self,
@@ -56,9 +56,9 @@
 
     async def ask_emptied(self, group_id: int, node_id: str) -> bool:
         """Whether a group has let a machine go; ``False`` also where its leader does not answer."""
-        ask = wire.EmptiedAsk(group=group_id, node_id=node_id)
+        request = wire.EmptiedAsk(group=group_id, node_id=node_id)
         answer = await self._client.request_leader(
-            group_id, EMPTIED_METHOD, ask.SerializeToString(), EMPTIED_TIMEOUT_S
+            group_id, EMPTIED_METHOD, request.SerializeToString(), EMPTIED_TIMEOUT_S
         )
         if answer is None:
             return False
@@ -70,7 +70,7 @@
         return reply.is_emptied
 
     def leader_address(self, group_id: int) -> Address | None:
-        """Where a group's leader very likely is; ``None``: it is being looked for."""
+        """Address of a group's leader as last named; ``None``: it is being looked for."""
         now_s = asyncio.get_running_loop().time()
         if now_s - self._looked_s.get(group_id, float("-inf")) > LOOK_INTERVAL_S:
             self._looked_s[group_id] = now_s
--- a/src/bendshed/turns/metrics.py
+++ b/src/bendshed/turns/metrics.py
@@ -17,7 +17,7 @@
 
 
 class ColdEnd(StrEnum):
-    """What became of a question for a cold runner."""
+    """What became of a permit request for a cold runner."""
 
     GRANTED = "granted"
     REFUSED = "refused"
@@ -28,7 +28,7 @@
 
     Attributes:
         commands: commands by how they ended.
-        cold_permits: sendings to cold runners that were asked for here, by decision.
+        cold_permits: permit requests for cold runners decided here, by decision.
         commit_s: from a command's arrival at the leader to its being applied, in seconds.
 
     """
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -4,7 +4,7 @@
 import unittest
 from unittest import mock
 
-from bendshed.catalog.reading import UNTOLD_PATIENCE_S, RegistryReading
+from bendshed.catalog.reading import NO_UPDATE_S, RegistryReading
 from bendshed.rehearsal.simulator.loop import VirtualTimeLoop
 
 SETTLE_S = 1.0
@@ -86,7 +86,7 @@
         self.assertEqual(self.wanted(), (False, False))
 
     def test_a_node_that_finds_nobody_reads_soon(self) -> None:
-        self.assertAlmostEqual(self.wait_for_word(finds=False), UNTOLD_PATIENCE_S, places=2)
+        self.assertAlmostEqual(self.wait_for_word(finds=False), NO_UPDATE_S, places=2)
         self.assertEqual(self.wanted(), (True, True))
 
     def test_who_is_told_asks_a_lost_registry_less_often(self) -> None:
