--- a/src/bendshed/catalog/reading.py
+++ b/src/bendshed/catalog/reading.py
@@ -20,20 +20,27 @@
 class RegistryReading:
     """Pauses and resumes a node's watches.
 
-    Attributes:
-        on_change: called after each change of ``is_lost``.
+    Args:
+        follower: gets updates of other machines.
+        leading: the watch that looks for a lost registry.
+        others: begin again once the registry is back.
+        on_change: called after ``is_lost`` or the follower's freshness may have changed.
 
     """
 
     def __init__(
-        self, follower: CatalogFollower, leading: KindWatcher, others: Sequence[KindWatcher]
+        self,
+        follower: CatalogFollower,
+        leading: KindWatcher,
+        others: Sequence[KindWatcher],
+        on_change: Callable[[], None] = lambda: None,
     ) -> None:
-        self.on_change: Callable[[], None] = lambda: None
+        self._on_change = on_change
         self._follower = follower
         self._leading = leading
         self._others = others
         self._may_read = True
-        leading.on_trouble = self._follow_trouble
+        leading.on_trouble.append(self._follow_trouble)
         follower.on_freshness.append(self._follow_freshness)
 
     @property
@@ -44,7 +51,7 @@
         """
         return self._leading.is_lost
 
-    async def wait_for_word(self, look: Callable[[], Awaitable[bool]], settle_s: float) -> None:
+    async def wait_for_update(self, look: Callable[[], Awaitable[bool]], settle_s: float) -> None:
         """Read nothing until others had time to send updates: all nodes may start at once.
 
         Args:
@@ -80,7 +87,7 @@
         else:
             self._leading.resume(self._follower.runners_at)
             self._follow_trouble()
-        self.on_change()
+        self._on_change()
 
     def _follow_trouble(self) -> None:
         """One watch looks for a lost registry; the others begin afresh once it is back."""
@@ -90,4 +97,4 @@
             elif self._may_read and not self._follower.is_fresh:
                 watcher.restart()
                 watcher.resume()
-        self.on_change()
+        self._on_change()
--- a/src/bendshed/catalog/watcher.py
+++ b/src/bendshed/catalog/watcher.py
@@ -134,7 +134,7 @@
         retry_growth: float = 1.0,
     ) -> None:
         self.failed_at_s = float("-inf")
-        self.on_trouble: Callable[[], None] = lambda: None
+        self.on_trouble: list[Callable[[], None]] = []
         self.is_quick_again = False
         self._is_again = False
         self._source = source
@@ -242,11 +242,15 @@
         if not self._is_lost:
             log.say("platform store lost: call failed", kind=self._kind, reason=str(error))
             self._is_lost = True
-            self.on_trouble()
+            self._notify_trouble()
+
+    def _notify_trouble(self) -> None:
+        for on_trouble in self.on_trouble:
+            on_trouble()
 
     def _note_regained(self) -> None:
         self._num_failed = 0
         if self._is_lost:
             log.say("platform store answers again", kind=self._kind)
             self._is_lost = False
-            self.on_trouble()
+            self._notify_trouble()
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -111,7 +111,7 @@
         following.append(start_loop(self._node.watch_turn_log(), "turns"))
         following.append(start_loop(self._node.catalog.run(), "catalog"))
         following.append(start_loop(self._node.quotas.tell(), "quota"))
-        waiting = self._reading.wait_for_word(self._look_for_replicas, self._settle_s)
+        waiting = self._reading.wait_for_update(self._look_for_replicas, self._settle_s)
         following.append(start_loop(waiting, "registry"))
         sockets = list(self._listeners.sockets)
         serving = asyncio.get_running_loop().create_task(self._server.serve(sockets=sockets))
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -101,8 +101,12 @@
         if settings.catalog_times.follows_zones:
             others.append(self._zones)
         self._watchers = [self._runners, *others]
-        self._reading = RegistryReading(self._node.follower, self._runners, others)
-        self._reading.on_change = lambda: self._node.note_registry(self._reading.is_lost)
+        self._reading = RegistryReading(
+            self._node.follower,
+            self._runners,
+            others,
+            lambda: self._node.note_registry(self._reading.is_lost),
+        )
         self._node.demand.on_pace.append(self._set_pace)
 
     async def run(self, stopping: asyncio.Event) -> None:
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import unittest
+from collections.abc import Callable
 from unittest import mock
 
 from bendshed.catalog.reading import NO_UPDATE_S, RegistryReading
@@ -18,7 +19,7 @@
         self.is_lost = False
         self.is_known = False
         self.num_restarts = 0
-        self.on_trouble = lambda: None
+        self.on_trouble: list[Callable[[], None]] = []
 
     def pause(self) -> None:
         self.is_wanted = False
@@ -39,9 +40,13 @@
             first_update=asyncio.Event(), is_fresh=False, runners_at=0, on_freshness=[]
         )
         self.leading, self.other = StubWatch(), StubWatch()
-        self.reading = RegistryReading(self.follower, self.leading, [self.other])  # type: ignore
         self.lost: list[bool] = []
-        self.reading.on_change = lambda: self.lost.append(self.reading.is_lost)
+        self.reading = RegistryReading(
+            self.follower,
+            self.leading,  # type: ignore[arg-type]
+            [self.other],  # type: ignore[list-item]
+            lambda: self.lost.append(self.reading.is_lost),
+        )
 
     def wanted(self) -> tuple[bool, bool]:
         return self.leading.is_wanted, self.other.is_wanted
@@ -51,12 +56,16 @@
         for on_freshness in self.follower.on_freshness:
             on_freshness()
 
-    def wait_for_word(self, finds: bool) -> float:
+    def notify_trouble(self) -> None:
+        for on_trouble in self.leading.on_trouble:
+            on_trouble()
+
+    def wait_for_update(self, finds: bool) -> float:
         async def look() -> bool:
             return finds
 
         began_s = self.loop.time()
-        self.loop.run_until_complete(self.reading.wait_for_word(look, SETTLE_S))
+        self.loop.run_until_complete(self.reading.wait_for_update(look, SETTLE_S))
         return self.loop.time() - began_s
 
     def test_a_node_reads_only_while_nobody_tells(self) -> None:
@@ -67,10 +76,10 @@
 
     def test_one_watch_looks_for_a_lost_registry_and_the_others_begin_afresh(self) -> None:
         self.leading.is_lost = True
-        self.leading.on_trouble()
+        self.notify_trouble()
         self.assertEqual(self.wanted(), (True, False))
         self.leading.is_lost = False
-        self.leading.on_trouble()
+        self.notify_trouble()
         self.assertEqual((self.wanted(), self.other.num_restarts), ((True, True), 1))
         self.assertEqual(self.lost, [True, False])
 
@@ -82,11 +91,11 @@
     def test_a_node_that_starts_reads_nothing_when_others_tell(self) -> None:
         self.follower.first_update.set()
         self.follower.is_fresh = True
-        self.assertAlmostEqual(self.wait_for_word(finds=True), SETTLE_S, places=2)
+        self.assertAlmostEqual(self.wait_for_update(finds=True), SETTLE_S, places=2)
         self.assertEqual(self.wanted(), (False, False))
 
     def test_a_node_that_finds_nobody_reads_soon(self) -> None:
-        self.assertAlmostEqual(self.wait_for_word(finds=False), NO_UPDATE_S, places=2)
+        self.assertAlmostEqual(self.wait_for_update(finds=False), NO_UPDATE_S, places=2)
         self.assertEqual(self.wanted(), (True, True))
 
     def test_who_is_told_asks_a_lost_registry_less_often(self) -> None:
@@ -98,7 +107,7 @@
 
     def test_a_node_that_is_told_old_words_reads_a_little_later(self) -> None:
         self.follower.first_update.set()
-        self.wait_for_word(finds=True)
+        self.wait_for_update(finds=True)
         self.assertEqual(self.wanted(), (True, True))
 
 
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -80,7 +80,7 @@
         self.seen: list[int] = []
         self.short = self.watcher([], 2.0)
         self.long = self.watcher(self.seen, WATCH_S)
-        self.short.on_trouble = self.long.restart
+        self.short.on_trouble.append(self.long.restart)
         self.tasks = [self.loop.create_task(w.run()) for w in (self.short, self.long)]
 
     def tearDown(self) -> None:
