--- a/src/bendshed/catalog/reading.py
+++ b/src/bendshed/catalog/reading.py
@@ -24,7 +24,7 @@
         follower: gets updates of other machines.
         leading: the watch that looks for a lost registry.
         others: begin again once the registry is back.
-        on_change: called after ``is_lost`` or the follower's freshness may have changed.
+        on_change: gets ``is_lost`` after it or the follower's freshness may have changed.
 
     """
 
@@ -33,7 +33,7 @@
         follower: CatalogFollower,
         leading: KindWatcher,
         others: Sequence[KindWatcher],
-        on_change: Callable[[], None] = lambda: None,
+        on_change: Callable[[bool], None] = lambda _is_lost: None,
     ) -> None:
         self._on_change = on_change
         self._follower = follower
@@ -87,7 +87,7 @@
         else:
             self._leading.resume(self._follower.runners_at)
             self._follow_trouble()
-        self._on_change()
+        self._on_change(self.is_lost)
 
     def _follow_trouble(self) -> None:
         """One watch looks for a lost registry; the others begin afresh once it is back."""
@@ -97,4 +97,4 @@
             elif self._may_read and not self._follower.is_fresh:
                 watcher.restart()
                 watcher.resume()
-        self._on_change()
+        self._on_change(self.is_lost)
--- a/src/bendshed/paths/relayed.py
+++ b/src/bendshed/paths/relayed.py
@@ -51,6 +51,8 @@
     @property
     def is_isolated(self) -> bool:
         """Whether neither targets nor relays have answered for a while."""
+        if self._isolation.silent_since_s is None:
+            return False  # also where metrics are read without a loop
         return self._isolation.is_isolated(asyncio.get_running_loop().time())
 
     def expected_round_trip_s(self, peer: Address) -> float:
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -48,14 +48,11 @@
         self._transport = TcpTransport(settings.ip, settings.peer_address.port)
         self._api = ObjectApi(read_address(settings.platform.addr))
         self._storage = open_or_replace(data_folder)
+        catalog_storage = FileCatalogStorage(data_folder)
+        replica_registry = PlatformReplicaRegistry(self._api)
         self._node = TurnLogNode(
             ReplicaPlace(settings.nodeName, settings.zone, settings.peer_address, settings.places),
-            ReplicaPorts(
-                self._storage,
-                FileCatalogStorage(data_folder),
-                self._transport,
-                PlatformReplicaRegistry(self._api),
-            ),
+            ReplicaPorts(self._storage, catalog_storage, self._transport, replica_registry),
             ReplicaTerms(
                 2 * settings.faultTolerance.most + 1,
                 settings.catalog_times,
@@ -102,10 +99,7 @@
             others.append(self._zones)
         self._watchers = [self._runners, *others]
         self._reading = RegistryReading(
-            self._node.follower,
-            self._runners,
-            others,
-            lambda: self._node.note_registry(self._reading.is_lost),
+            self._node.follower, self._runners, others, self._node.note_registry
         )
         self._node.demand.on_pace.append(self._set_pace)
 
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -45,7 +45,7 @@
             self.follower,
             self.leading,  # type: ignore[arg-type]
             [self.other],  # type: ignore[list-item]
-            lambda: self.lost.append(self.reading.is_lost),
+            self.lost.append,
         )
 
     def wanted(self) -> tuple[bool, bool]:
