--- a/src/bendshed/catalog/file.py
+++ b/src/bendshed/catalog/file.py
@@ -19,13 +19,13 @@
         self._path = folder / FILE_NAME
 
     def load(self) -> bytes | None:
-        """Return what was kept whole."""
+        """Return what was saved; ``None``: nothing, or the file is damaged."""
         if not self._path.exists():
             return None
         try:
             return read_durable(self._path)
         except (OSError, FileDamaged) as error:
-            log.say("what was kept cannot be read", reason=repr(error))
+            log.say("saved file ignored: unreadable", reason=repr(error))
             return None
 
     async def save(self, content: bytes) -> None:
@@ -33,4 +33,4 @@
         try:
             await asyncio.to_thread(write_durable, self._path, content)
         except OSError as error:
-            log.say("was not kept", reason=str(error))
+            log.say("not saved: disk failed", reason=str(error))
--- a/tests/test_regions_site.py
+++ b/tests/test_regions_site.py
@@ -8,7 +8,7 @@
 import unittest
 from unittest import mock
 
-from bendshed.catalog import follower, server
+from bendshed.catalog import demand
 from bendshed.model.places import Distance, Places
 from bendshed.paths import echo
 from bendshed.paths.echo import ECHO_INTERVAL_S, ECHO_TIMEOUT_S, ROUNDS_UNHEARD
@@ -32,10 +32,9 @@
 
 class RegionsTest(unittest.TestCase):
     def start(self, seed: int) -> SiteWorld:
-        for module in (follower, server):
-            patch = mock.patch.object(module, "MIN_SHARED_ASKERS", 1)
-            patch.start()
-            self.addCleanup(patch.stop)
+        patch = mock.patch.object(demand, "MIN_SHARED_ASKERS", 1)
+        patch.start()
+        self.addCleanup(patch.stop)
         world = SiteWorld.started(seed, two_zones_a_region(NUM_FRONTS))
         self.addCleanup(world.close)
         world.run_for(3.0)
@@ -107,7 +106,7 @@
             world.network.cuts.clear()
             world.run_for(2 * (ECHO_INTERVAL_S + ECHO_TIMEOUT_S))
         told = [(call.args[0], call.kwargs["region"]) for call in log.say.call_args_list]
-        lost, back = "hears nobody of a region", "hears a region again"
+        lost, back = "region unreachable: no replica machine answered", "region reachable again"
         regions = ["east", "east", "west", "west"]
         expected = [(sentence, region) for sentence in (back, lost) for region in regions]
         self.assertEqual(sorted(told), expected)
