--- a/src/bendshed/dispatch/executor.py
+++ b/src/bendshed/dispatch/executor.py
@@ -16,7 +16,6 @@
 from bendshed.dispatch.events import text_events
 from bendshed.dispatch.group_commands import GroupCommands
 from bendshed.dispatch.history import HistoryCache, HistoryMismatch
-from bendshed.dispatch.retry import RetryBudget, backoff_s
 from bendshed.dispatch.stream_summary import summarize
 from bendshed.errors import ErrorKind, Refusal, parse_kind
 from bendshed.logs import PartLog
@@ -33,6 +32,7 @@
 )
 from bendshed.ports.transport import Transport
 from bendshed.programs.service import EXECUTING_METHOD
+from bendshed.retries.own_interface import RetryBudget, backoff_s
 from bendshed.routing.scheduler import Scheduler, WaitingCall
 from bendshed.wire import programs_pb2 as wire
 
--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -2,7 +2,7 @@
 
 import asyncio
 import contextlib
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from functools import partial
 
 from bendshed.admission.access import AccessIndex
@@ -14,16 +14,22 @@
 from bendshed.placement.allowed_regions import allowed_regions
 from bendshed.ports.http_messages import ResponseBroken
 from bendshed.ports.runner import Caller, ServiceRequest
+from bendshed.retries.decisions import (
+    ANSWER_MARGIN_S,
+    GiveUp,
+    GiveUpReason,
+    decide_after_broken_answer,
+    refusal_of,
+)
+from bendshed.retries.history import AttemptHistory
 from bendshed.services.attempts import Attempts, OpenAnswer, RunnerPorts
 from bendshed.services.metrics import CALLER_LEFT, NO_ROUTE, Served
+from bendshed.services.runner_placement import RunnerPlacement
 from bendshed.services.stream_exchange import StreamExchange
 from bendshed.services.turn_record import TurnPorts, TurnRecord
 
 MAX_HELD_BODY_BYTES = 64 * 1024
 """A plain answer up to this size is held until it is whole, so that a cut one can be repeated."""
-ANSWER_MARGIN_S = 0.1
-"""A runner's own answer at its deadline may still come this much later."""
-
 FIRST_DOCUMENT_WAIT_S = 0.5
 """A node that has just started is told of routes and runners soon; requests wait this long."""
 
@@ -140,52 +146,54 @@
         deadline_s = request.arrived_s + wait_ms / 1000
         sticky_key = self._sticky_key(request, route)
         service = choose_target(route, sticky_key or request.request_id)
-        attempts = Attempts(
-            self._runners,
-            request,
-            route,
-            service,
-            request.body,
-            deadline_s,
-            sticky_key,
-            principal,
-            regions=allowed_regions(route, principal),
-        )
+        admit = partial(self._admit_call, request, principal, deadline_s)
+        regions = allowed_regions(route, principal)
+        placement = RunnerPlacement(self._runners, request, service, sticky_key, regions)
+        history = AttemptHistory(deadline_s)
+        attempts = Attempts(request, route, principal, placement, history, admit)
         refusal = attempts.reject_if_no_eligible_runner()
         if refusal is not None:
             return refusal
-        attempts.admit_again = partial(self._admit_call, request, principal, deadline_s)
         try:
             async with asyncio.timeout_at(deadline_s + ANSWER_MARGIN_S):
-                if route.kind is RouteKind.STREAM:
-                    known = index.document.services.get(service)
-                    engine = known.engine if known is not None else None
-                    record = self._record_of(request, route, attempts, engine, deadline_s)
-                    if record is not None:
-                        return await StreamExchange(request, attempts, caller, record).run()
-                refusal = await attempts.admit_again()
-                if refusal is not None:
-                    return refusal
-                if route.kind is RouteKind.STREAM:
-                    return await StreamExchange(request, attempts, caller, None).run()
-                return await self._serve_plain(attempts, caller)
+                return await self._serve_attempts(request, caller, attempts, index, admit)
         except TimeoutError:
-            kind = ErrorKind.OUTCOME_UNKNOWN
-            if not attempts.may_have_run:
-                kind = ErrorKind.DEADLINE_EXCEEDED
-            return Refusal(kind, "no answer came in time")
+            timed_out = GiveUp(GiveUpReason.TIMED_OUT, "no answer came in time")
+            return refusal_of(timed_out, history)
+
+    async def _serve_attempts(
+        self,
+        request: ServiceRequest,
+        caller: Caller,
+        attempts: Attempts,
+        index: RouteIndex,
+        admit: Callable[[], Awaitable[Refusal | None]],
+    ) -> Refusal | Served:
+        """Serve a turn, which its reservation admits, or admit and serve another request."""
+        is_stream = attempts.route.kind is RouteKind.STREAM
+        if is_stream:
+            known = index.document.services.get(attempts.placement.service)
+            engine = known.engine if known is not None else None
+            record = self._record_of(request, attempts, engine)
+            if record is not None:
+                return await StreamExchange(request, attempts, caller, record).run()
+        refusal = await admit()
+        if refusal is not None:
+            return refusal
+        if is_stream:
+            return await StreamExchange(request, attempts, caller, None).run()
+        return await self._serve_plain(attempts, caller)
 
     def _record_of(
         self,
         request: ServiceRequest,
-        route: Route,
         attempts: Attempts,
         engine: EngineFeatures | None,
-        deadline_s: float,
     ) -> TurnRecord | None:
         if request.turn is None or self._turns is None:
             return None
-        return TurnRecord(self._turns, request, route, attempts, engine, deadline_s)
+        deadline_s = attempts.history.deadline_s
+        return TurnRecord(self._turns, request, attempts.route, attempts, engine, deadline_s)
 
     def _sticky_key(self, request: ServiceRequest, route: Route) -> str:
         """What requests share that run faster at the same runner; empty: nothing."""
@@ -203,15 +211,17 @@
 
     async def _serve_plain(self, attempts: Attempts, caller: Caller) -> Refusal | Served:
         while True:
-            opened = await attempts.open()
+            opened = await attempts.open(attempts.request.body)
             if isinstance(opened, Refusal):
                 return opened
             whole = False
             try:
                 whole = await _pass_on(opened, caller)
             except ResponseBroken as error:
-                if not attempts.may_try_again():
-                    return Refusal(ErrorKind.ENGINE_LOST, f"the answer was cut: {error}")
+                history, route = attempts.history, attempts.route
+                decision = decide_after_broken_answer(history, route, str(error))
+                if isinstance(decision, GiveUp):
+                    return refusal_of(decision, history)
                 continue
             finally:
                 opened.close(whole)
@@ -223,7 +233,7 @@
                 route=attempts.route.name,
                 runner=opened.record.listed.runner_id,
                 status=opened.head.status,
-                attempts=attempts.num_maybe_run,
+                attempts=attempts.history.num_maybe_run,
             )
             return Served.WHOLE if whole else Served.CUT
 
--- /dev/null
+++ b/src/bendshed/services/runner_placement.py
@@ -0,0 +1,188 @@
+"""Finds the runner for the next attempt at one request: preferred, warm, or cold by permit.
+
+Applies ``placement/node_choice.py`` to what this node knows now, and requests permits of the turn
+log's leader. It owns the preference that a preview brought.
+"""
+
+import asyncio
+import random
+from collections.abc import Collection
+from dataclasses import dataclass, field
+
+from bendshed.admission.sliding_window import NO_PERMIT, TimedPermit
+from bendshed.errors import Refusal
+from bendshed.model.places import Places
+from bendshed.placement.node_choice import Choice, NodeView, choose_runner
+from bendshed.policy import EVERYTHING, Policy
+from bendshed.ports.runner import RunnerProtocol, ServiceRequest
+from bendshed.ports.runner_connections import RunnerConnections
+from bendshed.retries.decisions import GiveUp, GiveUpReason, may_choose_runner
+from bendshed.retries.history import AttemptHistory
+from bendshed.services.metrics import ServiceMetrics
+from bendshed.services.permit_client import PermitClient, RunnerState, demand_of
+from bendshed.services.runners import RunnerRecord, RunnerTable
+
+
+@dataclass(frozen=True, slots=True)
+class RunnerPorts:
+    """What attempts need of a node.
+
+    Attributes:
+        zone, node: the node's zone and a name that other nodes do not have.
+        asks: requests permits for cold runners; ``None``: no leader gives any.
+
+    """
+
+    table: RunnerTable
+    pool: RunnerConnections
+    protocol: RunnerProtocol
+    zone: str
+    node: str
+    rng: random.Random
+    metrics: ServiceMetrics
+    policy: Policy = EVERYTHING
+    asks: PermitClient | None = None
+    places: Places = field(default_factory=Places)
+
+    def is_connected(self, record: RunnerRecord) -> bool:
+        """Whether an idle connection to a runner is open."""
+        return self.pool.has_idle(record.listed.address)
+
+
+@dataclass(slots=True)
+class RunnerPlacement:
+    """Where one request may go.
+
+    Invariant: a cold runner is chosen only with the leader's permit for that very dispatch.
+
+    Attributes:
+        service: whose runners are eligible.
+        sticky_key: a session or an affinity key that requests share; empty: none.
+        regions: where its runners may be located; ``None``: anywhere.
+
+    """
+
+    ports: RunnerPorts
+    request: ServiceRequest
+    service: str
+    sticky_key: str
+    regions: frozenset[str] | None = None
+    _preferred_runner: str = ""
+    _preferred_permit: TimedPermit = NO_PERMIT
+
+    @property
+    def has_preferred_runner(self) -> bool:
+        """Whether the leader of the turn log has placed the request."""
+        return bool(self._preferred_runner)
+
+    def prefer(self, runner_id: str, permit: TimedPermit) -> None:
+        """Follow the leader's placement while that runner may get the request.
+
+        ``permit`` is what the runner needs if it is cold; an empty ``runner_id``: no placement.
+        """
+        self._preferred_runner, self._preferred_permit = runner_id, permit
+
+    def describe_no_runner(self) -> str:
+        """Why no runner is left, for the refusal."""
+        detail = f"no runner of {self.service} takes the request now"
+        closed = sorted(self.ports.table.filter.zones.closed)
+        if closed:
+            detail += f", closed zones: {', '.join(closed)}"
+        if self.regions is not None:
+            detail += f", allowed regions: {', '.join(sorted(self.regions))}"
+        return detail
+
+    def runner_state(self) -> RunnerState:
+        """What this node reports of the service's runners to a leader that places the request."""
+        now_s = asyncio.get_running_loop().time()
+        usable = self._usable(now_s)
+        connected: list[str] = []
+        if self.ports.policy.kept_connections:
+            connected = [r.listed.runner_id for r in usable if self.ports.is_connected(r)]
+        return RunnerState(connected, [r.listed.runner_id for r in usable if r.is_avoided(now_s)])
+
+    async def find(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
+        """Find the runner of the next attempt; a refusal is the leader's, which gave no permit."""
+        now_s = asyncio.get_running_loop().time()
+        if may_choose_runner(history):
+            choice = self.choose(history.tried, now_s)
+            if choice is not None:
+                return choice
+            if self._has_untried_cold(history.tried, now_s):
+                return await self._request_permit(history)
+        return GiveUp(GiveUpReason.NO_RUNNER, self.describe_no_runner())
+
+    def choose(self, tried: Collection[str], now_s: float) -> Choice | None:
+        """Choose the preferred runner if it may get the request, else a warm one by own view."""
+        usable = self._usable(now_s)
+        preferred = self._choose_preferred(usable, tried, now_s)
+        if preferred is not None:
+            return preferred
+        warm = self.ports.table.cold.only_warm(usable)
+        connected: set[str] = set()
+        if self.ports.policy.kept_connections:
+            connected = {r.listed.runner_id for r in usable if self.ports.is_connected(r)}
+        ports = self.ports
+        return choose_runner(
+            warm,
+            tried,
+            self.sticky_key,
+            NodeView(ports.node, ports.zone, connected, now_s, ports.places),
+            ports.rng,
+            ports.policy,
+            self.request.thing if self.sticky_key else "",
+        )
+
+    def may_get(self, record: RunnerRecord, permit: TimedPermit, now_s: float) -> bool:
+        """Whether a runner may get the request now: in an open zone and an allowed region, and
+        warm or permitted.
+        """
+        if not self.ports.table.filter.may_get(record.listed, self.regions):
+            return False
+        return permit.is_valid(now_s) or not self.ports.table.cold.is_cold(record.listed.runner_id)
+
+    def _usable(self, now_s: float) -> list[RunnerRecord]:
+        return self.ports.table.usable(self.service, now_s, self.regions)
+
+    def _choose_preferred(
+        self, usable: Collection[RunnerRecord], tried: Collection[str], now_s: float
+    ) -> Choice | None:
+        permit = self._preferred_permit
+        for record in usable:
+            runner_id = record.listed.runner_id
+            is_fit = runner_id not in tried and not record.is_avoided(now_s)
+            is_preferred = runner_id == self._preferred_runner and is_fit
+            if is_preferred and self.may_get(record, permit, now_s):
+                return Choice(record, "advised", permit)
+        return None
+
+    def _has_untried_cold(self, tried: Collection[str], now_s: float) -> bool:
+        """Whether a permit could open a runner that was not tried yet."""
+        return any(
+            self.ports.table.cold.is_cold(record.listed.runner_id)
+            for record in self._usable(now_s)
+            if record.listed.runner_id not in tried
+        )
+
+    async def _request_permit(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
+        """Request a permit for one dispatch to a runner that was not tried yet."""
+        if self.ports.asks is None:
+            detail = f"all runners of {self.service} are cold"
+            return GiveUp(GiveUpReason.NO_PERMIT, detail)
+        loop = asyncio.get_running_loop()
+        demand = demand_of(
+            self.request,
+            self.service,
+            history.deadline_s - loop.time(),
+            self.runner_state(),
+            self.ports.zone,
+            history.tried,
+            self.regions,
+        )
+        permit = await self.ports.asks.ask(self.request, demand)
+        if isinstance(permit, Refusal):
+            return permit
+        for record in self._usable(loop.time()):
+            if record.listed.runner_id == permit.runner_id:
+                return Choice(record, "permitted", permit.leave)
+        return GiveUp(GiveUpReason.NO_PERMIT, "this node does not know the permitted runner")
--- a/src/bendshed/services/stream_exchange.py
+++ b/src/bendshed/services/stream_exchange.py
@@ -7,10 +7,11 @@
 import asyncio
 from dataclasses import dataclass
 
-from bendshed.errors import ErrorKind, Refusal
+from bendshed.errors import Refusal
 from bendshed.logs import PartLog
 from bendshed.ports.http_messages import ResponseBroken
 from bendshed.ports.runner import Caller, ServiceRequest
+from bendshed.retries.decisions import GiveUp, GiveUpReason, refusal_of
 from bendshed.services.attempts import Attempts, OpenAnswer
 from bendshed.services.events import EventSplitter, StreamEvent
 from bendshed.services.metrics import Served
@@ -44,25 +45,25 @@
     async def run(self) -> Refusal | Served:
         """Serve the request; a refusal has not been told to the caller yet."""
         if self.record is None:
-            return await self._run_begun()
+            return await self._run_begun(self.request.body)
         refusal = await self.record.begin()
         if refusal is not None:
             return refusal
-        self.attempts.body = self.record.body
         try:
-            return await self._run_begun()
+            return await self._run_begun(self.record.body)
         finally:
             self.record.finish_broken()
 
-    async def _run_begun(self) -> Refusal | Served:
-        opened = await self.attempts.open()
+    async def _run_begun(self, body: bytes) -> Refusal | Served:
+        opened = await self.attempts.open(body)
         if isinstance(opened, Refusal):
             return opened
         whole = False
         try:
             if self.record is not None and (unconfirmed := await self.record.confirm()) is not None:
                 detail = f"the turn ran, but its reservation failed: {unconfirmed.detail}"
-                return Refusal(ErrorKind.ENGINE_LOST, detail)
+                failed = GiveUp(GiveUpReason.RESERVATION_FAILED, detail)
+                return refusal_of(failed, self.attempts.history)
             whole = await self._relay(opened)
         except (ResponseBroken, StreamBroken) as error:
             log.say(
--- a/src/bendshed/services/turn_record.py
+++ b/src/bendshed/services/turn_record.py
@@ -195,17 +195,21 @@
         asked_s = asyncio.get_running_loop().time()
         reply = await self.ports.client.preview(asked)
         if reply is not None:
-            self.attempts.advised = reply.runner_id
-            self.attempts.leave = TimedPermit(asked_s + reply.permit_ms / 1000)
+            permit = TimedPermit(asked_s + reply.permit_ms / 1000)
+            self.attempts.placement.prefer(reply.runner_id, permit)
         return reply
 
     def _demand(self) -> wire.TurnDemand:
         """What the leader needs to know to advise a runner."""
         left_s = self.deadline_s - asyncio.get_running_loop().time()
-        state = self.attempts.runner_state()
-        ports, regions = self.attempts.ports, self.attempts.regions
+        placement = self.attempts.placement
         demand = demand_of(
-            self.request, self.attempts.service, left_s, state, ports.zone, regions=regions
+            self.request,
+            placement.service,
+            left_s,
+            placement.runner_state(),
+            placement.ports.zone,
+            regions=placement.regions,
         )
         demand.body_bytes = len(self.request.body) + self._held_bytes()
         return demand
@@ -224,7 +228,7 @@
         return wire.TurnReport(
             runner_id=self.attempts.answered_by,
             event_gap_us=int(gap_s * 1_000_000),
-            failed=self.attempts.failed,
+            failed=self.attempts.history.failed,
         )
 
     def _begin_command(self) -> wire.BeginTurn:
@@ -288,7 +292,9 @@
         refusal = await self.confirm()
         if refusal is not None:
             return refusal
-        if not self.attempts.advised and await self._preview_committed(begin, held):
+        if not self.attempts.placement.has_preferred_runner and await self._preview_committed(
+            begin, held
+        ):
             return None
         if begin.previous_turn and held is None:
             self._committing = self._ask_chain(begin)
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -21,6 +21,7 @@
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.sim_runners import SimConnection
 from bendshed.rehearsal.site.sim_world import SiteWorld
+from bendshed.retries import decisions
 from bendshed.services.attempts import Attempts, OpenAnswer
 from bendshed.services.node import ServiceNode
 from bendshed.services.runners import RunnerTable
@@ -268,8 +269,8 @@
     seed: int = 1
 
 
-async def _open_and_promise(attempts: Attempts) -> OpenAnswer | Refusal:
-    outcome = await _REAL_OPEN(attempts)
+async def _open_and_promise(attempts: Attempts, body: bytes) -> OpenAnswer | Refusal:
+    outcome = await _REAL_OPEN(attempts, body)
     if isinstance(outcome, Refusal):
         return Refusal(ErrorKind.OVERLOADED, outcome.detail)
     return outcome
@@ -316,7 +317,7 @@
     "a request that may have run is sent again": Defect(
         Rule.ONCE,
         runners_lose_answers,
-        patch(Attempts, "_may_repeat", lambda self: self.num_maybe_run < 3),
+        patch(decisions, "may_run_again", lambda history, _route: history.num_maybe_run < 3),
     ),
     "unknown is told as not run": Defect(
         Rule.REFUSAL, runners_lose_answers, patch(Attempts, "open", _open_and_promise)
--- a/tests/site_zone_defects.py
+++ b/tests/site_zone_defects.py
@@ -1,6 +1,7 @@
 """Planted defects around closed zones, and scenarios that must catch them."""
 
 import contextlib
+from collections.abc import Collection
 from unittest import mock
 
 from bendshed.catalog import codec
@@ -10,7 +11,7 @@
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.sim_world import SiteWorld
 from bendshed.rehearsal.site.sim_zones import ZONE_CLOSE_S
-from bendshed.services.attempts import Attempts
+from bendshed.services.runner_placement import RunnerPlacement
 from tests.site_defects import Defect, patch, world
 
 CLOSED = "zone-b"
@@ -75,20 +76,22 @@
         return site.settle()
 
 
-_REAL_CHOOSE = Attempts._choose
+_REAL_CHOOSE = RunnerPlacement.choose
 
 
-def _choose_anywhere_again(attempts: Attempts, now_s: float) -> Choice | None:
+def _choose_anywhere_again(
+    placement: RunnerPlacement, tried: Collection[str], now_s: float
+) -> Choice | None:
     """A retry looks at all runners."""
-    if not attempts._tried:
-        return _REAL_CHOOSE(attempts, now_s)
-    with mock.patch.object(attempts.ports.table, "filter", RunnerFilter()):
-        return _REAL_CHOOSE(attempts, now_s)
+    if not tried:
+        return _REAL_CHOOSE(placement, tried, now_s)
+    with mock.patch.object(placement.ports.table, "filter", RunnerFilter()):
+        return _REAL_CHOOSE(placement, tried, now_s)
 
 
 def _retries_go_anywhere() -> contextlib.AbstractContextManager[object]:
     return mock.patch.multiple(
-        Attempts, _choose=_choose_anywhere_again, _may_get=lambda *_args: True
+        RunnerPlacement, choose=_choose_anywhere_again, may_get=lambda *_args: True
     )
 
 
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -30,9 +30,11 @@
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.records import Kind
 from bendshed.rehearsal.site.sim_world import SiteWorld
+from bendshed.retries.history import AttemptHistory
 from bendshed.services.attempts import Attempts, OpenAnswer, RunnerPorts
 from bendshed.services.metrics import ServiceMetrics
 from bendshed.services.permit_client import Permit, PermitClient
+from bendshed.services.runner_placement import RunnerPlacement
 from bendshed.services.runners import RunnerTable
 from bendshed.turns.client import TurnClient
 from bendshed.turns.cold_admission import ColdAdmission, PermitRequest
@@ -459,11 +461,13 @@
         request = ServiceRequest(
             "r1", b"POST", b"/", "h", "/", [], b"", None, "", "", "", None, now_s
         )
-        return Attempts(ports, request, ROUTE, "s", b"", now_s + 60, "", Principal(None, 0))
+        placement = RunnerPlacement(ports, request, "s", "")
+        history = AttemptHistory(now_s + 60)
+        return Attempts(request, ROUTE, Principal(None, 0), placement, history)
 
     async def open(self, attempts: Attempts) -> str:
         """Runner that got it, or the kind of the refusal."""
-        outcome = await attempts.open()
+        outcome = await attempts.open(b"")
         if isinstance(outcome, OpenAnswer):
             return outcome.record.listed.runner_id
         return outcome.kind.value
@@ -476,23 +480,23 @@
     async def test_a_cold_one_only_with_leave(self) -> None:
         self.assertEqual(await self.open(self.attempts(Permit("a", VALID))), "a")
         refusal = Refusal(ErrorKind.NO_ROOM, "later", 0.3)
-        outcome = await self.attempts(refusal).open()
+        outcome = await self.attempts(refusal).open(b"")
         self.assertEqual(outcome, refusal)
 
     async def test_advice_without_leave_is_not_followed_to_a_cold_runner(self) -> None:
         self.table.put(runner("b"))
         attempts = self.attempts()
-        attempts.advised, attempts.leave = "a", NO_PERMIT
+        attempts.placement.prefer("a", NO_PERMIT)
         self.assertEqual(await self.open(attempts), "b")
         attempts = self.attempts()
-        attempts.advised, attempts.leave = "a", VALID
+        attempts.placement.prefer("a", VALID)
         self.assertEqual(await self.open(attempts), "a")
 
     async def test_leave_that_ran_out_on_the_way_is_not_used(self) -> None:
         attempts = self.attempts(Permit("a", NO_PERMIT), Permit("a", VALID))
         self.assertEqual(await self.open(attempts), "a")
         self.assertEqual(self.asks.tried, [[], []])
-        self.assertEqual(attempts.num_maybe_run, 1)
+        self.assertEqual(attempts.history.num_maybe_run, 1)
 
     async def test_a_runner_that_turns_cold_while_its_connection_comes_up_gets_nothing(
         self,
@@ -501,7 +505,7 @@
         self.pool.on_acquire = lambda: self.table.put(runner("b", 60_000))
         attempts = self.attempts(Refusal(ErrorKind.NO_ROOM, "later"))
         self.assertEqual(await self.open(attempts), "no_room")
-        self.assertEqual(attempts.num_maybe_run, 0)
+        self.assertEqual(attempts.history.num_maybe_run, 0)
 
     async def test_each_try_needs_its_own_leave(self) -> None:
         self.pool.unreachable = {Address("a", 80)}
@@ -511,7 +515,7 @@
 
     async def test_without_anybody_to_ask_it_is_refused(self) -> None:
         attempts = self.attempts()
-        attempts.ports = replace(attempts.ports, asks=None)
+        attempts.placement.ports = replace(attempts.ports, asks=None)
         self.assertEqual(await self.open(attempts), "no_runner")
 
     async def test_leave_is_asked_for_a_bounded_number_of_times(self) -> None:
--- a/tests/test_promised_turns.py
+++ b/tests/test_promised_turns.py
@@ -38,11 +38,13 @@
     async def play(self, client: Client, tenant: str) -> Refusal:
         ports = MagicMock(client=client, group_locator=GroupLocator(), late=set())
         ports.policy.shared_load = False
-        attempts = MagicMock(may_have_run=False, advised="", answered_by="r", failed=[])
+        attempts = MagicMock(may_have_run=False, answered_by="r")
+        attempts.history.failed = []
+        attempts.placement.has_preferred_runner = False
         attempts.principal.name = tenant
         attempts.principal.is_limited = False
 
-        async def open_answer() -> MagicMock:
+        async def open_answer(_body: bytes) -> MagicMock:
             attempts.may_have_run = True
             client.has_left.set()
             return MagicMock()
