--- /dev/null
+++ b/src/bendshed/services/turn_codec.py
@@ -0,0 +1,120 @@
+"""Writes a turn's commands for the turn log, and reads why a begin was refused."""
+
+from dataclasses import dataclass
+
+from bendshed.errors import ErrorKind, Refusal
+from bendshed.model.service_document import Route
+from bendshed.ports.runner import ServiceRequest, TurnDetails
+from bendshed.services.permit_client import no_room
+from bendshed.services.quota_client import refusal_of
+from bendshed.services.turn_output import TurnOutput
+from bendshed.wire import turns_pb2 as wire
+
+
+@dataclass(frozen=True, slots=True)
+class TurnEnd:
+    """How a turn ended at its runner.
+
+    Attributes:
+        is_whole: its stream came to a proper end.
+        runner_id: whose answer was taken; empty: none.
+        failed: ids of runners that were unreachable or gave no answer.
+        may_have_run: a runner may have begun work on it.
+
+    """
+
+    is_whole: bool
+    runner_id: str
+    failed: list[str]
+    may_have_run: bool
+
+
+@dataclass(frozen=True, slots=True)
+class TurnCodec:
+    """Commands of one turn.
+
+    Attributes:
+        tenant: whom it is counted for; empty: nobody.
+
+    """
+
+    request: ServiceRequest
+    route: Route
+    tenant: str
+
+    def begin(self, num_groups: int) -> wire.BeginTurn:
+        """Write the reservation of the turn's worst case; its budget is shared by the groups."""
+        turn = self._turn
+        return wire.BeginTurn(
+            program_id=self.request.program_id,
+            turn_id=self.request.request_id,
+            previous_turn=turn.previous_turn if self.route.keeps_turns else "",
+            budget_tokens=turn.budget_tokens or 0,
+            has_budget=turn.budget_tokens is not None,
+            most_tokens=turn.most_tokens,
+            retention_ms=self.route.retention_ms,
+            tenant=self.tenant,
+            num_groups=num_groups,
+        )
+
+    def finish(self, group: int, output: TurnOutput, end: TurnEnd) -> wire.TurnCommand:
+        """Write the turn's end: what it used, what is stored of it, and what it saw of runners."""
+        keep = end.is_whole and self.route.keeps_turns
+        finish = wire.FinishTurn(
+            program_id=self.request.program_id,
+            turn_id=self.request.request_id,
+            outcome=_outcome(output, end),
+            tokens=output.num_tokens,
+            previous_turn=self._turn.previous_turn if keep else "",
+            keep=keep,
+            input=self.request.body if keep else b"",
+            output=output.content if keep else b"",
+            retention_ms=self.route.retention_ms,
+            runner_id=end.runner_id,
+            tenant=self.tenant,
+            was_sent=end.may_have_run,
+        )
+        report = wire.TurnReport(
+            runner_id=end.runner_id, event_gap_us=output.event_gap_us, failed=end.failed
+        )
+        return wire.TurnCommand(finish=finish, report=report, group=group)
+
+    @property
+    def _turn(self) -> TurnDetails:
+        assert self.request.turn is not None  # the forwarder makes records of turns only
+        return self.request.turn
+
+
+def _outcome(output: TurnOutput, end: TurnEnd) -> "wire.TurnOutcome.ValueType":
+    if end.is_whole:
+        return wire.TURN_OUTCOME_WHOLE
+    if output.num_events == 0:
+        return wire.TURN_OUTCOME_NOTHING_HANDED_ON
+    return wire.TURN_OUTCOME_BROKEN
+
+
+def is_granted(reply: wire.TurnReply) -> bool:
+    """Whether a begin reserved its tokens, or would as a preview says."""
+    return reply.answer == wire.TURN_ANSWER_GRANTED
+
+
+def transcript_of(reply: wire.TurnReply) -> bytes:
+    """The chain before the turn, as far as the reply holds it."""
+    return b"".join(piece.transcript for piece in reply.chain)
+
+
+def refusal_of_begin(reply: wire.TurnReply, is_spent: bool) -> Refusal:
+    """Read why a begin reserved nothing; ``is_spent``: no group holds a share any more."""
+    if reply.answer == wire.TURN_ANSWER_QUOTA_EXCEEDED:
+        return refusal_of(reply)
+    if reply.answer == wire.TURN_ANSWER_NO_ROOM:
+        return no_room(reply)
+    if reply.answer == wire.TURN_ANSWER_UNKNOWN_TURN:
+        return Refusal(ErrorKind.NOT_FOUND, "no such turn is kept")
+    if is_spent or reply.answer == wire.TURN_ANSWER_BUDGET_SPENT:
+        return Refusal(ErrorKind.BUDGET_EXHAUSTED, "the program's budget is spent")
+    if reply.answer == wire.TURN_ANSWER_OTHER_GROUP:
+        return Refusal(
+            ErrorKind.TURN_LOG_UNAVAILABLE, "a group that holds a part of the budget is silent"
+        )
+    return Refusal(ErrorKind.TURN_LOG_UNAVAILABLE, "this turn id was finished before")
--- /dev/null
+++ b/src/bendshed/services/turn_output.py
@@ -0,0 +1,56 @@
+"""What a turn has handed to its caller so far: events, their pace, and the bytes to store."""
+
+import asyncio
+from dataclasses import dataclass, field
+
+from bendshed.model.service_document import EngineFeatures
+from bendshed.services.events import StreamEvent
+
+
+@dataclass(slots=True)
+class TurnOutput:
+    """The events of one turn.
+
+    Invariant: an event is counted before it is handed on, so a caller never holds more than counts.
+
+    Attributes:
+        engine: features of the service; ``None``: not a model engine.
+        stores_bytes: the turn log stores the output, for turns that continue this one.
+        num_events: events handed to the caller.
+
+    """
+
+    engine: EngineFeatures | None
+    stores_bytes: bool
+    num_events: int = 0
+    _pieces: list[bytes] = field(default_factory=list)
+    _first_event_s: float = 0.0
+    _last_event_s: float = 0.0
+
+    def count(self, event: StreamEvent) -> None:
+        """Count an event before it is handed on; one without data is none of the model's."""
+        if event.data is None:
+            return
+        self.num_events += 1
+        self._last_event_s = asyncio.get_running_loop().time()
+        if self.num_events == 1:
+            self._first_event_s = self._last_event_s
+        if self.stores_bytes:
+            self._pieces.append(event.data + b"\n")
+
+    @property
+    def content(self) -> bytes:
+        """The output as the transcript holds it: the data of each event on lines of its own."""
+        return b"".join(self._pieces)
+
+    @property
+    def num_tokens(self) -> int:
+        """Tokens handed to the caller: each event counts as the most that one may hold."""
+        return self.num_events * (self.engine.event_tokens if self.engine is not None else 1)
+
+    @property
+    def event_gap_us(self) -> int:
+        """Mean time between events in microseconds; 0: fewer than two."""
+        num_gaps = self.num_events - 1
+        gap_s = (self._last_event_s - self._first_event_s) / num_gaps if num_gaps > 0 else 0.0
+        return int(gap_s * 1_000_000)
--- a/tests/patterns/test_first_turns_after_power.py
+++ b/tests/patterns/test_first_turns_after_power.py
@@ -13,7 +13,7 @@
 
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.sim_world import SimMachine, SiteWorld
-from bendshed.services import attempts, turn_record
+from bendshed.services import attempts, turn_reservation
 
 NOTICED_S = 0.25
 """Nodes look for a leader by themselves and have found it so long after it was there."""
@@ -27,7 +27,7 @@
 
 class FirstTurnsTest(unittest.TestCase):
     def setUp(self) -> None:
-        patch = mock.patch.object(turn_record, "log")
+        patch = mock.patch.object(turn_reservation, "log")
         self.log = patch.start()
         self.addCleanup(patch.stop)
 
--- a/tests/test_promised_turns.py
+++ b/tests/test_promised_turns.py
@@ -2,12 +2,15 @@
 
 import asyncio
 import unittest
+from dataclasses import replace
+from typing import cast
 from unittest.mock import MagicMock
 
 from bendshed.errors import ErrorKind, Refusal
+from bendshed.policy import EVERYTHING
 from bendshed.services.stream_exchange import StreamExchange
-from bendshed.services.turn_record import TurnRecord
-from bendshed.turns.group_locator import GroupLocator
+from bendshed.services.turn_record import TurnPorts, TurnRecord
+from bendshed.turns.client import TurnClient
 from bendshed.wire import turns_pb2 as wire
 
 
@@ -36,8 +39,8 @@
 
 class PromisedTurnTest(unittest.IsolatedAsyncioTestCase):
     async def play(self, client: Client, tenant: str) -> Refusal:
-        ports = MagicMock(client=client, group_locator=GroupLocator(), late=set())
-        ports.policy.shared_load = False
+        policy = replace(EVERYTHING, shared_load=False)
+        ports = TurnPorts(cast(TurnClient, client), MagicMock(), MagicMock(), MagicMock(), policy)
         attempts = MagicMock(may_have_run=False, answered_by="r")
         attempts.history.failed = []
         attempts.placement.has_preferred_runner = False
