--- a/src/bendshed/operators/explanation.py
+++ b/src/bendshed/operators/explanation.py
@@ -67,19 +67,27 @@
 """Kind of a refusal to its cause, in a sentence."""
 
 ENDS = {
-    "forward: the caller left": "The caller closed its connection before the answer was whole.",
-    "stream: a stream broke": "The stream was broken off, since it was not whole (see reason).",
-    "forward: the answer was cut midway": "The runner's answer broke after part of it had left.",
-    "turns: the end was not kept": "The turn's end was not committed, so its stream was not ended.",
-    "stream: answered": "The stream was answered whole.",
-    "forward: answered": "The request was answered whole.",
+    "forward: request cancelled: caller disconnected": (
+        "The caller closed its connection before the answer was whole."
+    ),
+    "stream: stream broken off: not whole": (
+        "The stream was broken off, since it was not whole (see reason)."
+    ),
+    "forward: answer broken off: runner's answer broke": (
+        "The runner's answer broke after part of it had left."
+    ),
+    "turns: turn end not committed: no leader answered": (
+        "The turn's end was not committed, so its stream was not ended."
+    ),
+    "stream: stream answered": "The stream was answered whole.",
+    "forward: request answered": "The request was answered whole.",
 }
 """Last line of a request to its cause, in a sentence; the first that is found counts."""
-REFUSED = "forward: refused"
+REFUSED = "forward: request refused"
 ZONE_CLOSED, ZONE_OPEN = "zones: a zone is closed", "zones: a zone is open again"
 SHORT_OF_RUNNERS = frozenset({"no_runner", "overloaded", "deadline_exceeded"})
 """Kinds of refusals that a closed zone may be the cause of."""
-SENT = "forward: sent"
+SENT = "forward: request dispatched"
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -196,7 +196,7 @@
             self.history.record_unreachable(runner.runner_id)
             self._count(AttemptEnd.UNREACHABLE)
             record.note_unreachable(loop.time())
-            self._say("could not be sent", choice, reason=str(error))
+            self._say("attempt failed: runner unreachable", choice, reason=str(error))
             return None
         if not self.placement.may_get(record, choice.leave, loop.time()):
             self._withdraw(choice, connection)
@@ -220,7 +220,7 @@
             self.history.record_no_answer(record.listed.runner_id)
             self._count(AttemptEnd.NO_ANSWER)
             record.note_broken(loop.time())
-            self._say("got no answer", choice, reason=str(error))
+            self._say("attempt failed: no answer", choice, reason=str(error))
             return None
         except BaseException:  # also when the caller leaves: the answer would block the connection
             connection.abort()
@@ -248,19 +248,25 @@
         if not self.ports.table.filter.may_get(runner, self.placement.regions):
             connection.finish()
             self.ports.pool.release(runner.address, connection)
-            self._say("is not sent there any more", choice, reason="its zone was closed meanwhile")
+            self._say(
+                "dispatch withdrawn: zone closed", choice, reason="its zone was closed meanwhile"
+            )
             return
         self.history.record_expired_permit(runner.runner_id)
         connection.abort()
         self.ports.pool.release(runner.address, connection)
-        self._say("was not sent", choice, reason="there is no leave for a cold runner any more")
+        self._say(
+            "dispatch withdrawn: no valid permit",
+            choice,
+            reason="there is no leave for a cold runner any more",
+        )
 
     async def _drop_not_run(self, answer: OpenAnswer, reason: str) -> None:
         """Read the rest of an answer that proves that the request was not run."""
         self.history.record_proof_of_not_run()
         self._count(AttemptEnd.NOT_RUN)
         log.say(
-            "the runner did not run it",
+            "attempt failed: runner did not run it",
             request=self.request.request_id,
             runner=answer.record.listed.runner_id,
             reason=reason,
@@ -282,7 +288,7 @@
     def _log_dispatch(self, choice: Choice, was_connected: bool, left_ms: int) -> None:
         runner_id = choice.record.listed.runner_id
         log.say(
-            "sent",
+            "request dispatched",
             request=self.request.request_id,
             runner=runner_id,
             tenant=self.principal.name,
--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -94,7 +94,11 @@
             outcome = await self._serve(request, caller, route, index)
         except asyncio.CancelledError:
             after_ms = int((loop.time() - request.arrived_s) * 1000)
-            log.say("the caller left", request=request.request_id, after_ms=after_ms)
+            log.say(
+                "request cancelled: caller disconnected",
+                request=request.request_id,
+                after_ms=after_ms,
+            )
             raise
         finally:
             self.num_open -= 1
@@ -228,7 +232,7 @@
             if whole:
                 attempts.note_work_time(opened)
             log.say(
-                "answered" if whole else "the answer was cut midway",
+                "request answered" if whole else "answer broken off: runner's answer broke",
                 request=attempts.request.request_id,
                 route=attempts.route.name,
                 runner=opened.record.listed.runner_id,
@@ -246,7 +250,7 @@
         tenant: str,
     ) -> None:
         log.say(
-            "refused",
+            "request refused",
             request=request.request_id,
             tenant=tenant,
             kind=refusal.kind.value,
--- a/src/bendshed/services/group_search.py
+++ b/src/bendshed/services/group_search.py
@@ -59,7 +59,7 @@
     async def _ask(self, group: int) -> Reply:
         if group != self.group:
             log.say(
-                "asks another group",
+                "turn begin goes to another group",
                 request=self.begin.turn_id,
                 program=self.begin.program_id,
                 group=group,
--- a/src/bendshed/services/stream_exchange.py
+++ b/src/bendshed/services/stream_exchange.py
@@ -67,7 +67,7 @@
             whole = await self._relay(opened)
         except (ResponseBroken, StreamBroken) as error:
             log.say(
-                "a stream broke",
+                "stream broken off: not whole",
                 request=self.request.request_id,
                 runner=opened.record.listed.runner_id,
                 events=self.num_events,
@@ -107,7 +107,7 @@
             raise StreamBroken("the turn's end could not be kept")
         await self.caller.end()
         log.say(
-            "answered",
+            "stream answered",
             request=self.request.request_id,
             runner=opened.record.listed.runner_id,
             status=opened.head.status,
--- a/src/bendshed/services/turn_ports.py
+++ b/src/bendshed/services/turn_ports.py
@@ -89,7 +89,7 @@
         return await client.command(command, timeout_s, before_try)
     except GroupUnavailable as error:
         log.say(
-            "the turn log does not answer",
+            "turn begin not committed: no leader answered",
             request=command.begin.turn_id,
             command=command.WhichOneof("command"),
             reason=str(error),
--- a/src/bendshed/services/turn_record.py
+++ b/src/bendshed/services/turn_record.py
@@ -84,7 +84,11 @@
         try:
             reply = await self.ports.client.command(command, FINISH_TIMEOUT_S)
         except GroupUnavailable as error:
-            log.say("the end was not kept", request=self.request.request_id, reason=str(error))
+            log.say(
+                "turn end not committed: no leader answered",
+                request=self.request.request_id,
+                reason=str(error),
+            )
             return False
         self._is_finished = True
         note_reported()
@@ -94,7 +98,7 @@
         took_s = loop.time() - began_s
         self.ports.metrics.turn_end_s.observe(took_s)
         log.say(
-            "ended",
+            "turn ended",
             request=self.request.request_id,
             tokens=self._output.num_tokens,
             took_ms=round(took_s * 1000, 1),
@@ -128,7 +132,7 @@
             await self.ports.client.command(command, LATE_FINISH_TIMEOUT_S)
         except GroupUnavailable as error:
             log.say(
-                "a reservation stays, since its end could not be told",
+                "reservation not released: turn end not committed",
                 request=self.request.request_id,
                 reason=str(error),
             )
--- a/src/bendshed/services/turn_reservation.py
+++ b/src/bendshed/services/turn_reservation.py
@@ -200,7 +200,7 @@
 
     def _log_begin(self, refusal: Refusal | None, is_previewed: bool, took_s: float) -> None:
         log.say(
-            "begun" if refusal is None else "not begun",
+            "turn begun" if refusal is None else "turn not begun",
             request=self._begin.turn_id,
             program=self._begin.program_id,
             tenant=self.codec.tenant,
--- a/tests/patterns/test_first_turns_after_power.py
+++ b/tests/patterns/test_first_turns_after_power.py
@@ -32,7 +32,7 @@
         self.addCleanup(patch.stop)
 
     def begun(self) -> list[dict[str, Any]]:
-        return [call.kwargs for call in self.log.say.call_args_list if call.args[0] == "begun"]
+        return [call.kwargs for call in self.log.say.call_args_list if call.args[0] == "turn begun"]
 
     def begin_turns(self, world: SiteWorld) -> None:
         self.log.reset_mock()
@@ -81,7 +81,9 @@
                 assert leader is not None
                 world.kill(leader)
                 self.begin_turns(world)
-                sent = [call for call in log.say.call_args_list if call.args[0] == "sent"]
+                sent = [
+                    call for call in log.say.call_args_list if call.args[0] == "request dispatched"
+                ]
                 self.assertTrue(sent)
                 self.assertEqual({call.kwargs["chosen_by"] for call in sent}, {"advised"})
 
--- a/tests/test_explanation.py
+++ b/tests/test_explanation.py
@@ -15,10 +15,24 @@
 
 
 LOST_RUNNER = [
-    line(10.2, "front-1", "forward: got no answer", request="r1", runner="i-1", reason="reset"),
-    line(10.0, "front-1", "forward: sent", request="r1", runner="i-1"),
-    line(10.1, "front-1", "forward: sent", request="r2", runner="i-2"),
-    line(10.3, "front-1", "forward: refused", request="r1", kind="engine_lost", detail="no answer"),
+    line(
+        10.2,
+        "front-1",
+        "forward: attempt failed: no answer",
+        request="r1",
+        runner="i-1",
+        reason="reset",
+    ),
+    line(10.0, "front-1", "forward: request dispatched", request="r1", runner="i-1"),
+    line(10.1, "front-1", "forward: request dispatched", request="r2", runner="i-2"),
+    line(
+        10.3,
+        "front-1",
+        "forward: request refused",
+        request="r1",
+        kind="engine_lost",
+        detail="no answer",
+    ),
 ]
 
 
@@ -45,9 +59,14 @@
     def test_a_closed_zone_is_named_as_a_cause(self) -> None:
         closed = line(1.0, "front-1", "zones: a zone is closed", zone="a", revision=7)
         opened = line(4.0, "front-1", "zones: a zone is open again", zone="a", revision=9)
-        sent = line(10.0, "front-1", "forward: sent", request="r1", runner="i-1")
+        sent = line(10.0, "front-1", "forward: request dispatched", request="r1", runner="i-1")
         refused = line(
-            10.1, "front-1", "forward: refused", request="r1", kind="no_runner", detail="none left"
+            10.1,
+            "front-1",
+            "forward: request refused",
+            request="r1",
+            kind="no_runner",
+            detail="none left",
         )
         self.assertIn("had closed a:", explain("r1", [closed, sent, refused]).cause)
         self.assertNotIn("had closed", explain("r1", [closed, opened, sent, refused]).cause)
@@ -60,21 +79,40 @@
         self.assertIn("r9", explanation.cause)
 
     def test_a_caller_that_left(self) -> None:
-        lines = [LOST_RUNNER[1], line(11.0, "front-1", "forward: the caller left", request="r1")]
+        lines = [
+            LOST_RUNNER[1],
+            line(11.0, "front-1", "forward: request cancelled: caller disconnected", request="r1"),
+        ]
         self.assertIn("caller closed", explain("r1", lines).cause)
 
     def test_a_cold_runner_is_named(self) -> None:
         lines = [
-            line(10.0, "front-1", "forward: sent", request="r1", runner="i-1", is_cold=True),
-            line(10.9, "front-1", "forward: answered", request="r1", runner="i-1"),
+            line(
+                10.0,
+                "front-1",
+                "forward: request dispatched",
+                request="r1",
+                runner="i-1",
+                is_cold=True,
+            ),
+            line(10.9, "front-1", "forward: request answered", request="r1", runner="i-1"),
         ]
         self.assertIn("cold runner: i-1", explain("r1", lines).cause)
-        warm = line(10.0, "front-1", "forward: sent", request="r1", runner="i-1", is_cold=False)
+        warm = line(
+            10.0,
+            "front-1",
+            "forward: request dispatched",
+            request="r1",
+            runner="i-1",
+            is_cold=False,
+        )
         self.assertNotIn("cold", explain("r1", [warm, lines[1]]).cause)
 
     def test_a_refusal_since_all_runners_are_cold(self) -> None:
         told = line(10.0, "store-1", "cold: refuses a request", request="r1", retry_after_ms=300)
-        refused = line(10.1, "front-1", "forward: refused", request="r1", kind="no_room", detail="")
+        refused = line(
+            10.1, "front-1", "forward: request refused", request="r1", kind="no_room", detail=""
+        )
         near = line(9.0, "front-1", "cold: a runner is cold", runner="i-1", for_s=8.0)
         explanation = explain("r1", [near, told, refused])
         self.assertIn("was cold", explanation.cause)
