--- a/src/bendshed/errors.py
+++ b/src/bendshed/errors.py
@@ -1,6 +1,6 @@
 """The closed list of error kinds and the table from kind to answer.
 
-Every refusal or failure that leaves a node has one of these kinds. ``ran`` says what the
+Every refusal or failure that a node answers with has one of these kinds. ``ran`` says what the
 caller may conclude about the call itself: ``NO`` is said only after the program's group has
 committed that no attempt was granted (docs/design/0001).
 """
@@ -107,7 +107,7 @@
     """A tagged outcome: the request ends with this error.
 
     Attributes:
-        retry_after_s: when to come back, where it is known better than the table tells.
+        retry_after_s: seconds after which to come back, where it is known better than by the table.
 
     """
 
--- a/src/bendshed/gateway/forwarding.py
+++ b/src/bendshed/gateway/forwarding.py
@@ -1,6 +1,6 @@
 """Forwarded requests as an ASGI application: requests in, answers out, byte for byte.
 
-The house's HTTP library hides when a client leaves and how an answer is broken off, so requests
+The HTTP library hides when a client disconnects and how an answer is broken off, so requests
 that are forwarded are taken at the ASGI level below it (docs/design/0003).
 """
 
@@ -17,11 +17,11 @@
 from bendshed.services.forwarder import Forwarder
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
-"""Until a configuration says less."""
+"""Bound on a request's body until a configuration sets one; bounds memory per request."""
 
 
 class ClientGone(Exception):
-    """The client left before its request was whole."""
+    """The client disconnected before its request was whole."""
 
 
 class BodyTooLarge(Exception):
@@ -29,7 +29,7 @@
 
 
 class AsgiCaller(Caller):
-    """The way back to one client.
+    """Answers one client.
 
     Attributes:
         is_closing: answers ask the client to use another connection next.
@@ -81,7 +81,7 @@
             await self._send({"type": "http.response.body", "body": b"", "more_body": False})
 
     def break_off(self) -> None:
-        """Leave the answer without its end; the server closes such a connection."""
+        """End the answer without its last part; the server closes such a connection."""
         self._is_broken = True
 
 
@@ -91,7 +91,7 @@
     Attributes:
         is_closing: the process drains.
 
-    ``sends_away`` tells whether callers had better connect to another node.
+    ``sends_away`` returns whether answers ask callers to connect to another node.
 
     """
 
@@ -114,7 +114,7 @@
         try:
             body = await self._read_body(receive)
         except ClientGone:
-            return
+            return  # nothing was forwarded yet, and nobody is left to answer
         except BodyTooLarge:
             detail = "the body is over the configured limit; send a smaller one"
             await caller.refuse(Refusal(ErrorKind.BODY_TOO_LARGE, detail))
--- a/src/bendshed/ports/http_messages.py
+++ b/src/bendshed/ports/http_messages.py
@@ -34,7 +34,7 @@
     """Status and headers of an answer, as received.
 
     Attributes:
-        is_framed: the body's end is told by a length or by chunks, not by the connection.
+        is_framed: a length or chunks mark the body's end, not the end of the connection.
 
     """
 
@@ -67,7 +67,7 @@
     owns: Callable[[ResponseHead], bool]
 
     def encode(self) -> bytes:
-        """Bytes on the wire; the body's length is always told when there is a body."""
+        """Bytes on the wire; a body always goes with its length."""
         lines = [self.method + b" " + self.target + b" HTTP/1.1"]
         lines.extend(name + b": " + value for name, value in self.headers)
         if self.body or self.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
--- a/src/bendshed/ports/runner.py
+++ b/src/bendshed/ports/runner.py
@@ -1,4 +1,4 @@
-"""Ports between the forwarding of requests and the two sides that speak: callers and runners."""
+"""Ports between the forwarding of requests and its two sides: callers and runners."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass, field
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnDetails:
-    """What a caller says of a turn of an agent program.
+    """What a caller states about a turn of an agent program.
 
     Attributes:
         previous_turn: id of the turn that it continues; empty at a chain's start.
         budget_tokens: what the whole program may generate; ``None``: no bound.
         most_tokens: most that this turn may generate.
         parts: of its prompt, in order; requests may share all but the last.
-        line: turns of one line continue each other.
+        line: name of the chain that the turn belongs to; its turns continue each other.
 
     """
 
@@ -38,13 +38,15 @@
     Attributes:
         target: path and query as on the wire.
         headers: to be passed on as they are.
-        wait_ms: how long the caller waits from arrival; ``None``: not told.
+        wait_ms: how long the caller waits from arrival; ``None``: it did not say.
         session: requests that share a prompt prefix; empty: none.
         last_event_id: the caller resumes a stream behind this event; empty: a start.
         arrived_s: loop time.
         credential: SHA-256 of the caller's credential; empty: none that can be read.
-        authorization: the headers that carried it, passed on only where nobody is asked for one.
-        thing: requests that name the same thing run faster where it was seen; empty: none.
+        authorization: the headers that carried it, passed on only where the configuration names no
+            tenants.
+        thing: affinity key; requests with the same one run faster at a runner that served it;
+            empty: none.
 
     """
 
@@ -67,7 +69,7 @@
 
 
 class Caller(ABC):
-    """The way back to the caller of one request."""
+    """Answers the caller of one request."""
 
     @abstractmethod
     async def refuse(self, refusal: Refusal) -> None:
@@ -101,10 +103,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Sending:
-    """What one runner is to be told beside the caller's own words.
+    """What one dispatch adds to the caller's request, for one runner.
 
     Attributes:
-        tenant: who asks; empty: nobody was asked.
+        tenant: on whose behalf; empty: no tenant.
         passes_authorization: the configuration names no tenants, so that header is the runner's.
         urgency: 0 is the most urgent.
         left_ms: time that the runner may use.
@@ -120,7 +122,7 @@
 
 
 class RunnerProtocol(ABC):
-    """How runners are spoken to."""
+    """The protocol of runners."""
 
     @abstractmethod
     def request(self, request: ServiceRequest, body: bytes, sending: Sending) -> ClientRequest:
--- a/src/bendshed/retries/decisions.py
+++ b/src/bendshed/retries/decisions.py
@@ -1,4 +1,4 @@
-"""Decides whether a forwarded request is tried again, and what its caller is told if it is not.
+"""Decides whether a forwarded request is tried again, and what answer its caller gets if not.
 
 The rule: a request that may have run goes out again only on a route that allows repeats, at most
 ``Route.max_attempts`` times, each run charged to the tenant's quota. One that certainly did not run
@@ -109,7 +109,7 @@
 
 
 def refusal_of(give_up: GiveUp, history: AttemptHistory) -> Refusal:
-    """What the caller is told.
+    """The answer to the caller.
 
     ``engine_lost`` says that it ran, ``outcome_unknown`` that it may have; any other kind says that
     it did not, so those are for requests without a doubtful attempt.
--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -222,7 +222,8 @@
             record.note_broken(loop.time())
             self._say("attempt failed: no answer", choice, reason=str(error))
             return None
-        except BaseException:  # also when the caller leaves: the answer would block the connection
+        except BaseException:
+            # Also a cancelled request: its answer may still come, so the connection is not reused.
             connection.abort()
             raise
         return OpenAnswer(head, record, connection, self.ports.pool, sent_s)
--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -26,12 +26,15 @@
 from bendshed.services.metrics import CALLER_LEFT, NO_ROUTE, Served
 from bendshed.services.runner_placement import RunnerPlacement
 from bendshed.services.stream_exchange import StreamExchange
-from bendshed.services.turn_record import TurnPorts, TurnRecord
+from bendshed.services.turn_ports import TurnPorts
+from bendshed.services.turn_record import TurnRecord
 
 MAX_HELD_BODY_BYTES = 64 * 1024
-"""A plain answer up to this size is held until it is whole, so that a cut one can be repeated."""
+"""A plain answer up to this size is buffered until it is whole, so that the request can be repeated
+if the answer breaks; a larger one is passed on as it comes. Bounds memory per open request."""
 FIRST_DOCUMENT_WAIT_S = 0.5
-"""A node that has just started is told of routes and runners soon; requests wait this long."""
+"""How long requests wait for routes and runners at a node that has just started. Bounds the wait
+where no configuration comes: then the request is refused as ``not_ready``."""
 
 log = PartLog("forward")
 
@@ -39,11 +42,11 @@
 class Forwarder:
     """Serves requests by the newest document.
 
-    Without ``turns`` no turn is kept here: a stream is only relayed.
+    Without ``turns`` no turn is recorded in the turn log: a stream is only relayed.
 
     Attributes:
-        is_current: tells whether the newest document can be told from older ones; only then is
-            what it does not name refused for good.
+        is_current: whether this node's document is surely the newest; only then is what it does not
+            name refused for good.
 
     """
 
@@ -70,19 +73,19 @@
         self._has_index.set()
 
     async def _index_or_wait(self) -> RouteIndex | None:
-        """Routes; a node that has just started waits a moment for them and for runners."""
+        """Routes; a node that has just started waits for them and for runners, bounded."""
         if self._index is None or not self._runners.table.has_any.is_set():
             now_s = asyncio.get_running_loop().time()
             if self._refuse_unknown_from_s is None:
                 self._refuse_unknown_from_s = now_s + FIRST_DOCUMENT_WAIT_S
-            with contextlib.suppress(TimeoutError):
+            with contextlib.suppress(TimeoutError):  # then the request is refused, which is logged
                 async with asyncio.timeout_at(self._refuse_unknown_from_s):
                     await self._has_index.wait()
                     await self._runners.table.has_any.wait()
         return self._index
 
     async def serve(self, request: ServiceRequest, caller: Caller) -> None:
-        """Answer one request; cancelled when its caller leaves."""
+        """Answer one request; cancelled when its caller disconnects."""
         self.num_open += 1
         loop = asyncio.get_running_loop()
         route_kind = NO_ROUTE
@@ -265,7 +268,7 @@
 async def _pass_on(opened: OpenAnswer, caller: Caller) -> bool:
     """Pass an answer on, a small one only when it is whole; raise ``ResponseBroken``.
 
-    Once part of a large one has left, a cut ends the caller's connection visibly.
+    Once part of a large one was passed on, a break ends the caller's connection visibly.
     """
     held: list[bytes] = []
     num_held = 0
--- a/src/bendshed/services/group_search.py
+++ b/src/bendshed/services/group_search.py
@@ -1,4 +1,4 @@
-"""Finds the group of the turn log that commits a turn's begin, if the first one asked does not."""
+"""Finds the group of the turn log that commits a turn's begin, if the first one does not."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 
     Attributes:
         begin: what is to be committed.
-        group: asked last; the turn's end is told there.
+        group: that the begin was sent to last; the turn's end is committed there.
         commit: commits the begin in a group.
         is_spent: every group has released its share, and the whole did not hold the turn.
 
@@ -37,26 +37,26 @@
     is_spent: bool = False
 
     async def settle(self, reply: Reply) -> Reply:
-        """Go from the first group's reply to the last word; ask further groups if need be."""
+        """Go from the first group's reply to the final one, over further groups if need be."""
         reply = await self._find_chain(reply)
         if _is_short(reply) and reply is not None and reply.owner_group != self.group:
             self.begin.is_sent_on = True
-            reply = await self._ask(reply.owner_group)
+            reply = await self._commit(reply.owner_group)
         if _is_short(reply):
             has_all = await self.shares.gather(self.group, self.begin)
-            reply = await self._ask(self.group)
+            reply = await self._commit(self.group)
             self.is_spent = has_all and _is_short(reply)
         return reply
 
     async def _find_chain(self, reply: Reply) -> Reply:
-        """Ask for the turn before; "no such turn" stands when each group has said so."""
+        """Look for the previous turn; "no such turn" holds once each group has answered so."""
         for other in self.group_locator.others(self.begin.tenant, self.group):
             if reply is None or reply.answer != wire.TURN_ANSWER_UNKNOWN_TURN:
                 return reply
-            reply = await self._ask(other)
+            reply = await self._commit(other)
         return reply
 
-    async def _ask(self, group: int) -> Reply:
+    async def _commit(self, group: int) -> Reply:
         if group != self.group:
             log.say(
                 "turn begin goes to another group",
--- a/src/bendshed/services/metrics.py
+++ b/src/bendshed/services/metrics.py
@@ -15,7 +15,7 @@
 
 
 class AttemptEnd(StrEnum):
-    """How one sending to a runner ended."""
+    """How one attempt at a runner ended."""
 
     ANSWERED = "answered"
     NO_ANSWER = "no_answer"
@@ -24,7 +24,7 @@
 
 
 class QuotaEnd(StrEnum):
-    """How a request that is no turn was let through, or not."""
+    """How a request that is no turn was admitted, or not."""
 
     ALLOWED = "by_allowance"
     ASKED = "asked_for"
@@ -33,7 +33,7 @@
 
 
 class ColdAskEnd(StrEnum):
-    """What became of a question for leave to send to a cold runner."""
+    """What became of a request for a permit for a cold runner."""
 
     PERMITTED = "permitted"
     REFUSED = "refused"
@@ -53,9 +53,9 @@
     Attributes:
         requests: by route kind and outcome (an end, or the kind of a refusal).
         request_s: from arrival to the end, in seconds.
-        attempts: sendings to runners by how they ended.
-        quota_calls: requests of limited tenants that are no turns, by how they were let through.
-        cold_asks: requests without a warm runner, by what the leader of the turn log said.
+        attempts: attempts at runners by how they ended.
+        quota_calls: requests of limited tenants that are no turns, by how they were admitted.
+        cold_asks: requests without a warm runner, by what the leader of the turn log answered.
         turn_begin_s, turn_end_s: time that a turn waited for the turn log, in seconds.
         first_event_s: from a turn's arrival to its first event, in seconds.
 
--- a/src/bendshed/services/runner_placement.py
+++ b/src/bendshed/services/runner_placement.py
@@ -113,7 +113,7 @@
         return GiveUp(GiveUpReason.NO_RUNNER, self.describe_no_runner())
 
     def choose(self, tried: Collection[str], now_s: float) -> Choice | None:
-        """Choose the preferred runner if it may get the request, else a warm one by own view."""
+        """Choose the preferred runner if it may get the request, else a warm one from here."""
         usable = self._usable(now_s)
         preferred = self._choose_preferred(usable, tried, now_s)
         if preferred is not None:
--- a/src/bendshed/services/stream_exchange.py
+++ b/src/bendshed/services/stream_exchange.py
@@ -31,7 +31,7 @@
     """One stream.
 
     Attributes:
-        record: the turn that the stream is the answer of; ``None``: nothing is kept of it.
+        record: the turn that the stream is the answer of; ``None``: it is not recorded.
         num_events: events handed to the caller.
 
     """
@@ -43,7 +43,7 @@
     num_events: int = 0
 
     async def run(self) -> Refusal | Served:
-        """Serve the request; a refusal has not been told to the caller yet."""
+        """Serve the request; a refusal that is returned has not been sent to the caller yet."""
         if self.record is None:
             return await self._run_begun(self.request.body)
         refusal = await self.record.begin()
--- a/src/bendshed/services/turn_reservation.py
+++ b/src/bendshed/services/turn_reservation.py
@@ -188,7 +188,7 @@
         return asyncio.get_running_loop().create_task(work)
 
     async def _committed(self) -> wire.TurnReply | None:
-        """The reply to the begin; the commit goes on when the caller leaves."""
+        """The reply to the begin; the commit goes on if the caller disconnects."""
         if self._committing is None:
             return None
         return await asyncio.shield(self._committing)
--- a/tests/region_defects.py
+++ b/tests/region_defects.py
@@ -148,12 +148,12 @@
     return wire.TurnReply(released_tokens=program.released.get(ask.to_group, 0) + max(0, spare))
 
 
-_REAL_ASK = GroupSearch._ask
+_REAL_COMMIT = GroupSearch._commit
 
 
 async def _silence_is_no(search: GroupSearch, group: int) -> wire.TurnReply | None:
     """A group that does not answer counts as one that does not know the turn."""
-    reply = await _REAL_ASK(search, group)
+    reply = await _REAL_COMMIT(search, group)
     return reply or wire.TurnReply(answer=wire.TURN_ANSWER_UNKNOWN_TURN)
 
 
@@ -197,7 +197,7 @@
     "no such turn while a group is silent": (
         Rule.FOUND,
         turns_are_continued_while_regions_are_cut,
-        patch(GroupSearch, "_ask", _silence_is_no),
+        patch(GroupSearch, "_commit", _silence_is_no),
     ),
     "a majority of voters in one zone": (
         Rule.ZONE,
