--- a/src/bendshed/dispatch/attempt_sender.py
+++ b/src/bendshed/dispatch/attempt_sender.py
@@ -10,7 +10,6 @@
 from bendshed.dispatch.call_steps import CallRun, CallSteps
 from bendshed.dispatch.calls import CallRequest
 from bendshed.dispatch.history import HistoryMismatch
-from bendshed.dispatch.retry import RetryBudget, backoff_s
 from bendshed.errors import ErrorKind
 from bendshed.logs import PartLog
 from bendshed.ports.engine import (
@@ -23,6 +22,7 @@
     StreamSummary,
     StreamUnknown,
 )
+from bendshed.retries.own_interface import RetryBudget, backoff_s
 from bendshed.routing.scheduler import Scheduler
 from bendshed.wire import programs_pb2 as wire
 
--- a/src/bendshed/dispatch/executor.py
+++ b/src/bendshed/dispatch/executor.py
@@ -16,7 +16,6 @@
 from bendshed.dispatch.calls import Answered, CallRequest, LiveAnswer, Outcome
 from bendshed.dispatch.events import text_events
 from bendshed.dispatch.group_commands import GroupCommands
-from bendshed.dispatch.retry import RetryBudget
 from bendshed.errors import ErrorKind, Refusal, parse_kind
 from bendshed.logs import PartLog
 from bendshed.ports.clock import Clock
@@ -24,6 +23,7 @@
 from bendshed.ports.stream_summary import summarize
 from bendshed.ports.transport import Transport
 from bendshed.programs.service import EXECUTING_METHOD
+from bendshed.retries.own_interface import RetryBudget
 from bendshed.routing.scheduler import Scheduler
 from bendshed.wire import programs_pb2 as wire
 
--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -2,7 +2,7 @@
 
 import asyncio
 import contextlib
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from functools import partial
 
 from bendshed.admission.access import AccessIndex
@@ -14,18 +14,27 @@
 from bendshed.placement.allowed_regions import allowed_regions
 from bendshed.ports.http_messages import ResponseBroken
 from bendshed.ports.runner import Caller, ServiceRequest
+from bendshed.retries.decisions import (
+    ANSWER_MARGIN_S,
+    GiveUp,
+    GiveUpReason,
+    decide_after_broken_answer,
+    refusal_of,
+)
+from bendshed.retries.history import AttemptHistory
 from bendshed.services.attempts import Attempts, OpenAnswer, RunnerPorts
 from bendshed.services.metrics import CALLER_LEFT, NO_ROUTE, Served
+from bendshed.services.runner_placement import RunnerPlacement
 from bendshed.services.stream_exchange import StreamExchange
-from bendshed.services.turn_record import TurnPorts, TurnRecord
+from bendshed.services.turn_ports import TurnPorts
+from bendshed.services.turn_record import TurnRecord
 
 MAX_HELD_BODY_BYTES = 64 * 1024
-"""A plain answer up to this size is held until it is whole, so that a cut one can be repeated."""
-ANSWER_MARGIN_S = 0.1
-"""A runner's own answer at its deadline may still come this much later."""
-
+"""A plain answer up to this size is buffered until it is whole, so that the request can be repeated
+if the answer breaks; a larger one is passed on as it comes. Bounds memory per open request."""
 FIRST_DOCUMENT_WAIT_S = 0.5
-"""A node that has just started is told of routes and runners soon; requests wait this long."""
+"""How long requests wait for routes and runners at a node that has just started. Bounds the wait
+where no configuration comes: then the request is refused as ``not_ready``."""
 
 log = PartLog("forward")
 
@@ -33,11 +42,11 @@
 class Forwarder:
     """Serves requests by the newest document.
 
-    Without ``turns`` no turn is kept here: a stream is only relayed.
+    Without ``turns`` no turn is recorded in the turn log: a stream is only relayed.
 
     Attributes:
-        is_current: tells whether the newest document can be told from older ones; only then is
-            what it does not name refused for good.
+        is_current: whether this node's document is surely the newest; only then is what it does not
+            name refused for good.
 
     """
 
@@ -64,19 +73,19 @@
         self._has_index.set()
 
     async def _index_or_wait(self) -> RouteIndex | None:
-        """Routes; a node that has just started waits a moment for them and for runners."""
+        """Routes; a node that has just started waits for them and for runners, bounded."""
         if self._index is None or not self._runners.table.has_any.is_set():
             now_s = asyncio.get_running_loop().time()
             if self._refuse_unknown_from_s is None:
                 self._refuse_unknown_from_s = now_s + FIRST_DOCUMENT_WAIT_S
-            with contextlib.suppress(TimeoutError):
+            with contextlib.suppress(TimeoutError):  # then the request is refused, which is logged
                 async with asyncio.timeout_at(self._refuse_unknown_from_s):
                     await self._has_index.wait()
                     await self._runners.table.has_any.wait()
         return self._index
 
     async def serve(self, request: ServiceRequest, caller: Caller) -> None:
-        """Answer one request; cancelled when its caller leaves."""
+        """Answer one request; cancelled when its caller disconnects."""
         self.num_open += 1
         loop = asyncio.get_running_loop()
         route_kind = NO_ROUTE
@@ -88,7 +97,11 @@
             outcome = await self._serve(request, caller, route, index)
         except asyncio.CancelledError:
             after_ms = int((loop.time() - request.arrived_s) * 1000)
-            log.say("the caller left", request=request.request_id, after_ms=after_ms)
+            log.say(
+                "request cancelled: caller disconnected",
+                request=request.request_id,
+                after_ms=after_ms,
+            )
             raise
         finally:
             self.num_open -= 1
@@ -140,52 +153,54 @@
         deadline_s = request.arrived_s + wait_ms / 1000
         sticky_key = self._sticky_key(request, route)
         service = choose_target(route, sticky_key or request.request_id)
-        attempts = Attempts(
-            self._runners,
-            request,
-            route,
-            service,
-            request.body,
-            deadline_s,
-            sticky_key,
-            principal,
-            regions=allowed_regions(route, principal),
-        )
+        admit = partial(self._admit_call, request, principal, deadline_s)
+        regions = allowed_regions(route, principal)
+        placement = RunnerPlacement(self._runners, request, service, sticky_key, regions)
+        history = AttemptHistory(deadline_s)
+        attempts = Attempts(request, route, principal, placement, history, admit)
         refusal = attempts.reject_if_no_eligible_runner()
         if refusal is not None:
             return refusal
-        attempts.admit_again = partial(self._admit_call, request, principal, deadline_s)
         try:
             async with asyncio.timeout_at(deadline_s + ANSWER_MARGIN_S):
-                if route.kind is RouteKind.STREAM:
-                    known = index.document.services.get(service)
-                    engine = known.engine if known is not None else None
-                    record = self._record_of(request, route, attempts, engine, deadline_s)
-                    if record is not None:
-                        return await StreamExchange(request, attempts, caller, record).run()
-                refusal = await attempts.admit_again()
-                if refusal is not None:
-                    return refusal
-                if route.kind is RouteKind.STREAM:
-                    return await StreamExchange(request, attempts, caller, None).run()
-                return await self._serve_plain(attempts, caller)
+                return await self._serve_attempts(request, caller, attempts, index, admit)
         except TimeoutError:
-            kind = ErrorKind.OUTCOME_UNKNOWN
-            if not attempts.may_have_run:
-                kind = ErrorKind.DEADLINE_EXCEEDED
-            return Refusal(kind, "no answer came in time")
+            timed_out = GiveUp(GiveUpReason.TIMED_OUT, "no answer came in time")
+            return refusal_of(timed_out, history)
+
+    async def _serve_attempts(
+        self,
+        request: ServiceRequest,
+        caller: Caller,
+        attempts: Attempts,
+        index: RouteIndex,
+        admit: Callable[[], Awaitable[Refusal | None]],
+    ) -> Refusal | Served:
+        """Serve a turn, which its reservation admits, or admit and serve another request."""
+        is_stream = attempts.route.kind is RouteKind.STREAM
+        if is_stream:
+            known = index.document.services.get(attempts.placement.service)
+            engine = known.engine if known is not None else None
+            record = self._record_of(request, attempts, engine)
+            if record is not None:
+                return await StreamExchange(request, attempts, caller, record).run()
+        refusal = await admit()
+        if refusal is not None:
+            return refusal
+        if is_stream:
+            return await StreamExchange(request, attempts, caller, None).run()
+        return await self._serve_plain(attempts, caller)
 
     def _record_of(
         self,
         request: ServiceRequest,
-        route: Route,
         attempts: Attempts,
         engine: EngineFeatures | None,
-        deadline_s: float,
     ) -> TurnRecord | None:
         if request.turn is None or self._turns is None:
             return None
-        return TurnRecord(self._turns, request, route, attempts, engine, deadline_s)
+        deadline_s = attempts.history.deadline_s
+        return TurnRecord(self._turns, request, attempts.route, attempts, engine, deadline_s)
 
     def _sticky_key(self, request: ServiceRequest, route: Route) -> str:
         """What requests share that run faster at the same runner; empty: nothing."""
@@ -203,27 +218,29 @@
 
     async def _serve_plain(self, attempts: Attempts, caller: Caller) -> Refusal | Served:
         while True:
-            opened = await attempts.open()
+            opened = await attempts.open(attempts.request.body)
             if isinstance(opened, Refusal):
                 return opened
             whole = False
             try:
                 whole = await _pass_on(opened, caller)
             except ResponseBroken as error:
-                if not attempts.may_try_again():
-                    return Refusal(ErrorKind.ENGINE_LOST, f"the answer was cut: {error}")
+                history, route = attempts.history, attempts.route
+                decision = decide_after_broken_answer(history, route, str(error))
+                if isinstance(decision, GiveUp):
+                    return refusal_of(decision, history)
                 continue
             finally:
                 opened.close(whole)
             if whole:
                 attempts.note_work_time(opened)
             log.say(
-                "answered" if whole else "the answer was cut midway",
+                "request answered" if whole else "answer broken off: runner's answer broke",
                 request=attempts.request.request_id,
                 route=attempts.route.name,
                 runner=opened.record.listed.runner_id,
                 status=opened.head.status,
-                attempts=attempts.num_maybe_run,
+                attempts=attempts.history.num_maybe_run,
             )
             return Served.WHOLE if whole else Served.CUT
 
@@ -236,7 +253,7 @@
         tenant: str,
     ) -> None:
         log.say(
-            "refused",
+            "request refused",
             request=request.request_id,
             tenant=tenant,
             kind=refusal.kind.value,
@@ -251,7 +268,7 @@
 async def _pass_on(opened: OpenAnswer, caller: Caller) -> bool:
     """Pass an answer on, a small one only when it is whole; raise ``ResponseBroken``.
 
-    Once part of a large one has left, a cut ends the caller's connection visibly.
+    Once part of a large one was passed on, a break ends the caller's connection visibly.
     """
     held: list[bytes] = []
     num_held = 0
--- a/tests/patterns/test_first_turns_after_power.py
+++ b/tests/patterns/test_first_turns_after_power.py
@@ -13,7 +13,7 @@
 
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.sim_world import SimMachine, SiteWorld
-from bendshed.services import attempts, turn_record
+from bendshed.services import attempts, turn_reservation
 
 NOTICED_S = 0.25
 """Nodes look for a leader by themselves and have found it so long after it was there."""
@@ -27,12 +27,12 @@
 
 class FirstTurnsTest(unittest.TestCase):
     def setUp(self) -> None:
-        patch = mock.patch.object(turn_record, "log")
+        patch = mock.patch.object(turn_reservation, "log")
         self.log = patch.start()
         self.addCleanup(patch.stop)
 
     def begun(self) -> list[dict[str, Any]]:
-        return [call.kwargs for call in self.log.say.call_args_list if call.args[0] == "begun"]
+        return [call.kwargs for call in self.log.say.call_args_list if call.args[0] == "turn begun"]
 
     def begin_turns(self, world: SiteWorld) -> None:
         self.log.reset_mock()
@@ -81,7 +81,9 @@
                 assert leader is not None
                 world.kill(leader)
                 self.begin_turns(world)
-                sent = [call for call in log.say.call_args_list if call.args[0] == "sent"]
+                sent = [
+                    call for call in log.say.call_args_list if call.args[0] == "request dispatched"
+                ]
                 self.assertTrue(sent)
                 self.assertEqual({call.kwargs["chosen_by"] for call in sent}, {"advised"})
 
