--- a/src/bendshed/rehearsal/search.py
+++ b/src/bendshed/rehearsal/search.py
@@ -56,7 +56,7 @@
         """Count what was seen."""
 
     def close(self) -> None:
-        """Drop everything."""
+        """End everything that still runs."""
 
 
 WorldT = TypeVar("WorldT", bound=SearchedWorld)  # type: ignore[type-arg]
--- a/src/bendshed/rehearsal/simulator/loop.py
+++ b/src/bendshed/rehearsal/simulator/loop.py
@@ -6,7 +6,6 @@
 """
 
 import asyncio
-import gc
 import inspect
 import selectors
 from collections import deque
@@ -78,7 +77,7 @@
         selector.loop = self
         self.now_s = 0.0
         self._is_dropped = False
-        self._kept: set[asyncio.Task[Any]] = set()
+        self._tasks: dict[asyncio.Task[Any], None] = {}
         self._ready: deque[asyncio.Handle]  # the base class's, of callbacks that are due
         super().__init__(selector)
         self.set_task_factory(self._make_task)
@@ -92,8 +91,8 @@
         """
         task: asyncio.Task[Any] = asyncio.Task(work, loop=self, **options)
         task._log_destroy_pending = False  # type: ignore[attr-defined]
-        self._kept.add(task)
-        task.add_done_callback(self._kept.discard)
+        self._tasks[task] = None
+        task.add_done_callback(lambda done: self._tasks.pop(done, None))
         return task
 
     def _asyncgen_finalizer_hook(self, agen: Any) -> None:
@@ -104,21 +103,25 @@
         super()._asyncgen_finalizer_hook(agen)  # type: ignore[misc]
 
     def abandon(self) -> None:
-        """Drop all tasks where they stand, and close."""
+        """End all tasks where they wait, killed processes' too, and close.
+
+        Nothing is left for the garbage collector: it would end a coroutine at any later moment,
+        without a running loop, and print what that coroutine's ``finally`` raises.
+        """
         self._is_dropped = True
-        self.run_until_complete(self._drop_tasks())
+        self.run_until_complete(self._end_tasks())
         self.close()
-
-    async def _drop_tasks(self) -> None:
-        """Collect all tasks, and those that a ``finally`` begins meanwhile."""
-        while self._kept:
-            kept, self._kept = self._kept, set()
-            for task in kept:
-                _close_unstarted(task)
-            kept.clear()
-            del task
-            gc.collect()
-            self._ready.clear()  # first steps of what was closed
+        asyncio.set_event_loop(None)
+
+    async def _end_tasks(self) -> None:
+        """End all tasks, and those that a ``finally`` starts meanwhile."""
+        this = asyncio.current_task()
+        while self._tasks:
+            tasks, self._tasks = self._tasks, {}
+            for task in tasks:
+                if task is not this:
+                    _end_coroutine(task)
+            self._ready.clear()  # wake-ups of ended tasks
 
     def time(self) -> float:
         """Virtual seconds since the loop was made."""
@@ -157,10 +160,10 @@
         return handle
 
 
-def _close_unstarted(task: "asyncio.Task[Any]") -> None:
-    """A task whose process was killed before its first step: nobody waits for it any more."""
+def _end_coroutine(task: "asyncio.Task[Any]") -> None:
+    """Raise ``GeneratorExit`` where the coroutine waits; raise what its ``finally`` raises."""
     work = task.get_coro()
-    if inspect.iscoroutine(work) and inspect.getcoroutinestate(work) == inspect.CORO_CREATED:
+    if inspect.iscoroutine(work):
         work.close()
 
 
--- a/src/bendshed/rehearsal/simulator/world.py
+++ b/src/bendshed/rehearsal/simulator/world.py
@@ -123,22 +123,29 @@
     def started(cls, seed: int) -> "World":
         """Three disk nodes in three zones, two without disk, two engines, configured."""
         world = cls(seed)
+        try:
+            world._build()
+        except BaseException:
+            world.close()
+            raise
+        return world
+
+    def _build(self) -> None:
         for number in range(1, 3):
-            world.add_runner(f"runner-{number}")
+            self.add_runner(f"runner-{number}")
         for number in range(1, 6):
             zone = f"zone-{'abc'[(number - 1) % 3]}"
             disk = SimDisk(identity=f"disk-{number}-1") if number <= 3 else None
             name = f"node-{number}"
-            world.nodes[name] = SimNode(
-                name, zone, f"10.0.0.{number}", disk, SimProcess(name), SimClock(world.loop)
+            self.nodes[name] = SimNode(
+                name, zone, f"10.0.0.{number}", disk, SimProcess(name), SimClock(self.loop)
             )
-            world.start_node(name)
-        world.wait_for(world.all_groups_led, START_LIMIT_S)
-        world.order(DeclareProgram(name="chat", declaration=ProgramDeclaration(models=["small"])))
+            self.start_node(name)
+        self.wait_for(self.all_groups_led, START_LIMIT_S)
+        self.order(DeclareProgram(name="chat", declaration=ProgramDeclaration(models=["small"])))
         tenant = Tenant(token_sha256="0" * 64, budget_tokens=TENANT_TOKENS)
-        world.order(PutTenant(name=TENANT, tenant=tenant))
-        world.run_for(5.0)
-        return world
+        self.order(PutTenant(name=TENANT, tenant=tenant))
+        self.run_for(5.0)
 
     def add_runner(self, name: str) -> None:
         """Add an engine and list it."""
@@ -494,6 +501,5 @@
         return Tally(*counts, self.loop.time())
 
     def close(self) -> None:
-        """Drop everything that still runs."""
+        """End everything that still runs."""
         self.loop.abandon()
-        asyncio.set_event_loop(None)
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -119,19 +119,27 @@
     def started(cls, seed: int, layout: SiteLayout = ONE_REGION) -> "SiteWorld":
         """A site that serves."""
         world = cls(seed, layout)
+        try:
+            world._build()
+        except BaseException:
+            world.close()
+            raise
+        return world
+
+    def _build(self) -> None:
+        layout = self.layout
         zones = layout.runner_zones
         for number in range(max(NUM_ENGINES, len(zones))):
             zone = zones[number % len(zones)]
-            world.add_runner(f"engine-{number + 1}", "engines", 8, zone)
+            self.add_runner(f"engine-{number + 1}", "engines", 8, zone)
         for number in range(max(NUM_TOOLS, len(zones))):
-            world.add_runner(f"tool-{number + 1}", "tools", 6, zones[number % len(zones)])
+            self.add_runner(f"tool-{number + 1}", "tools", 6, zones[number % len(zones)])
         for number in range(len(layout.store_zones)):
-            world.add_machine(f"store-{number + 1}", f"10.0.1.{number + 1}", number, has_disk=True)
+            self.add_machine(f"store-{number + 1}", f"10.0.1.{number + 1}", number, has_disk=True)
         for number in range(len(layout.front_zones)):
-            world.add_machine(f"front-{number + 1}", f"10.0.2.{number + 1}", number, has_disk=False)
-        world.wait_for(world.is_led, START_LIMIT_S)
-        world.run_for(1.0)
-        return world
+            self.add_machine(f"front-{number + 1}", f"10.0.2.{number + 1}", number, has_disk=False)
+        self.wait_for(self.is_led, START_LIMIT_S)
+        self.run_for(1.0)
 
     # --- building ------------------------------------------------------------------------
 
@@ -605,5 +613,5 @@
         return Tally(len(self.programs), len(seen.requests), len(seen.runs), self.loop.time())
 
     def close(self) -> None:
-        """Drop everything."""
+        """End everything that still runs."""
         self.loop.abandon()
