--- a/src/bendshed/cli/main.py
+++ b/src/bendshed/cli/main.py
@@ -9,10 +9,8 @@
 from bendshed.cli.rehearse import (
     DemoCommand,
     FuzzCommand,
-    LoadCommand,
     SiteDemoCommand,
     SiteFuzzCommand,
-    SiteTimesCommand,
     StandinCommand,
 )
 from bendshed.cli.settings import SettingsCheckCommand, SettingsShowCommand
@@ -31,8 +29,6 @@
         DemoCommand(),
         SiteDemoCommand(),
         SiteFuzzCommand(),
-        SiteTimesCommand(),
-        LoadCommand(),
         FuzzCommand(),
     ):
         application.add(command)
--- a/src/bendshed/cli/rehearse.py
+++ b/src/bendshed/cli/rehearse.py
@@ -1,4 +1,4 @@
-"""``bendshed rehearse …``: stand-ins, demo, experiments."""
+"""``bendshed rehearse …``: stand-ins, demos, searches."""
 
 import asyncio
 from dataclasses import asdict
@@ -128,57 +128,6 @@
         return self.search(game, int(self.option("worlds")) * STEPS_PER_WORLD)
 
 
-class SiteTimesCommand(Command):
-    """Measures failover and catch-up of a simulated site."""
-
-    name = "rehearse site-times"
-    description = "Strike the leading store of simulated sites; print times without service."
-    help = "Example: <info>bendshed rehearse site-times --seed 1 --worlds 50</info>"
-    options: ClassVar[list[Option]] = [
-        option("seed", None, "Seed of the first world", flag=False, default="1"),
-        option("worlds", None, "Worlds for each kind of fault", flag=False, default="50"),
-    ]
-
-    def handle(self) -> int:
-        """Run."""
-        from bendshed.rehearsal.site.times import StoreFault, measure
-
-        first = int(self.option("seed"))
-        seeds = range(first, first + int(self.option("worlds")))
-        for fault in StoreFault:
-            self.line(orjson.dumps(asdict(measure(fault, seeds))).decode())
-        return EXIT_DONE
-
-
-class LoadCommand(Command):
-    """Measures what a node adds and costs."""
-
-    name = "rehearse load"
-    description = "Send paced calls directly and through nodes; print added time and cost."
-    help = "Example: <info>bendshed rehearse load --calls 200 --pace 0.05 --json</info>"
-    options: ClassVar[list[Option]] = [
-        option("calls", None, "Calls through nodes", flag=False, default="100"),
-        option("pace", None, "Seconds between two calls", flag=False, default="0.05"),
-        option("tokens", None, "Tokens of an answer at most", flag=False, default="24"),
-        json_option(),
-    ]
-
-    def handle(self) -> int:
-        """Run."""
-        from bendshed.rehearsal.load import run_load
-
-        work = run_load(
-            int(self.option("calls")), float(self.option("pace")), int(self.option("tokens"))
-        )
-        result = asdict(asyncio.run(work))
-        if self.option("json"):
-            self.line(orjson.dumps(result).decode())
-        else:
-            for name, value in result.items():
-                self.line(f"{name} = {value}")
-        return EXIT_FAILED if result["not_whole"] else EXIT_DONE
-
-
 class FuzzCommand(SearchCommand):
     """Searches for broken promises under virtual time."""
 
--- a/src/bendshed/rehearsal/simulator/oracle.py
+++ b/src/bendshed/rehearsal/simulator/oracle.py
@@ -9,7 +9,6 @@
 from bendshed.rehearsal.simulator.engines import Start
 
 LEAVING_GRACE_S = 5.0
-IN_FORCE_S = 13.0
 
 
 @dataclass(slots=True)
