--- a/src/bendshed/rehearsal/caller.py
+++ b/src/bendshed/rehearsal/caller.py
@@ -29,7 +29,6 @@
     duration_s: float = 0.0
     usage: dict[str, Any] = field(default_factory=dict)
     placement: dict[str, Any] = field(default_factory=dict)
-    num_events: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +103,6 @@
     if "error" in event:
         report.error_kind = event["error"]["kind"]
         return
-    report.num_events += 1
     for choice in event.get("choices", ()):
         text = choice.get("delta", {}).get("content") or ""
         if text and not report.text:
--- a/src/bendshed/rehearsal/demo.py
+++ b/src/bendshed/rehearsal/demo.py
@@ -1,15 +1,14 @@
 """The demo: one agent program across several nodes, one of which is killed between two turns."""
 
 import asyncio
-import time
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
 import orjson
 
 from bendshed.rehearsal.caller import Call, CallReport, send_call
+from bendshed.rehearsal.demo_run import DemoFailed, print_rows, run
 from bendshed.rehearsal.installation import CALLER_TOKEN, Installation
-from bendshed.rehearsal.table import print_rows
 
 PROGRAM = "demo-1"
 KILLED = "node-1"
@@ -27,10 +26,6 @@
 )
 
 
-class DemoFailed(Exception):
-    """Something that must hold did not."""
-
-
 async def run_demo() -> None:
     """Run the demo and print its table; raise ``DemoFailed``."""
     with TemporaryDirectory(prefix="bendshed-demo-") as folder:
@@ -99,11 +94,4 @@
 
 def main() -> int:
     """Run it; return the exit code."""
-    started_s = time.monotonic()
-    try:
-        asyncio.run(run_demo())
-    except DemoFailed as error:
-        print(f"demo failed: {error}")
-        return 1
-    print(f"\ndemo done in {time.monotonic() - started_s:.1f} s")
-    return 0
+    return run("demo", run_demo)
--- a/src/bendshed/rehearsal/engine_model.py
+++ b/src/bendshed/rehearsal/engine_model.py
@@ -85,10 +85,6 @@
 
     Attributes:
         leaving: refuses new work and says so; ``says_leaving``: only says so.
-        starts: names of streams in the order they were started, for an oracle.
-        prompts: prompt of each started stream, for an oracle.
-        computed_tokens: prompt tokens that had to be computed.
-        reused_tokens: prompt tokens found in the cache.
         holds: programs whose KV cache is held.
 
     """
@@ -97,11 +93,6 @@
         self.parameters = parameters
         self.leaving = False
         self.says_leaving = False
-        self.starts: list[str] = []
-        self.prompts: dict[str, list[dict[str, Any]]] = {}
-        self.computed_tokens = 0
-        self.reused_tokens = 0
-        self.evicted_tokens = 0
         self.holds: dict[str, float] = {}
         self.fence = 0
         self.loaded_models: list[str] = []
@@ -125,8 +116,6 @@
         if name in self._streams:
             return self._streams[name]
         stream = self._new_stream(name, body)
-        self.starts.append(name)
-        self.prompts[name] = body["messages"]
         self._streams[name] = stream
         while len(self._streams) > STREAMS_KEPT:
             self._streams.popitem(last=False)
@@ -229,8 +218,6 @@
             cached = self._cached_blocks(stream) * BLOCK_TOKENS
             stream.cached_tokens = min(cached, stream.prompt_tokens - 1)
             stream.prefill_left = stream.prompt_tokens - stream.cached_tokens
-            self.computed_tokens += stream.prefill_left
-            self.reused_tokens += stream.cached_tokens
             self._running.append(stream)
 
     def _cached_blocks(self, stream: Stream) -> int:
@@ -285,7 +272,6 @@
         capacity = self.parameters.kv_capacity_tokens // BLOCK_TOKENS
         while len(self._cache) > capacity:
             self._cache.popitem(last=False)
-            self.evicted_tokens += BLOCK_TOKENS
 
 
 def _hash_prompt(messages: list[dict[str, Any]]) -> tuple[list[int], int]:
--- a/src/bendshed/rehearsal/installation.py
+++ b/src/bendshed/rehearsal/installation.py
@@ -1,4 +1,4 @@
-"""A small installation of real processes: stand-ins and nodes, for demo, tests and load."""
+"""A small installation of real processes: stand-ins and nodes, for the demo and tests."""
 
 import asyncio
 import signal
@@ -16,6 +16,7 @@
 OPERATOR_TOKEN = "rehearsal-operator"
 MODEL = "small"
 GROUP_COUNT = 4
+RUNNERS = ("runner-1", "runner-2")
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +28,7 @@
     disk: bool
 
 
-DEFAULT_PLAN = (
+PLAN = (
     NodePlan("node-1", "zone-a", disk=True),
     NodePlan("node-2", "zone-b", disk=True),
     NodePlan("node-3", "zone-c", disk=True),
@@ -41,7 +42,7 @@
 
     Attributes:
         nodes: running nodes by name.
-        engines: engine stand-ins by runner id.
+        plans: how each node was started, to start it again.
 
     """
 
@@ -51,17 +52,10 @@
     platform: Started
     tool: Started
     nodes: dict[str, Started] = field(default_factory=dict)
-    engines: dict[str, Started] = field(default_factory=dict)
     plans: dict[str, NodePlan] = field(default_factory=dict)
 
     @classmethod
-    async def start(
-        cls,
-        folder: Path,
-        plan: tuple[NodePlan, ...] = DEFAULT_PLAN,
-        engines: int = 2,
-        answer_tokens: int = 24,
-    ) -> "Installation":
+    async def start(cls, folder: Path) -> "Installation":
         """Start everything and wait until it serves."""
         launcher = Launcher(folder)
         try:
@@ -70,45 +64,34 @@
                 launcher.start("tool", "rehearse", "standin", "tool"),
             )
             self = cls(folder, launcher, HttpClient(), platform, tool)
-            names = [f"runner-{number}" for number in range(1, engines + 1)]
-            await asyncio.gather(
-                self.start_node(plan[0]),
-                *(self.start_engine(name, answer_tokens) for name in names),
-            )
-            await asyncio.gather(*(self.start_node(node) for node in plan[1:]))
-            await self.wait_ready(members=len(plan), groups=GROUP_COUNT, runners=engines)
+            first, *others = PLAN
+            await asyncio.gather(self.start_node(first), *map(self._start_engine, RUNNERS))
+            await asyncio.gather(*map(self.start_node, others))
+            await self.wait_ready(members=len(PLAN), groups=GROUP_COUNT, runners=len(RUNNERS))
             await self.configure()
         except BaseException:
             await launcher.stop_all()
             raise
         return self
 
-    async def start_engine(self, runner_id: str, answer_tokens: int = 24) -> None:
+    async def _start_engine(self, runner_id: str) -> None:
         """Start an engine stand-in and list it."""
-        started = await self.launcher.start(
-            runner_id, "rehearse", "standin", "engine", "--answer-tokens", str(answer_tokens)
-        )
-        self.engines[runner_id] = started
-        await self.list_machine(runner_id, leaving=False)
-
-    async def list_machine(self, runner_id: str, leaving: bool) -> None:
-        """Write a line of the machine list."""
-        await self._list(runner_id, "engine", self.engines[runner_id].url, MODEL, leaving)
+        started = await self.launcher.start(runner_id, "rehearse", "standin", "engine")
+        await self._list(runner_id, "engine", started.url, MODEL)
 
-    async def list_service(self, machine_id: str, service: str, leaving: bool = False) -> None:
+    async def list_service(self, machine_id: str, service: str) -> None:
         """List the tool stand-in as a machine that runs a declared service."""
-        await self._list(machine_id, "service", self.tool.url, service, leaving)
+        await self._list(machine_id, "service", self.tool.url, service)
 
-    async def _list(
-        self, machine_id: str, kind: str, machine_url: str, model: str, leaving: bool
-    ) -> None:
+    async def _list(self, machine_id: str, kind: str, machine_url: str, model: str) -> None:
+        """Write a row of the machine list."""
         row = {
             "machine_id": machine_id,
             "kind": kind,
             "url": machine_url,
             "model": model,
             "zone": "zone-a",
-            "leaving": leaving,
+            "leaving": False,
             "incarnation": 1,
         }
         url = f"{self.platform.url}/machines/{machine_id}"
--- a/src/bendshed/rehearsal/simulator/engines.py
+++ b/src/bendshed/rehearsal/simulator/engines.py
@@ -49,7 +49,6 @@
 
     Attributes:
         starts: all starts over all its lives.
-        left_at_s: when it began to leave.
 
     """
 
@@ -57,7 +56,6 @@
     parameters: EngineParameters
     network: Network
     starts: list[Start] = field(default_factory=list)
-    left_at_s: float | None = None
     process: SimProcess = field(init=False)
     model: EngineModel = field(init=False)
     broken: asyncio.Event = field(init=False)
--- a/src/bendshed/rehearsal/simulator/world.py
+++ b/src/bendshed/rehearsal/simulator/world.py
@@ -440,8 +440,7 @@
         """An engine begins to leave: list and load report say so; it still takes what is sent."""
         self.count("engine leaves")
         runner = self.runners[name]
-        runner.left_at_s = self.loop.time()
-        self.seen.left_at_s[name] = runner.left_at_s
+        self.seen.left_at_s[name] = self.loop.time()
         runner.model.says_leaving = True
         self.list_machine(name, leaving=True, incarnation=1)
 
--- a/src/bendshed/rehearsal/site/demo.py
+++ b/src/bendshed/rehearsal/site/demo.py
@@ -1,19 +1,17 @@
 """The demo of a site: an agent program with tools and a sub-agent; a front is killed midway."""
 
-import asyncio
 import itertools
 import random
 import signal
-import time
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
+from bendshed.rehearsal.demo_run import DemoFailed, print_rows, run
 from bendshed.rehearsal.site.documents import WIDE
 from bendshed.rehearsal.site.installation import SiteInstallation
 from bendshed.rehearsal.site.oracle import check_all
 from bendshed.rehearsal.site.programs import AgentProgram, ProgramPlan
 from bendshed.rehearsal.site.records import SiteRequest
-from bendshed.rehearsal.table import print_rows
 
 COLUMNS = ("request", "kind", "front", "runner", "continues", "status", "whole", "ms")
 COLUMN_WIDTH = 12
@@ -21,12 +19,8 @@
 BUDGET_TOKENS = 2_000
 
 
-class SiteDemoFailed(Exception):
-    """Something that must hold did not."""
-
-
 async def run_site_demo() -> None:
-    """Run the demo and print its table; raise ``SiteDemoFailed``."""
+    """Run the demo and print its table; raise ``DemoFailed``."""
     with TemporaryDirectory(prefix="bendshed-site-") as folder:
         site = SiteInstallation(Path(folder))
         try:
@@ -35,7 +29,7 @@
             print_table(site)
             violations = check_all(site.seen)
             if violations:
-                raise SiteDemoFailed("; ".join(f"{v.rule}: {v.detail}" for v in violations))
+                raise DemoFailed("; ".join(f"{v.rule}: {v.detail}" for v in violations))
         finally:
             await site.stop()
 
@@ -51,7 +45,7 @@
     await second.run(first.last_turn)
     for program in (first, second):
         if not program.finished:
-            raise SiteDemoFailed(f"{program.program_id} did not end: {program.statuses}")
+            raise DemoFailed(f"{program.program_id} did not end: {program.statuses}")
 
 
 def make_program(
@@ -94,11 +88,4 @@
 
 def main() -> int:
     """Run it; return the exit code."""
-    started_s = time.monotonic()
-    try:
-        asyncio.run(run_site_demo())
-    except SiteDemoFailed as error:
-        print(f"demo failed: {error}")
-        return 1
-    print(f"\nsite demo done in {time.monotonic() - started_s:.1f} s")
-    return 0
+    return run("site demo", run_site_demo)
--- a/src/bendshed/rehearsal/site/runner.py
+++ b/src/bendshed/rehearsal/site/runner.py
@@ -110,7 +110,6 @@
     troubles: RunnerTroubles = field(default_factory=RunnerTroubles)
     num_present: int = 0
     is_dead: bool = False
-    is_leaving: bool = False
     _slots: asyncio.Semaphore = field(init=False)
 
     def __post_init__(self) -> None:
