--- a/src/bendshed/rehearsal/simulator/world.py
+++ b/src/bendshed/rehearsal/simulator/world.py
@@ -2,7 +2,7 @@
 
 import asyncio
 import random
-from collections.abc import Callable, Coroutine
+from collections.abc import Coroutine
 from dataclasses import dataclass, field
 from ipaddress import IPv4Address
 from typing import Any
@@ -45,6 +45,7 @@
     SimMachineList,
     SimStore,
 )
+from bendshed.rehearsal.simulator.timed_world import TimedWorld
 from bendshed.settings.model import (
     GroupsSection,
     NodeSection,
@@ -84,7 +85,7 @@
 
 
 @dataclass(slots=True)
-class World:
+class World(TimedWorld):
     """The installation. Every method that takes time runs the virtual loop.
 
     Attributes:
@@ -221,18 +222,6 @@
 
     # --- time ----------------------------------------------------------------------------
 
-    def run_for(self, seconds: float) -> None:
-        """Let virtual time pass."""
-        self.loop.run_until_complete(asyncio.sleep(seconds))
-
-    def wait_for(self, condition: Callable[[], bool], limit_s: float) -> None:
-        """Let time pass until a condition holds."""
-        until = self.loop.time() + limit_s
-        while not condition():
-            if self.loop.time() > until:
-                raise TimeoutError(f"not reached in {limit_s} virtual seconds")
-            self.run_for(0.1)
-
     def all_groups_led(self) -> bool:
         """Whether every group has a leader that knows its past."""
         ready = {
@@ -250,10 +239,6 @@
             holder for holder in self.nodes.values() if holder.is_up and not holder.process.paused
         ]
 
-    def count(self, fault: str) -> None:
-        """Note that a fault was done."""
-        self.faults[fault] = self.faults.get(fault, 0) + 1
-
     # --- callers -------------------------------------------------------------------------
 
     def start_program(
@@ -498,7 +483,3 @@
         """Count what was seen."""
         counts = (len(self.seen.programs), len(self.seen.requests), len(self.seen.starts))
         return Tally(*counts, self.loop.time())
-
-    def close(self) -> None:
-        """End everything that still runs."""
-        self.loop.abandon()
--- a/src/bendshed/rehearsal/site/fuzz.py
+++ b/src/bendshed/rehearsal/site/fuzz.py
@@ -1,12 +1,12 @@
 """Random failures against a simulated site."""
 
 from collections.abc import Callable
-from dataclasses import dataclass
-from enum import StrEnum
+from dataclasses import dataclass, replace
 from functools import partial
 
 from bendshed.rehearsal.search import Game, Step
 from bendshed.rehearsal.simulator.platform import SimDisk
+from bendshed.rehearsal.site.actions import CALM, WITHIN_A_REGION, Action
 from bendshed.rehearsal.site.documents import GUEST, NARROW, WIDE
 from bendshed.rehearsal.site.layout import TWO_REGIONS, TWO_REGIONS_WITH_TENANTS
 from bendshed.rehearsal.site.oracle import Violation
@@ -23,66 +23,6 @@
 MAX_COLD_S = 6.0
 
 
-class Action(StrEnum):
-    """Kinds of steps."""
-
-    ADVANCE = "advance"
-    START_PROGRAM = "start program"
-    START_LOOP = "start a program that loops"
-    CONTINUE_TURN = "continue a turn of another program"
-    CONTINUE_FOREIGN = "continue a turn of another tenant"
-    FLOOD = "a tenant asks for more than it may have"
-    START_GUEST = "start a program of a tenant whose key may be removed"
-    REMOVE_GUEST = "remove that tenant's key"
-    HEAL = "heal"
-    RESTART = "restart"
-    KILL_FRONT = "kill a front"
-    KILL_STORE = "kill a store"
-    KILL_LEADER = "kill the leader"
-    WIPE_STORE = "wipe a store's disk"
-    WIPE_LEADER = "wipe the leader's disk"
-    REPLACE_STORE = "replace a store by an empty one at another address"
-    WIPE_IN_THE_DARK = "wipe a store's disk while all lose power"
-    POWER_OFF_ALL = "power off all"
-    PAUSE_FRONT = "pause a front"
-    PAUSE_STORE = "pause a store"
-    RESUME = "resume"
-    ISOLATE_STORE = "isolate a store"
-    CUT_ONE_WAY = "cut a store one way"
-    SPLIT_STORES = "split the stores in halves"
-    SPLIT_REGIONS = "cut the regions off from each other"
-    KILL_REGION_LEADER = "kill the leader of one of the groups"
-    START_HALVES = "start a program that loops in both regions"
-    CUT_FRONT_FROM_STORES = "cut a front from the stores"
-    SLOW_NETWORK = "slow network"
-    LOSSY_NETWORK = "lossy network"
-    CLIENT_LEAVES = "a client leaves"
-    FULL_DISK = "full disk"
-    RETIRE_STORE = "retire a store"
-    REGISTRY_DOWN = "metadata store down"
-    REGISTRY_LOSES = "metadata store loses answers"
-    REGISTRY_UP = "metadata store up"
-    LOSE_ANSWERS = "runner loses answers"
-    CUT_ANSWERS = "runner cuts answers"
-    SHED = "runner sheds"
-    SLOW_RUNNER = "slow runner"
-    REPLACE_RUNNER = "runner dies and is replaced"
-    RUNNER_LEAVES = "runner leaves"
-    COOL_RUNNER = "runner turns cold again"
-    COOL_SERVICE = "all runners turn cold"
-    CONFIGURATION = "configuration changes"
-    PLANNED_STOP = "planned stop of a front"
-    CLOSE_ZONE = "operators close a zone"
-    OPEN_ZONES = "operators open all zones"
-    CLOSE_ZONE_IN_THE_DARK = "all start with a closed zone while the metadata store is down"
-
-
-CALM = (Action.ADVANCE, Action.START_PROGRAM, Action.HEAL, Action.RESTART, Action.RESUME)
-BETWEEN_REGIONS = (Action.SPLIT_REGIONS, Action.KILL_REGION_LEADER, Action.START_HALVES)
-"""What only a site of several regions knows."""
-WITHIN_A_REGION = tuple(action for action in Action if action not in BETWEEN_REGIONS)
-
-
 @dataclass(slots=True)
 class SiteFuzzer:
     """Carries steps out. A step that makes no sense now does nothing."""
@@ -460,10 +400,4 @@
     return SiteWorld.started(seed, TWO_REGION_SITES[seed % 2])
 
 
-REGIONS: Game[Action, SiteWorld, Violation] = Game(
-    start=start_in_two_regions,
-    apply=lambda world, step: SiteFuzzer(world).apply(step),
-    actions=(*Action, *CALM * 3),
-    read_action=Action,
-    describe=lambda violation: f"{violation.rule}: {violation.detail}",
-)
+REGIONS = replace(SITE, start=start_in_two_regions, actions=(*Action, *CALM * 3))
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -18,6 +18,7 @@
 from bendshed.rehearsal.simulator.loop import SimProcess, VirtualTimeLoop
 from bendshed.rehearsal.simulator.network import Network, SimTransport
 from bendshed.rehearsal.simulator.platform import SimDisk, SimLogStorage
+from bendshed.rehearsal.simulator.timed_world import TimedWorld
 from bendshed.rehearsal.site.cold import COLD_START_S, COLD_TERMS, ColdSpell
 from bendshed.rehearsal.site.documents import GUEST, NARROW, QUOTA_TERMS, WIDE, make_document
 from bendshed.rehearsal.site.layout import ONE_REGION, SiteLayout
@@ -74,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class SiteWorld:
+class SiteWorld(TimedWorld):
     """The whole site under virtual time."""
 
     seed: int
@@ -335,18 +336,6 @@
 
     # --- time ----------------------------------------------------------------------------
 
-    def run_for(self, seconds: float) -> None:
-        """Let virtual time pass."""
-        self.loop.run_until_complete(asyncio.sleep(seconds))
-
-    def wait_for(self, condition: Callable[[], bool], limit_s: float) -> None:
-        """Let time pass until a condition holds."""
-        until_s = self.loop.time() + limit_s
-        while not condition():
-            if self.loop.time() > until_s:
-                raise TimeoutError(f"not reached in {limit_s} virtual seconds")
-            self.run_for(0.1)
-
     def leader(self, group_id: int = 0) -> SimMachine | None:
         """Machine whose replica leads a group and knows its past."""
         for machine in self.stores.values():
@@ -370,10 +359,6 @@
             for region in regions
         ]
 
-    def count(self, fault: str) -> None:
-        """Note that a fault was done."""
-        self.faults[fault] = self.faults.get(fault, 0) + 1
-
     # --- clients -------------------------------------------------------------------------
 
     def start_program(
@@ -611,7 +596,3 @@
         """Count what was seen."""
         seen = self.seen
         return Tally(len(self.programs), len(seen.requests), len(seen.runs), self.loop.time())
-
-    def close(self) -> None:
-        """End everything that still runs."""
-        self.loop.abandon()
--- a/tests/test_site_fuzz.py
+++ b/tests/test_site_fuzz.py
@@ -5,7 +5,8 @@
 from typing import ClassVar
 
 from bendshed.rehearsal.search import STEPS_PER_WORLD
-from bendshed.rehearsal.site.fuzz import CALM, REGIONS, SITE, WITHIN_A_REGION
+from bendshed.rehearsal.site.actions import CALM, WITHIN_A_REGION
+from bendshed.rehearsal.site.fuzz import REGIONS, SITE
 from tests.search_machine import machine_of, same_verdict
 
 EXAMPLES = 15
