--- a/src/bendshed/rehearsal/search.py
+++ b/src/bendshed/rehearsal/search.py
@@ -106,8 +106,8 @@
     Attributes:
         start: makes the world of a seed.
         apply: carries one step out and lets a little time pass.
-        actions: what steps are drawn from; those that repair stand more than once.
-        read_action: reads an action's word.
+        actions: what steps are drawn from; repairs are listed more than once.
+        read_action: reads an action as a trace holds it.
         describe: a violation in words.
 
     """
--- a/src/bendshed/rehearsal/simulator/callers.py
+++ b/src/bendshed/rehearsal/simulator/callers.py
@@ -1,4 +1,4 @@
-"""Simulated callers: drive programs, retry with the same key, and note what they were told."""
+"""Simulated callers: drive programs, retry with the same key, record the answers."""
 
 import asyncio
 from collections.abc import Callable
@@ -59,7 +59,7 @@
     arrival_s: float = 0.0
 
     def to_caller(self, action: Callable[[], None]) -> None:
-        """Let something happen at the caller after the way's latency."""
+        """Let something happen at the caller after the latency of the path."""
         self.arrival_s = max(self.loop.time() + CALLER_LATENCY_S, self.arrival_s + MIN_GAP_S)
         self.loop.call_at(self.arrival_s, action, context=self.caller.context.copy())
 
--- a/src/bendshed/rehearsal/simulator/engines.py
+++ b/src/bendshed/rehearsal/simulator/engines.py
@@ -48,7 +48,7 @@
     """One engine host; a killed engine comes back empty.
 
     Attributes:
-        starts: all starts over all its lives.
+        starts: all starts over all its incarnations.
 
     """
 
@@ -64,7 +64,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Begin a new life with an empty cache."""
+        """Start a new incarnation with an empty cache."""
         self.process = SimProcess(self.name)
         self.model = EngineModel(self.parameters)
         self.broken = asyncio.Event()
@@ -170,7 +170,7 @@
 
 
 class SimEngineStream(EngineStream):
-    """Reads a stream until it ends, the engine dies or the way is cut."""
+    """Reads a stream until it ends, the engine dies or the path is cut."""
 
     def __init__(self, runner: SimRunner, host: str, stream: Stream) -> None:
         self.summary = StreamSummary()
@@ -184,7 +184,7 @@
         position = 0
         seen: list[bytes] = []
         while True:
-            self._check_way()
+            self._check_path()
             if position < len(self._stream.events):
                 event = self._stream.events[position]
                 position += 1
@@ -198,7 +198,7 @@
             raise EngineBroken("cancelled")
         self.summary = summarize(b"".join(seen))
 
-    def _check_way(self) -> None:
+    def _check_path(self) -> None:
         cut = self._runner.network.is_cut(self._runner.name, self._host)
         if cut or self._broken.is_set():
             raise EngineBroken("the connection broke")
--- a/src/bendshed/rehearsal/simulator/loop.py
+++ b/src/bendshed/rehearsal/simulator/loop.py
@@ -1,8 +1,8 @@
 """An asyncio event loop whose time is virtual, with processes that can be paused and killed.
 
 Every callback belongs to the process in whose context it was scheduled. A paused process's due
-callbacks are kept until it resumes; a killed one's are dropped, so no ``finally`` runs, as with
-SIGKILL.
+callbacks wait until it resumes; a killed one's are dropped, so no ``finally`` runs before the world
+is closed, as with SIGKILL.
 """
 
 import asyncio
@@ -76,7 +76,7 @@
         selector = _VirtualSelector()
         selector.loop = self
         self.now_s = 0.0
-        self._is_dropped = False
+        self._is_abandoned = False
         self._tasks: dict[asyncio.Task[Any], None] = {}
         self._ready: deque[asyncio.Handle]  # the base class's, of callbacks that are due
         super().__init__(selector)
@@ -85,9 +85,9 @@
     def _make_task(
         self, _loop: asyncio.AbstractEventLoop, work: Any, **options: Any
     ) -> "asyncio.Task[Any]":
-        """Keep tasks of killed processes, so that none is collected while it waits.
+        """Hold every task until its end, so that none is collected while it waits.
 
-        One that is dropped with its simulation ends as a killed process's does: nobody is told.
+        A killed process's tasks never end by themselves; asyncio's warning about that is off.
         """
         task: asyncio.Task[Any] = asyncio.Task(work, loop=self, **options)
         task._log_destroy_pending = False  # type: ignore[attr-defined]
@@ -96,9 +96,9 @@
         return task
 
     def _asyncgen_finalizer_hook(self, agen: Any) -> None:
-        """A generator of a killed process, or of a dropped simulation, ends without ``finally``."""
+        """A generator of a killed process, or of a closed world, ends without its ``finally``."""
         process = _process_of(None)
-        if self._is_dropped or (process is not None and process.dead):
+        if self._is_abandoned or (process is not None and process.dead):
             return
         super()._asyncgen_finalizer_hook(agen)  # type: ignore[misc]
 
@@ -108,7 +108,7 @@
         Nothing is left for the garbage collector: it would end a coroutine at any later moment,
         without a running loop, and print what that coroutine's ``finally`` raises.
         """
-        self._is_dropped = True
+        self._is_abandoned = True
         self.run_until_complete(self._end_tasks())
         self.close()
         asyncio.set_event_loop(None)
@@ -130,7 +130,7 @@
     def call_soon(  # type: ignore[override]
         self, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> asyncio.Handle:
-        """Schedule for the process of the context; ignored once the simulation was dropped."""
+        """Schedule for the process of the context; ignored once the world is closed."""
         if self.is_closed():
             return asyncio.Handle(callback, args, self, context)
         process = _process_of(context)
@@ -148,7 +148,7 @@
         *args: Any,
         context: Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Schedule for the process of the context; ignored once the simulation was dropped."""
+        """Schedule for the process of the context; ignored once the world is closed."""
         if self.is_closed():
             return asyncio.TimerHandle(when, callback, args, self, context)
         process = _process_of(context)
--- a/src/bendshed/rehearsal/simulator/network.py
+++ b/src/bendshed/rehearsal/simulator/network.py
@@ -121,13 +121,21 @@
         return reply.payload
 
     def serve(
-        self, asker: "SimTransport", method: str, payload: bytes, answer: "asyncio.Future[_Reply]"
+        self,
+        requester: "SimTransport",
+        method: str,
+        payload: bytes,
+        answer: "asyncio.Future[_Reply]",
     ) -> None:
         """Run a handler in this process and send its result back."""
-        asyncio.get_running_loop().create_task(self._serve(asker, method, payload, answer))
+        asyncio.get_running_loop().create_task(self._serve(requester, method, payload, answer))
 
     async def _serve(
-        self, asker: "SimTransport", method: str, payload: bytes, answer: "asyncio.Future[_Reply]"
+        self,
+        requester: "SimTransport",
+        method: str,
+        payload: bytes,
+        answer: "asyncio.Future[_Reply]",
     ) -> None:
         began_s = self._network.loop.time()
         try:
@@ -135,10 +143,10 @@
             reply = await handler(payload)
         except Exception as error:
             failure = PeerUnreachable(repr(error), is_silent=False)
-            self._deliver(asker.address, lambda _t: _fail(answer, failure), None)
+            self._deliver(requester.address, lambda _t: _fail(answer, failure), None)
             return
         served = _Reply(reply, self._network.loop.time() - began_s)
-        self._deliver(asker.address, lambda _target: _succeed(answer, served), None)
+        self._deliver(requester.address, lambda _target: _succeed(answer, served), None)
 
     def send(self, peer: Address, method: str, payload: bytes) -> None:
         """Send a one-way message."""
--- a/src/bendshed/rehearsal/simulator/platform.py
+++ b/src/bendshed/rehearsal/simulator/platform.py
@@ -149,7 +149,7 @@
 
 @dataclass(slots=True)
 class SimDisk:
-    """What outlives a process: logs, identity, the kept configuration and catalog."""
+    """What outlives a process: logs, identity, the stored configuration and catalog."""
 
     identity: str
     groups: dict[int, _GroupFile] = field(default_factory=dict)
@@ -208,15 +208,15 @@
 
 
 class SimConfigurationCache(ConfigurationCache):
-    """The kept configuration on a simulated disk."""
+    """The stored configuration on a simulated disk."""
 
     def __init__(self, disk: SimDisk) -> None:
         self._disk = disk
 
     def load(self) -> Snapshot | None:
-        """Return what was kept."""
+        """Return what was stored."""
         return self._disk.configuration
 
     def save(self, snapshot: Snapshot) -> None:
-        """Keep it."""
+        """Store it."""
         self._disk.configuration = snapshot
--- a/src/bendshed/rehearsal/simulator/world.py
+++ b/src/bendshed/rehearsal/simulator/world.py
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class SimNode:
-    """One node of the simulation over all its lives."""
+    """One node of the simulation over all its incarnations."""
 
     name: str
     zone: str
@@ -360,7 +360,7 @@
         return True
 
     def cut(self, one: str, other: str, both_ways: bool) -> None:
-        """Cut the way between two hosts."""
+        """Cut the path between two hosts."""
         self.count("cut both ways" if both_ways else "cut one way")
         self.network.cuts.add((one, other))
         if both_ways:
--- a/src/bendshed/rehearsal/site/actions.py
+++ b/src/bendshed/rehearsal/site/actions.py
@@ -4,7 +4,7 @@
 
 
 class Action(StrEnum):
-    """Kinds of steps; a written trace holds their words."""
+    """Kinds of steps; a written trace holds these texts."""
 
     ADVANCE = "advance"
     START_PROGRAM = "start program"
--- a/src/bendshed/rehearsal/site/fuzz.py
+++ b/src/bendshed/rehearsal/site/fuzz.py
@@ -17,8 +17,8 @@
 
 MAX_PROGRAMS = 25
 MIN_STORES = 2
-"""Two voters outlive the loss of one disk, but not one's going for good without a word: the other
-cannot tell that from a cut. So the last two are neither emptied nor replaced."""
+"""Two voters survive the loss of one disk, but not the silent loss of one machine for good, which
+the other cannot tell from a cut. So the last two are neither emptied nor replaced."""
 
 MAX_COLD_S = 6.0
 
@@ -149,7 +149,7 @@
             self.world.kill(machine)
 
     def _wipe(self, machine: SimMachine | None) -> None:
-        """Lose a disk, if the site bears it now; an empty one starts at once."""
+        """Lose a disk, if the site survives that now; the machine restarts with an empty one."""
         world = self.world
         if machine is None or machine.disk is None or not self._calm_stores():
             return
@@ -300,7 +300,7 @@
             self._note_trouble(machine)
 
     def _retire_store(self, step: Step[Action]) -> None:
-        """Empty a store; when it is told complete its machine is taken away with its disk."""
+        """Empty a store; once that is reported complete, remove its machine and disk."""
         world = self.world
         machine = _pick(world.stores, step.which)
         if len(world.stores) <= MIN_STORES or not self._calm_stores():
@@ -366,14 +366,14 @@
         self.world.publish()
 
     def _close_zone_in_the_dark(self, step: Step[Action]) -> None:
-        """All machines have heard of a closed zone; then all start without the metadata store."""
+        """All machines have stored a closed zone; then all start without the metadata store."""
         if not self._calm_stores():
             return
         self.world.close_zone(RUNNER_ZONES[step.which % 2])
         self.world.run_for(ZONE_CLOSE_S)
         if not self.world.stores_are_sound():
             return
-        self.world.zones.mark_kept(self.world.loop.time())
+        self.world.zones.mark_stored(self.world.loop.time())
         self._registry(True)
         self._power_off_all()
 
--- a/src/bendshed/rehearsal/site/installation.py
+++ b/src/bendshed/rehearsal/site/installation.py
@@ -99,7 +99,7 @@
     _store_address: Address | None = None
 
     async def start(self, num_fronts: int = 3, num_stores: int = 3) -> None:
-        """Start everything and wait until all fronts are ready and the turn log is founded."""
+        """Start everything and wait until all fronts are ready and the turn log is bootstrapped."""
         await self._start_metadata()
         for number in range(2):
             await self._add_runner(f"engine-{number + 1}", "engines", ZONES[number])
@@ -183,7 +183,7 @@
             await asyncio.sleep(CHECK_S)
 
     async def wait_for_line(self, process: SiteProcess, text: str, times: int = 1) -> None:
-        """Wait until a process has said a sentence so many times."""
+        """Wait until a process has logged a message ``times`` times."""
         await self.wait_until(lambda: process.log.read_text().count(f'"{text}"') >= times)
 
     async def wait_until(self, holds: Callable[[], bool]) -> None:
--- a/src/bendshed/rehearsal/site/layout.py
+++ b/src/bendshed/rehearsal/site/layout.py
@@ -16,11 +16,11 @@
         front_zones, store_zones: zone of each machine that is there from the start.
         num_voters: wanted voters of each group of the turn log.
         region_of: region by zone; empty: none is declared.
-        between_regions_s: one way, beyond what lies between zones.
+        between_regions_s: latency of one direction, on top of the one between zones.
         has_tenants: whether the configuration names tenants.
         runner_zones: zones of the runners of each service, in turn.
         is_regional: whether each region has a group of the turn log; else there is one in all.
-        max_stores: no further store is put in the place of another beyond so many.
+        max_stores: with more stores than this none is replaced.
 
     """
 
--- a/src/bendshed/rehearsal/site/oracle.py
+++ b/src/bendshed/rehearsal/site/oracle.py
@@ -137,9 +137,9 @@
 
 
 def check_drains(seen: SiteRecords) -> Iterable[Violation]:
-    """No run starts at a runner later than the bound after its word to leave.
+    """No run starts at a runner later than the bound after it said that it leaves.
 
-    Only fronts that could hear the store all the while are judged.
+    Only fronts that could reach the metadata store all the time are judged.
     """
     left_s = {row.runner_id: row.acknowledged_s for row in seen.departures}
     fronts = {request.request_id: request.node for request in seen.requests}
@@ -172,7 +172,7 @@
 
 
 def check_configuration(seen: SiteRecords) -> Iterable[Violation]:
-    """Versions in force rise within a life; all have the newest after quiet."""
+    """Versions in force rise within an incarnation; all have the newest after quiet."""
     for process, versions in seen.versions.items():
         if any(later <= earlier for earlier, later in pairwise(versions)):
             yield Violation(Rule.CONFIGURATION, f"{process} went back: {versions}")
@@ -196,7 +196,7 @@
 def check_access(seen: SiteRecords) -> Iterable[Violation]:
     """Nothing that was sent later than the bound after its key was removed runs.
 
-    Only fronts that could hear the store all the while are judged.
+    Only fronts that could reach the metadata store all the time are judged.
     """
     requests = {request.request_id: request for request in seen.requests}
     for run in seen.runs:
--- a/src/bendshed/rehearsal/site/programs.py
+++ b/src/bendshed/rehearsal/site/programs.py
@@ -25,7 +25,7 @@
     """What a program will do.
 
     Attributes:
-        turns: turns of its main line.
+        turns: turns of its main chain.
         tools: calls between two turns.
         sub_agents: lines of two turns each, begun after the first turn.
         loops: starts sub-agents again and again until it is stopped.
@@ -45,7 +45,7 @@
     Attributes:
         tenant: on whose behalf it runs.
         finished: it did all that it planned.
-        last_turn: newest turn of its main line that was answered whole.
+        last_turn: newest turn of its main chain that was answered whole.
 
     """
 
@@ -145,5 +145,5 @@
 
 
 def tokens_of(events: int) -> int:
-    """Tokens that a turn of so many events may generate."""
+    """Tokens that a turn of this many events may generate."""
     return events * EVENT_TOKENS
--- a/src/bendshed/rehearsal/site/records.py
+++ b/src/bendshed/rehearsal/site/records.py
@@ -61,19 +61,19 @@
     """A zone that operators closed.
 
     Attributes:
-        kept_s: by then all machines were well and had kept it; ``None``: not known.
+        stored_s: by then all machines were healthy and had stored it; ``None``: not known.
 
     """
 
     zone: str
     closed_s: float
     opened_s: float = float("inf")
-    kept_s: float | None = None
+    stored_s: float | None = None
 
 
 @dataclass(slots=True)
 class Blindness:
-    """A time in which a front could not hear the metadata store, or did not run.
+    """A time in which a front could not reach the metadata store, or did not run.
 
     Attributes:
         front: which; empty: all.
@@ -115,24 +115,24 @@
     sendings: list[RunnerSending] = field(default_factory=list)
 
     def end_cold(self, runner_id: str, now_s: float) -> None:
-        """A runner's newer word takes the place of what it said before."""
+        """A runner's newer entry replaces what it reported before."""
         self.cold_spells = [
             replace(row, until_s=min(row.until_s, now_s)) if row.runner_id == runner_id else row
             for row in self.cold_spells
         ]
 
     def begin_blindness(self, front: str, now_s: float) -> None:
-        """A front stops hearing; empty: all fronts."""
+        """A front loses the metadata store; empty: all fronts do."""
         self.blindness.append(Blindness(front, now_s))
 
     def end_blindness(self, front: str, now_s: float) -> None:
-        """It hears again."""
+        """It reaches it again."""
         for row in self.blindness:
             if row.front == front:
                 row.to_s = min(row.to_s, now_s)
 
     def was_blind(self, front: str, from_s: float, to_s: float) -> bool:
-        """Whether a front was blind at any moment of an interval."""
+        """Whether a front was blind at any time of an interval."""
         return any(
             row.front in ("", front) and row.from_s < to_s and row.to_s > from_s
             for row in self.blindness
--- a/src/bendshed/rehearsal/site/runner.py
+++ b/src/bendshed/rehearsal/site/runner.py
@@ -197,5 +197,5 @@
 
 
 def stream_output(request_id: str, num_events: int) -> bytes:
-    """What a kept turn adds to its chain: the data of its events, a line feed after each."""
+    """What a stored turn adds to its chain: the data of its events, a line feed after each."""
     return b"".join(event_data(request_id, number) + b"\n" for number in range(num_events))
--- a/src/bendshed/rehearsal/site/sim_caller.py
+++ b/src/bendshed/rehearsal/site/sim_caller.py
@@ -1,4 +1,4 @@
-"""The way between simulated clients and fronts."""
+"""The path between simulated clients and fronts."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 
 class SimCaller(Caller):
-    """The way back to a simulated client: ordered, with latency, broken when the process dies."""
+    """The path back to a simulated client: ordered, with latency, broken when the process dies."""
 
     def __init__(
         self,
--- a/src/bendshed/rehearsal/site/sim_catalog.py
+++ b/src/bendshed/rehearsal/site/sim_catalog.py
@@ -13,11 +13,11 @@
         self._disk = disk
 
     def load(self) -> bytes | None:
-        """Return what was kept."""
+        """Return what was stored."""
         return self._disk.catalog
 
     async def save(self, content: bytes) -> None:
-        """Keep it after the disk's time; a process killed before that keeps what was."""
+        """Store it after the disk's time; a process killed before that leaves what was there."""
         await asyncio.sleep(self._disk.commit_s)
         if not self._disk.is_full:
             self._disk.catalog = content
--- a/src/bendshed/rehearsal/site/sim_registry.py
+++ b/src/bendshed/rehearsal/site/sim_registry.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class SimRegistry(ReplicaRegistry):
-    """Announcements, founding and retirements, with outages and lost answers."""
+    """Announcements, first voters and retirements, with outages and lost answers."""
 
     rng: random.Random
     is_down: bool = False
@@ -29,7 +29,7 @@
             raise RegistryUnavailable("the answer was lost")
 
     async def announce(self, me: ReplicaNode) -> None:
-        """Keep an announcement."""
+        """Store an announcement."""
         await self._reach()
         self.announced[me.name] = me
         self._maybe_lose()
@@ -52,7 +52,7 @@
         return voters
 
     async def report_retirement(self, name: str, complete: bool) -> None:
-        """Keep a status."""
+        """Store a status."""
         await self._reach()
         if name in self.retirements:
             self.retirements[name] = complete
--- a/src/bendshed/rehearsal/site/sim_runners.py
+++ b/src/bendshed/rehearsal/site/sim_runners.py
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class SimRunnerNet:
-    """All runners by address, and the ways to them.
+    """All runners by address, and the paths to them.
 
     Attributes:
         open: connections in use, by the process that opened them.
@@ -171,7 +171,7 @@
             yield piece
 
     def finish(self) -> None:
-        """Nothing is kept."""
+        """No connection stays open without a request."""
         self.abort()
 
     def abort(self) -> None:
@@ -202,14 +202,14 @@
         return SimConnection(self._net, self._owner, self._host, runner)
 
     def has_idle(self, address: Address) -> bool:
-        """Nothing is kept."""
+        """No connection stays open without a request."""
         return False
 
     def release(self, address: Address, connection: RunnerConnection) -> None:
-        """Nothing is kept."""
+        """No connection stays open without a request."""
 
     def forget(self, address: Address) -> None:
-        """Nothing is kept."""
+        """No connection stays open without a request."""
 
     def close(self) -> None:
-        """Nothing is kept."""
+        """No connection stays open without a request."""
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class SimMachine:
-    """A front or a replica machine over all its lives."""
+    """A front or a replica machine over all its incarnations."""
 
     name: str
     host: str
@@ -233,7 +233,7 @@
         versions = self.seen.versions.setdefault(machine.process.name, [])
         front.on_document = lambda document: versions.append(document.version)
         machine.front = front
-        machine.process.spawn(self.loop, self._follow(machine, self._tell_front))
+        machine.process.spawn(self.loop, self._follow(machine, self._update_front))
         machine.process.spawn(self.loop, front.watch_turn_log())
         machine.process.spawn(self.loop, front.catalog.run())
         machine.process.spawn(self.loop, front.quotas.tell())
@@ -266,39 +266,39 @@
             cold_terms=COLD_TERMS,
         )
         machine.replica.start()
-        machine.process.spawn(self.loop, self._follow(machine, self._tell_store))
+        machine.process.spawn(self.loop, self._follow(machine, self._update_store))
 
-    async def _follow(self, machine: SimMachine, tell: Callable[[SimMachine], None]) -> None:
+    async def _follow(self, machine: SimMachine, update: Callable[[SimMachine], None]) -> None:
         """Stands for the adapter that follows the platform's store."""
         while True:
-            is_heard = not self.registry.is_down
-            is_heard = is_heard and not self.network.is_cut("registry", machine.host)
-            if is_heard:
-                tell(machine)
+            is_reachable = not self.registry.is_down
+            is_reachable = is_reachable and not self.network.is_cut("registry", machine.host)
+            if is_reachable:
+                update(machine)
             if machine.replica is not None:
-                machine.replica.note_registry(not is_heard)
+                machine.replica.note_registry(not is_reachable)
             await asyncio.sleep(FOLLOW_S)
 
-    def _tell_front(self, machine: SimMachine) -> None:
-        """Tell all that is stored; while answers are lost, also an older configuration."""
+    def _update_front(self, machine: SimMachine) -> None:
+        """Give a front all that is stored; while answers are lost, also an older configuration."""
         assert machine.front is not None
         if machine.front.catalog.is_fresh:
             return
         if self.registry.answer_loss:
             machine.front.take_document(self.older_document)
         machine.front.take_document(self.document)
-        machine.front.take_zones(self._told_zones(machine.front.zones.record.zones.at))
+        machine.front.take_zones(self._zone_update(machine.front.zones.record.zones.at))
         machine.front.list_runners(list(self.listed.values()), trusted=True)
         self._note_runners()
         machine.front.catalog.note_registry(self._revision)
         for node in self.registry.announced.values():
             machine.front.directory.put(node)
 
-    def _told_zones(self, known_at: int) -> ZoneUpdate:
-        """What the registry tells of closed zones; while answers are lost, now and then older."""
+    def _zone_update(self, known_at: int) -> ZoneUpdate:
+        """The registry's update of closed zones; while answers are lost, sometimes an older one."""
         if self.registry.rng.random() < self.registry.answer_loss:
             return self.zones.older
-        return self.zones.word(known_at, self._revision)
+        return self.zones.update_since(known_at, self._revision)
 
     def _note_runners(self) -> None:
         """Give each change of the list a revision, as the platform's store does."""
@@ -318,7 +318,7 @@
         self._revision += 1
         return self._revision
 
-    def _tell_store(self, machine: SimMachine) -> None:
+    def _update_store(self, machine: SimMachine) -> None:
         assert machine.replica is not None
         if machine.replica.follower.is_fresh:
             return
@@ -328,7 +328,9 @@
         catalog.list_runners(list(self._known.values()), self._revision, is_trusted=True)
         catalog.confirm(CatalogPart.DOCUMENT, self._revision)
         catalog.confirm(CatalogPart.RUNNERS, self._revision)
-        machine.replica.take_zones(self.zones.word(catalog.zones.record.zones.at, self._revision))
+        machine.replica.take_zones(
+            self.zones.update_since(catalog.zones.record.zones.at, self._revision)
+        )
         machine.replica.follower.note_known(self.document.version, self._revision)
         for node in self.registry.announced.values():
             machine.replica.directory.put(node)
@@ -470,7 +472,7 @@
             self.start(machine)
 
     def planned_stop(self, machine: SimMachine, grace_s: float = 8.0) -> None:
-        """SIGTERM to a front: it takes what still comes for a moment, and ends its requests."""
+        """SIGTERM to a front: it ends its requests within the grace, then it is started again."""
         if machine.is_down or machine.front is None or machine.process.paused:
             return
         self.count("planned stop")
@@ -510,8 +512,8 @@
         runner.is_dead = True
         self.net.reset_runner(runner)
         self.listed.pop(name, None)
-        base, _, life = name.partition("+")
-        name = f"{base}+{int(life or 0) + 1}"
+        base, _, incarnation = name.partition("+")
+        name = f"{base}+{int(incarnation or 0) + 1}"
         self.add_runner(name, runner.service, runner.slots, runner.zone, COLD_START_S)
 
     def publish(self) -> None:
@@ -565,11 +567,11 @@
             self.restart(machine)
 
     def settle(self) -> list[Violation]:
-        """Heal, let programs end, continue some kept turns, and judge."""
+        """Heal, let programs end, continue some answered turns, and judge."""
         self.heal()
         self.wait_for(self.is_led, START_LIMIT_S)
         self.run_for(QUIET_S)
-        self._continue_kept_turns()
+        self._continue_answered_turns()
         for machine in self.fronts.values():
             index = machine.front.forwarder.index if machine.front is not None else None
             self.seen.versions_after_quiet[machine.name] = (
@@ -577,16 +579,16 @@
             )
         return check_all(self.seen)
 
-    def _continue_kept_turns(self) -> None:
+    def _continue_answered_turns(self) -> None:
         """New programs continue from turns that were answered whole, the newest ones first."""
-        kept = [
+        answered = [
             request.request_id
             for request in self.seen.requests
             if request.kind is Kind.TURN and request.is_whole and request.status == 200
             if request.tenant not in self.seen.removed_s
         ]
         plan = ProgramPlan(turns=1, tools=0)
-        returned = [self.start_program(plan, continues=turn) for turn in kept[-10:]]
+        returned = [self.start_program(plan, continues=turn) for turn in answered[-10:]]
         self.run_for(10.0)
         for program in returned:
             if not program.finished and 404 not in program.statuses:
--- a/src/bendshed/rehearsal/site/sim_zones.py
+++ b/src/bendshed/rehearsal/site/sim_zones.py
@@ -17,7 +17,7 @@
 
     Attributes:
         next_revision: raises the registry's revision and returns it.
-        older: what was told before the last change.
+        older: the update before the last change.
 
     """
 
@@ -50,23 +50,23 @@
         self._changed_at = self.next_revision()
         self.closed = closed
 
-    def word(self, since: int, at: int) -> ZoneUpdate:
-        """What the registry tells at a revision who knows all up to another."""
+    def update_since(self, since: int, at: int) -> ZoneUpdate:
+        """The update, at revision ``at``, for a node that knows all up to revision ``since``."""
         gone = [zone for zone, opened_at in self._opened_at.items() if opened_at > since]
         reopened = dict.fromkeys(set(gone) - self.closed, 0.0)
         return ZoneUpdate(ClosedZones(at, self.closed), reopened)
 
-    def mark_kept(self, now_s: float) -> None:
-        """Every machine was well and had time to hear of and to keep what is closed now."""
+    def mark_stored(self, now_s: float) -> None:
+        """All machines were healthy and had time to receive and store what is closed now."""
         for closing in self.seen.closings:
-            if closing.zone in self.closed and closing.kept_s is None:
-                closing.kept_s = now_s
+            if closing.zone in self.closed and closing.stored_s is None:
+                closing.stored_s = now_s
 
 
 def runs_in_closed_zones(seen: SiteRecords) -> Iterable[str]:
     """Requests that reached a runner of a closed zone after the bound.
 
-    Fronts that could not hear of the closing are judged only where all machines had kept it before.
+    Fronts that could not receive the update are judged only if all machines had stored it before.
     """
     fronts = {request.request_id: request.node for request in seen.requests}
     for closing in seen.closings:
@@ -75,8 +75,8 @@
                 continue
             if not closing.closed_s + ZONE_CLOSE_S < run.arrived_s < closing.opened_s:
                 continue
-            was_kept = closing.kept_s is not None and closing.kept_s < run.arrived_s
+            was_stored = closing.stored_s is not None and closing.stored_s < run.arrived_s
             front = fronts[run.request_id]
-            if was_kept or not seen.was_blind(front, closing.closed_s, run.arrived_s):
+            if was_stored or not seen.was_blind(front, closing.closed_s, run.arrived_s):
                 late_s = run.arrived_s - closing.closed_s
                 yield f"{run.request_id} reached {run.runner_id} {late_s:.1f} s after the closing"
--- a/tests/site_zone_defects.py
+++ b/tests/site_zone_defects.py
@@ -36,7 +36,7 @@
     with world(seed) as site:
         site.close_zone(CLOSED)
         site.run_for(ZONE_CLOSE_S)
-        site.zones.mark_kept(site.loop.time())
+        site.zones.mark_stored(site.loop.time())
         site.registry.is_down = True
         site.seen.begin_blindness("", site.loop.time())
         machines = [*site.fronts.values(), *site.stores.values()]
