--- a/src/bendshed/cli/rehearse.py
+++ b/src/bendshed/cli/rehearse.py
@@ -79,10 +79,10 @@
                     f"{report.worlds} worlds, {report.steps} steps, {report.requests} requests, "
                     f"{report.simulated_s:.0f} s simulated in {report.real_s:.0f} s"
                 )
-        self._tell(report)
+        self._print_report(report)
         return EXIT_FAILED if report.violations else EXIT_DONE
 
-    def _tell(self, report: "SearchReport") -> None:
+    def _print_report(self, report: "SearchReport") -> None:
         if self.option("json"):
             self.line(orjson.dumps(asdict(report)).decode())
             return
