--- a/src/bendshed/rehearsal/simulator/loop.py
+++ b/src/bendshed/rehearsal/simulator/loop.py
@@ -77,7 +77,7 @@
         selector.loop = self
         self.now_s = 0.0
         self._is_abandoned = False
-        self._tasks: dict[asyncio.Task[Any], None] = {}
+        self._tasks: set[asyncio.Task[Any]] = set()
         self._ready: deque[asyncio.Handle]  # the base class's, of callbacks that are due
         super().__init__(selector)
         self.set_task_factory(self._make_task)
@@ -91,8 +91,8 @@
         """
         task: asyncio.Task[Any] = asyncio.Task(work, loop=self, **options)
         task._log_destroy_pending = False  # type: ignore[attr-defined]
-        self._tasks[task] = None
-        task.add_done_callback(lambda done: self._tasks.pop(done, None))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
         return task
 
     def _asyncgen_finalizer_hook(self, agen: Any) -> None:
@@ -117,7 +117,7 @@
         """End all tasks, and those that a ``finally`` starts meanwhile."""
         this = asyncio.current_task()
         while self._tasks:
-            tasks, self._tasks = self._tasks, {}
+            tasks, self._tasks = self._tasks, set()
             for task in tasks:
                 if task is not this:
                     _end_coroutine(task)
