--- a/src/bendshed/rehearsal/simulator/loop.py
+++ b/src/bendshed/rehearsal/simulator/loop.py
@@ -1,12 +1,11 @@
 """An asyncio event loop whose time is virtual, with processes that can be paused and killed.
 
 Every callback belongs to the process in whose context it was scheduled. A paused process's due
-callbacks are kept until it resumes; a killed one's are dropped, so no ``finally`` runs, as with
-SIGKILL.
+callbacks wait until it resumes; a killed one's are dropped, so no ``finally`` runs before the world
+is closed, as with SIGKILL.
 """
 
 import asyncio
-import gc
 import inspect
 import selectors
 from collections import deque
@@ -77,8 +76,8 @@
         selector = _VirtualSelector()
         selector.loop = self
         self.now_s = 0.0
-        self._is_dropped = False
-        self._kept: set[asyncio.Task[Any]] = set()
+        self._is_abandoned = False
+        self._tasks: set[asyncio.Task[Any]] = set()
         self._ready: deque[asyncio.Handle]  # the base class's, of callbacks that are due
         super().__init__(selector)
         self.set_task_factory(self._make_task)
@@ -86,39 +85,43 @@
     def _make_task(
         self, _loop: asyncio.AbstractEventLoop, work: Any, **options: Any
     ) -> "asyncio.Task[Any]":
-        """Keep tasks of killed processes, so that none is collected while it waits.
+        """Hold every task until its end, so that none is collected while it waits.
 
-        One that is dropped with its simulation ends as a killed process's does: nobody is told.
+        A killed process's tasks never end by themselves; asyncio's warning about that is off.
         """
         task: asyncio.Task[Any] = asyncio.Task(work, loop=self, **options)
         task._log_destroy_pending = False  # type: ignore[attr-defined]
-        self._kept.add(task)
-        task.add_done_callback(self._kept.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
         return task
 
     def _asyncgen_finalizer_hook(self, agen: Any) -> None:
-        """A generator of a killed process, or of a dropped simulation, ends without ``finally``."""
+        """A generator of a killed process, or of a closed world, ends without its ``finally``."""
         process = _process_of(None)
-        if self._is_dropped or (process is not None and process.dead):
+        if self._is_abandoned or (process is not None and process.dead):
             return
         super()._asyncgen_finalizer_hook(agen)  # type: ignore[misc]
 
     def abandon(self) -> None:
-        """Drop all tasks where they stand, and close."""
-        self._is_dropped = True
-        self.run_until_complete(self._drop_tasks())
-        self.close()
+        """End all tasks where they wait, killed processes' too, and close.
 
-    async def _drop_tasks(self) -> None:
-        """Collect all tasks, and those that a ``finally`` begins meanwhile."""
-        while self._kept:
-            kept, self._kept = self._kept, set()
-            for task in kept:
-                _close_unstarted(task)
-            kept.clear()
-            del task
-            gc.collect()
-            self._ready.clear()  # first steps of what was closed
+        Nothing is left for the garbage collector: it would end a coroutine at any later moment,
+        without a running loop, and print what that coroutine's ``finally`` raises.
+        """
+        self._is_abandoned = True
+        self.run_until_complete(self._end_tasks())
+        self.close()
+        asyncio.set_event_loop(None)
+
+    async def _end_tasks(self) -> None:
+        """End all tasks, and those that a ``finally`` starts meanwhile."""
+        this = asyncio.current_task()
+        while self._tasks:
+            tasks, self._tasks = self._tasks, set()
+            for task in tasks:
+                if task is not this:
+                    _end_coroutine(task)
+            self._ready.clear()  # wake-ups of ended tasks
 
     def time(self) -> float:
         """Virtual seconds since the loop was made."""
@@ -127,7 +130,7 @@
     def call_soon(  # type: ignore[override]
         self, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> asyncio.Handle:
-        """Schedule for the process of the context; ignored once the simulation was dropped."""
+        """Schedule for the process of the context; ignored once the world is closed."""
         if self.is_closed():
             return asyncio.Handle(callback, args, self, context)
         process = _process_of(context)
@@ -145,7 +148,7 @@
         *args: Any,
         context: Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Schedule for the process of the context; ignored once the simulation was dropped."""
+        """Schedule for the process of the context; ignored once the world is closed."""
         if self.is_closed():
             return asyncio.TimerHandle(when, callback, args, self, context)
         process = _process_of(context)
@@ -157,10 +160,10 @@
         return handle
 
 
-def _close_unstarted(task: "asyncio.Task[Any]") -> None:
-    """A task whose process was killed before its first step: nobody waits for it any more."""
+def _end_coroutine(task: "asyncio.Task[Any]") -> None:
+    """Raise ``GeneratorExit`` where the coroutine waits; raise what its ``finally`` raises."""
     work = task.get_coro()
-    if inspect.iscoroutine(work) and inspect.getcoroutinestate(work) == inspect.CORO_CREATED:
+    if inspect.iscoroutine(work):
         work.close()
 
 
--- a/src/bendshed/rehearsal/simulator/world.py
+++ b/src/bendshed/rehearsal/simulator/world.py
@@ -2,7 +2,7 @@
 
 import asyncio
 import random
-from collections.abc import Callable, Coroutine
+from collections.abc import Coroutine
 from dataclasses import dataclass, field
 from ipaddress import IPv4Address
 from typing import Any
@@ -45,6 +45,7 @@
     SimMachineList,
     SimStore,
 )
+from bendshed.rehearsal.simulator.timed_world import TimedWorld
 from bendshed.settings.model import (
     GroupsSection,
     NodeSection,
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True)
 class SimNode:
-    """One node of the simulation over all its lives."""
+    """One node of the simulation over all its incarnations."""
 
     name: str
     zone: str
@@ -84,7 +85,7 @@
 
 
 @dataclass(slots=True)
-class World:
+class World(TimedWorld):
     """The installation. Every method that takes time runs the virtual loop.
 
     Attributes:
@@ -123,22 +124,29 @@
     def started(cls, seed: int) -> "World":
         """Three disk nodes in three zones, two without disk, two engines, configured."""
         world = cls(seed)
+        try:
+            world._build()
+        except BaseException:
+            world.close()
+            raise
+        return world
+
+    def _build(self) -> None:
         for number in range(1, 3):
-            world.add_runner(f"runner-{number}")
+            self.add_runner(f"runner-{number}")
         for number in range(1, 6):
             zone = f"zone-{'abc'[(number - 1) % 3]}"
             disk = SimDisk(identity=f"disk-{number}-1") if number <= 3 else None
             name = f"node-{number}"
-            world.nodes[name] = SimNode(
-                name, zone, f"10.0.0.{number}", disk, SimProcess(name), SimClock(world.loop)
+            self.nodes[name] = SimNode(
+                name, zone, f"10.0.0.{number}", disk, SimProcess(name), SimClock(self.loop)
             )
-            world.start_node(name)
-        world.wait_for(world.all_groups_led, START_LIMIT_S)
-        world.order(DeclareProgram(name="chat", declaration=ProgramDeclaration(models=["small"])))
+            self.start_node(name)
+        self.wait_for(self.all_groups_led, START_LIMIT_S)
+        self.order(DeclareProgram(name="chat", declaration=ProgramDeclaration(models=["small"])))
         tenant = Tenant(token_sha256="0" * 64, budget_tokens=TENANT_TOKENS)
-        world.order(PutTenant(name=TENANT, tenant=tenant))
-        world.run_for(5.0)
-        return world
+        self.order(PutTenant(name=TENANT, tenant=tenant))
+        self.run_for(5.0)
 
     def add_runner(self, name: str) -> None:
         """Add an engine and list it."""
@@ -214,18 +222,6 @@
 
     # --- time ----------------------------------------------------------------------------
 
-    def run_for(self, seconds: float) -> None:
-        """Let virtual time pass."""
-        self.loop.run_until_complete(asyncio.sleep(seconds))
-
-    def wait_for(self, condition: Callable[[], bool], limit_s: float) -> None:
-        """Let time pass until a condition holds."""
-        until = self.loop.time() + limit_s
-        while not condition():
-            if self.loop.time() > until:
-                raise TimeoutError(f"not reached in {limit_s} virtual seconds")
-            self.run_for(0.1)
-
     def all_groups_led(self) -> bool:
         """Whether every group has a leader that knows its past."""
         ready = {
@@ -243,10 +239,6 @@
             holder for holder in self.nodes.values() if holder.is_up and not holder.process.paused
         ]
 
-    def count(self, fault: str) -> None:
-        """Note that a fault was done."""
-        self.faults[fault] = self.faults.get(fault, 0) + 1
-
     # --- callers -------------------------------------------------------------------------
 
     def start_program(
@@ -368,7 +360,7 @@
         return True
 
     def cut(self, one: str, other: str, both_ways: bool) -> None:
-        """Cut the way between two hosts."""
+        """Cut the path between two hosts."""
         self.count("cut both ways" if both_ways else "cut one way")
         self.network.cuts.add((one, other))
         if both_ways:
@@ -433,8 +425,7 @@
         """An engine begins to leave: list and load report say so; it still takes what is sent."""
         self.count("engine leaves")
         runner = self.runners[name]
-        runner.left_at_s = self.loop.time()
-        self.seen.left_at_s[name] = runner.left_at_s
+        self.seen.left_at_s[name] = self.loop.time()
         runner.model.says_leaving = True
         self.list_machine(name, leaving=True, incarnation=1)
 
@@ -492,8 +483,3 @@
         """Count what was seen."""
         counts = (len(self.seen.programs), len(self.seen.requests), len(self.seen.starts))
         return Tally(*counts, self.loop.time())
-
-    def close(self) -> None:
-        """Drop everything that still runs."""
-        self.loop.abandon()
-        asyncio.set_event_loop(None)
