--- a/src/bendshed/adapters/metrics_page.py
+++ b/src/bendshed/adapters/metrics_page.py
@@ -34,7 +34,9 @@
         try:
             listener = bind(host, port)
         except OSError as error:
-            log.say("the metrics address is taken", address=f"{host}:{port}", reason=str(error))
+            log.say(
+                "metrics not served: address in use", address=f"{host}:{port}", reason=str(error)
+            )
             return
         loop = asyncio.get_running_loop()
         loop.add_reader(listener, self._begin, listener)
--- a/src/bendshed/adapters/tcp_transport.py
+++ b/src/bendshed/adapters/tcp_transport.py
@@ -82,7 +82,7 @@
         del self._buffer[:position]
 
     def abort(self, reason: str) -> None:
-        log.say("closes a connection", reason=reason)
+        log.say("connection closed: invalid frame", reason=reason)
         if self.transport is not None:
             self.transport.abort()
 
@@ -279,7 +279,7 @@
                 raise LookupError(f"no method {frame.method}")
             reply.payload = await handler(frame.payload)
         except Exception as error:
-            log.say("a request failed", method=frame.method, error=repr(error))
+            log.say("request handler failed", method=frame.method, error=repr(error))
             reply.error_kind = HANDLER_FAILED
             reply.error_detail = repr(error)
         served_us = int((asyncio.get_running_loop().time() - began_s) * 1_000_000)
--- a/src/bendshed/adapters/traffic.py
+++ b/src/bendshed/adapters/traffic.py
@@ -9,7 +9,7 @@
 
 from bendshed.model.places import Distance
 
-NOT_TOLD = "not_told"
+UNKNOWN_DISTANCE = "not_told"
 """The zone of the other side was not known when it was written to."""
 
 
@@ -31,7 +31,7 @@
     def note(self, message: str, host: str, num_bytes: int) -> None:
         """Bytes went to a host, or came from it."""
         kind = self.distance(host)
-        self.num_bytes[message, kind.value if kind is not None else NOT_TOLD] += num_bytes
+        self.num_bytes[message, kind.value if kind is not None else UNKNOWN_DISTANCE] += num_bytes
 
     def add_to(self, registry: CollectorRegistry) -> None:
         """Show the counts on a metrics page."""
--- a/src/bendshed/admission/cold_permits.py
+++ b/src/bendshed/admission/cold_permits.py
@@ -66,7 +66,7 @@
     _term: int = -1
     _looked_s: float = float("-inf")
 
-    def look(self, term: int, hears_majority: bool, now_s: float) -> None:
+    def look(self, term: int, has_majority: bool, now_s: float) -> None:
         """Note what the group reports now; after a gap of ``LOOK_GAP_S`` it starts as a new leader.
 
         Args:
@@ -76,7 +76,7 @@
 
         """
         is_continued = now_s - self._looked_s <= LOOK_GAP_S and term == self._term
-        if not hears_majority:
+        if not has_majority:
             self.since_s = None
         elif not is_continued or self.since_s is None:
             self.since_s = now_s
--- a/src/bendshed/admission/quota_allowance.py
+++ b/src/bendshed/admission/quota_allowance.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from bendshed.admission.sliding_window import NO_PERMIT, TimedPermit
+from bendshed.model.permit import NO_PERMIT, TimedPermit
 
 USABLE_S = 0.9
 """A node uses an allowance for this long after its receipt. The leader counts it 0.1 s longer
--- a/src/bendshed/admission/quota_ledger.py
+++ b/src/bendshed/admission/quota_ledger.py
@@ -121,7 +121,7 @@
         self._turns.note(request.request_id, request.tenant, admission, now_ms)
         return admission
 
-    def count_left(self, request: QuotaRequest, now_ms: int) -> None:
+    def count_dispatched(self, request: QuotaRequest, now_ms: int) -> None:
         """Count a turn that was dispatched on an earlier leader's uncommitted reservation."""
         self._turns.expire(now_ms)
         self._turns.withdraw(request.request_id)
--- a/src/bendshed/admission/quota_usage.py
+++ b/src/bendshed/admission/quota_usage.py
@@ -6,7 +6,7 @@
 from bendshed.admission.sliding_window import SlidingCount, Span
 from bendshed.wire import turns_pb2 as wire
 
-KEPT_MS = 12_000
+USAGE_MEMORY_MS = 12_000
 """Usage is stored for the longest window (``quota_limits.MAX_WINDOW_S``), its guard and the time of
 an allowance: 11.1 s."""
 
@@ -98,7 +98,7 @@
 
     def sweep(self, now_ms: int) -> None:
         """Remove what no window holds any more."""
-        oldest_ms = now_ms - KEPT_MS
+        oldest_ms = now_ms - USAGE_MEMORY_MS
         for tenant in [t for t, held in self._counts.items() if held.forget_before(oldest_ms)]:
             del self._counts[tenant]
         for tenant in list(self._allowances):
--- a/src/bendshed/admission/sliding_window.py
+++ b/src/bendshed/admission/sliding_window.py
@@ -65,24 +65,3 @@
         while self.spans and self.spans[0].at_ms < oldest_ms:
             self.spans.popleft()
         return not self.spans
-
-
-@dataclass(frozen=True, slots=True)
-class TimedPermit:
-    """Expiry of a permit or allowance on its holder's steady clock.
-
-    Who gave it counts it for longer than its holder may use it.
-
-    Attributes:
-        until_s: steady time at which it expires.
-
-    """
-
-    until_s: float = float("-inf")
-
-    def is_valid(self, now_s: float) -> bool:
-        """Whether it may still be used."""
-        return now_s < self.until_s
-
-
-NO_PERMIT = TimedPermit()
--- a/src/bendshed/catalog/codec.py
+++ b/src/bendshed/catalog/codec.py
@@ -75,7 +75,7 @@
     zones: ZoneUpdate = field(default_factory=ZoneUpdate)
 
 
-def encode_kept(stored: StoredCatalog) -> bytes:
+def encode_stored(stored: StoredCatalog) -> bytes:
     """Write what is saved."""
     everything = write_reply(stored.catalog, since=0, known_version=0)
     everything.replicas.extend(to_wire(node) for node in stored.replicas)
@@ -84,7 +84,7 @@
     return everything.SerializeToString()
 
 
-def decode_kept(content: bytes | None) -> StoredCatalog:
+def decode_stored(content: bytes | None) -> StoredCatalog:
     """Read what was saved; nothing, or what another version of the program wrote, is no harm."""
     if content is None:
         return StoredCatalog()
--- a/src/bendshed/catalog/cold_runner_tracker.py
+++ b/src/bendshed/catalog/cold_runner_tracker.py
@@ -32,14 +32,14 @@
     # --- updates ---------------------------------------------------------------------------
 
     def take_document(self, document: ServiceDocument) -> None:
-        """Take the bounds and durations of cold starts from a configuration that is in force."""
+        """Take the bounds and times of cold starts from a configuration that is in force."""
         self._state.services = document.services
 
     def put(self, runner: ServiceRunner) -> None:
         """A runner's entry is new or has changed."""
         self._note(runner, self._state.note_listed, "its entry")
 
-    def put_kept(self, runner: ServiceRunner) -> None:
+    def put_stored(self, runner: ServiceRunner) -> None:
         """Take a runner's entry that an earlier incarnation persisted."""
         self._note(runner, self._state.note_persisted, "kept, and of unknown age")
 
--- a/src/bendshed/catalog/demand.py
+++ b/src/bendshed/catalog/demand.py
@@ -10,7 +10,7 @@
 
 REQUESTER_MEMORY_S = 3.0
 """A node whose last request is older than this does not rely on the machine any more."""
-MIN_SHARED_ASKERS = 8
+MIN_SHARED_REQUESTERS = 8
 """From this many nodes on it costs the registry less to be read by one machine for all of them,
 several times a second, than by each of them (docs/design/0004)."""
 SILENT_REQUESTER_S = 1.2
@@ -23,7 +23,7 @@
 
 def is_shared(num_relying: int) -> bool:
     """Whether one machine on which so many nodes rely reads the registry for all of them."""
-    return num_relying >= MIN_SHARED_ASKERS
+    return num_relying >= MIN_SHARED_REQUESTERS
 
 
 class Demand:
--- a/src/bendshed/catalog/persistence.py
+++ b/src/bendshed/catalog/persistence.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from bendshed.catalog.codec import StoredCatalog, decode_kept, encode_kept
+from bendshed.catalog.codec import StoredCatalog, decode_stored, encode_stored
 from bendshed.model.address import Address
 from bendshed.ports.catalog_storage import CatalogStorage
 
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, storage: CatalogStorage, reads_stored: bool) -> None:
-        self.stored = decode_kept(storage.load() if reads_stored else None)
+        self.stored = decode_stored(storage.load() if reads_stored else None)
         self._storage = storage
         self._forgets_fronts_at_s = 0.0
         self._unsaved = asyncio.Event()
@@ -45,5 +45,5 @@
         while True:
             await self._unsaved.wait()
             self._unsaved.clear()
-            await self._storage.save(encode_kept(snapshot()))
+            await self._storage.save(encode_stored(snapshot()))
             await asyncio.sleep(SAVE_PACE_S)
--- a/src/bendshed/catalog/reader_choice.py
+++ b/src/bendshed/catalog/reader_choice.py
@@ -55,11 +55,11 @@
         avoided: those that did not reply or lost the registry lately.
 
     """
-    usable = [node for node in ranked if node.address not in avoided]
-    if not usable:
+    eligible = [node for node in ranked if node.address not in avoided]
+    if not eligible:
         return None
-    reader = usable[0]
-    near = [node for node in usable if requester.is_near(node)]
+    reader = eligible[0]
+    near = [node for node in eligible if requester.is_near(node)]
     regional_reader = near[0] if near else reader
     if not requester.is_replica:
         return regional_reader.address
--- a/src/bendshed/catalog/relay_list.py
+++ b/src/bendshed/catalog/relay_list.py
@@ -55,7 +55,7 @@
         for front in [front for front, at_s in self.elsewhere.items() if now_s - at_s > memory_s]:
             del self.elsewhere[front]
 
-    def keep_only(self, known: Iterable[Address]) -> None:
+    def retain_only(self, known: Iterable[Address]) -> None:
         """Forget what was noted of fronts that are not known any more."""
         self._cut_off.intersection_update(known)
 
--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -128,7 +128,7 @@
             await asyncio.sleep(SHARE_INTERVAL_S)
             self.demand.forget_silent()
             self._relay_list.forget_silent(REQUESTER_MEMORY_S)
-            self._relay_list.keep_only(self.demand.fronts_at_s)
+            self._relay_list.retain_only(self.demand.fronts_at_s)
             if zones.forget_old(asyncio.get_running_loop().time()):
                 self.catalog.note_unsaved()
             self.demand.follow()
@@ -140,5 +140,5 @@
             self.catalog.catalog,
             tuple(self._around.directory.by_name.values()),
             self._exchange.all_fronts(),
-            self.catalog.zones.record.word(asyncio.get_running_loop().time()),
+            self.catalog.zones.record.update(asyncio.get_running_loop().time()),
         )
--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -75,7 +75,7 @@
     def _reply(self, request: ReadRequest) -> wire.CatalogReply:
         reply = write_reply(self._catalog.catalog, request.runners_at, request.document_version)
         now_s = asyncio.get_running_loop().time()
-        add_zones(reply, self._catalog.zones.record.word(now_s), request.zones_at)
+        add_zones(reply, self._catalog.zones.record.update(now_s), request.zones_at)
         reply.age_ms = self._catalog.confirmations.age_ms()
         reply.num_askers = max(self._demand.num_relying, self._upstream.num_relying_across_regions)
         reply.is_lost = self._is_lost_for(request)
--- a/src/bendshed/catalog/state.py
+++ b/src/bendshed/catalog/state.py
@@ -168,7 +168,7 @@
         """What is known so far was saved by an earlier incarnation; time passes from now on."""
         self.cold.clock = clock
         for known in self._runners.values():
-            self.cold.put_kept(known.runner)
+            self.cold.put_stored(known.runner)
 
     def advance(self, at: int) -> None:
         """All changes up to this revision have been taken."""
--- a/src/bendshed/catalog/zones.py
+++ b/src/bendshed/catalog/zones.py
@@ -100,7 +100,7 @@
         return self._clock() - self.confirmed_at_s
 
 
-def word_of_listing(names: frozenset[str], at: int, gone: frozenset[str]) -> ZoneUpdate:
+def update_of_listing(names: frozenset[str], at: int, gone: frozenset[str]) -> ZoneUpdate:
     """An update from the registry itself.
 
     Args:
--- a/src/bendshed/consensus/directory.py
+++ b/src/bendshed/consensus/directory.py
@@ -50,9 +50,16 @@
             return
         if known is not None and known.node_id != node.node_id:
             self.wiped.add(known.node_id)
-            log.say("lost its disk", name=node.name, old=known.node_id, new=node.node_id)
+            log.say(
+                "replica machine lost its disk", name=node.name, old=known.node_id, new=node.node_id
+            )
         self.by_name[node.name] = node
-        log.say("is known", name=node.name, node=node.node_id, address=str(node.address))
+        log.say(
+            "replica machine announced",
+            name=node.name,
+            node=node.node_id,
+            address=str(node.address),
+        )
         self._notify()
 
     def list_retiring(self, names: Collection[str]) -> None:
@@ -68,7 +75,7 @@
         if name in self.retiring:
             return
         self.retiring.add(name)
-        log.say("is to be emptied", name=name)
+        log.say("replica machine is retiring", name=name)
         self._notify()
 
     def remove_retiring(self, name: str) -> None:
--- a/src/bendshed/consensus/election_timer.py
+++ b/src/bendshed/consensus/election_timer.py
@@ -72,7 +72,7 @@
         return self._ticks >= self._due_ticks
 
     @property
-    def heard_lately(self) -> bool:
+    def has_recent_heartbeat(self) -> bool:
         """A heartbeat came within the shortest wait: others must not disturb the leader."""
         return self._ticks < ELECTION_TICKS_MIN
 
--- a/src/bendshed/consensus/followers.py
+++ b/src/bendshed/consensus/followers.py
@@ -71,7 +71,7 @@
         """Followers among ``nodes`` without a reply for more than ``ticks``."""
         return {n for n in nodes if n in self._progress and self._progress[n].ticks_silent > ticks}
 
-    def heard(self, voters: Iterable[str], ticks: int) -> list[str]:
+    def replied(self, voters: Iterable[str], ticks: int) -> list[str]:
         """Voters that replied within ``ticks``, this replica among them."""
         return [
             node
@@ -82,7 +82,7 @@
 
     def most_advanced(self, voters: Iterable[str], ticks: int) -> str | None:
         """Follower that replied lately and holds the most of the log."""
-        alive = [node for node in self.heard(voters, ticks) if node != self.me]
+        alive = [node for node in self.replied(voters, ticks) if node != self.me]
         if not alive:
             return None
         return max(sorted(alive), key=lambda node: self._progress[node].match_index)
--- a/src/bendshed/consensus/host.py
+++ b/src/bendshed/consensus/host.py
@@ -92,7 +92,7 @@
         resolve: Callable[[str], Address | None],
         compact_after_entries: int = COMPACT_AFTER_ENTRIES,
         compact_after_bytes: int = COMPACT_AFTER_BYTES,
-        stands_at_once: bool = True,
+        is_candidate_at_once: bool = True,
         order_of: Callable[[int], StandingOrder] = lambda _group: WITHIN_A_REGION,
     ) -> None:
         self.node_id = storage.node_id()
@@ -108,7 +108,7 @@
         self._resolve = resolve
         self._compact_after_entries = staggered(compact_after_entries, self.node_id)
         self._compact_after_bytes = staggered(compact_after_bytes, self.node_id)
-        self._stands_at_once = stands_at_once
+        self._is_candidate_at_once = is_candidate_at_once
         self._order_of = order_of
         self._writes: list[GroupWrite] = []
         self._after_writes: list[wire.ConsensusMessage] = []
@@ -153,7 +153,7 @@
         if stored.snapshot.state:
             state.restore(stored.snapshot.state)
         order = self._order_of(stored.group_id)
-        replica = RaftReplica(self.node_id, stored, self._rng, self._stands_at_once, order)
+        replica = RaftReplica(self.node_id, stored, self._rng, self._is_candidate_at_once, order)
         group = HostedGroup(replica, state)
         self.groups[stored.group_id] = group
         return group
@@ -251,7 +251,7 @@
         leader_writes = (wire.CONSENSUS_KIND_APPEND_REQUEST, wire.CONSENSUS_KIND_SNAPSHOT)
         if message.kind not in leader_writes:
             return None
-        log.say("joins a group as a learner", group=message.group_id)
+        log.say("joining a group as learner", group=message.group_id)
         return self._add(StoredGroup(message.group_id, 0, "", wire.Snapshot(), []))
 
     # --- effects -------------------------------------------------------------------------
@@ -271,7 +271,7 @@
                     self._announce_change(group)
                 case raft.RoleChanged(role, term, leader):
                     log.say(
-                        "the role changed",
+                        "role changed",
                         group=group.replica.group_id,
                         role=role.value,
                         term=term,
@@ -344,11 +344,11 @@
             except StorageFailed as error:
                 failures += 1
                 if failures == 1:
-                    log.say("the disk does not take a commit; it is tried again", reason=str(error))
+                    log.say("disk commit failed: retrying", reason=str(error))
                 await asyncio.sleep(COMMIT_RETRY_S)
                 continue
             if failures:
-                log.say("the disk takes commits again", failures=failures)
+                log.say("disk commits succeed again", failures=failures)
             return
 
     def _report_persisted(self, writes: list[GroupWrite]) -> None:
--- a/src/bendshed/consensus/raft.py
+++ b/src/bendshed/consensus/raft.py
@@ -60,7 +60,7 @@
         node_id: str,
         stored: StoredGroup,
         rng: random.Random,
-        stands_at_once: bool = True,
+        is_candidate_at_once: bool = True,
         order: StandingOrder = WITHIN_A_REGION,
     ) -> None:
         self.node_id = node_id
@@ -80,7 +80,7 @@
         self._ticks_since_heartbeat = 0
         self._transfer_target = ""
         self.membership = self.log.membership_at(self.log.last_index)
-        if stands_at_once:
+        if is_candidate_at_once:
             self._timer.start(node_id, self.membership.voters)
         self._effects: list[Effect] = []
 
@@ -107,9 +107,9 @@
         return self.role is Role.LEADER and self.has_committed_in_term
 
     @property
-    def hears_majority(self) -> bool:
+    def has_majority(self) -> bool:
         """Leader, as long as an election's quorum of replicas replied lately."""
-        return self.role is Role.LEADER and self._hears_majority()
+        return self.role is Role.LEADER and self._has_majority()
 
     @property
     def is_voter(self) -> bool:
@@ -221,11 +221,11 @@
         if message.kind != wire.CONSENSUS_KIND_VOTE_REQUEST or message.transfer:
             return False
         if self.role is Role.LEADER:
-            return not message.pre_vote and message.term > self.term and self._hears_majority()
-        return bool(self.leader_id) and self._timer.heard_lately
+            return not message.pre_vote and message.term > self.term and self._has_majority()
+        return bool(self.leader_id) and self._timer.has_recent_heartbeat
 
-    def _hears_majority(self) -> bool:
-        return len(self.followers.heard(self._survivors, ELECTION_TICKS_MIN)) >= self._quorum
+    def _has_majority(self) -> bool:
+        return len(self.followers.replied(self._survivors, ELECTION_TICKS_MIN)) >= self._quorum
 
     @property
     def _quorum(self) -> int:
@@ -336,7 +336,7 @@
         self._timer.tick()
         if self._timer.leader_must_check():
             self._transfer_target = ""
-            if not self._hears_majority():
+            if not self._has_majority():
                 self._become_follower(self.term, "")
                 return
         self._ticks_since_heartbeat += 1
--- a/src/bendshed/consensus/replica_placement.py
+++ b/src/bendshed/consensus/replica_placement.py
@@ -63,7 +63,7 @@
             try:
                 await self._bootstrap()
             except StoreUnavailable:
-                log.say("the store does not answer; the first placement waits")
+                log.say("first placement waits: store unavailable")
             if not self._storage.is_bootstrapped():
                 await asyncio.sleep(CHECK_INTERVAL_S)
         while True:
@@ -123,7 +123,7 @@
             facts = self._facts(group_id, replica, live, gone)
             wanted = plan_membership(replica.membership, facts)
             if wanted is not None and self._host.propose_membership(group_id, wanted):
-                log.say("changes a group's replicas", group=group_id, voters=list(wanted.voters))
+                log.say("membership change proposed", group=group_id, voters=list(wanted.voters))
 
     def _facts(
         self, group_id: int, replica: RaftReplica, live: dict[str, DiskNode], gone: set[str]
--- a/src/bendshed/consensus/retirement.py
+++ b/src/bendshed/consensus/retirement.py
@@ -19,7 +19,7 @@
 
 log = PartLog("supervisor")
 
-AskEmptied = Callable[[int, str], Awaitable[bool]]
+RequestEmptied = Callable[[int, str], Awaitable[bool]]
 """Requests it of another group's leader; ``False`` also where it does not answer."""
 
 
@@ -72,13 +72,13 @@
         registry: ReplicaRegistry,
         directory: ReplicaDirectory,
         groups: TurnGroups,
-        ask_emptied: AskEmptied,
+        request_emptied: RequestEmptied,
     ) -> None:
         self._host = host
         self._registry = registry
         self._directory = directory
         self._groups = groups
-        self._ask_emptied = ask_emptied
+        self._request_emptied = request_emptied
         self._emptied = EmptiedMachines(host)
         self._reported: dict[str, bool] = {}
 
@@ -127,6 +127,6 @@
             return False
         for group_id in self._groups.others(REPORTING_GROUP):
             here = self._emptied.is_emptied(group_id, node_id)
-            if not here and not await self._ask_emptied(group_id, node_id):
+            if not here and not await self._request_emptied(group_id, node_id):
                 return False
         return True
--- a/src/bendshed/consensus/sqlite_storage.py
+++ b/src/bendshed/consensus/sqlite_storage.py
@@ -145,7 +145,7 @@
             else:
                 bad_index = index
         if bad_index is not None:
-            log.say("a torn last entry was cut", group=group_id, index=bad_index)
+            log.say("torn last entry cut", group=group_id, index=bad_index)
             self._database.execute(
                 "DELETE FROM entries WHERE group_id=? AND entry_index>=?", (group_id, bad_index)
             )
@@ -248,8 +248,7 @@
 def _replace(folder: Path, error: Exception) -> SqliteLogStorage:
     aside = quarantine(folder)
     log.say(
-        "the log is corrupt; this node starts empty under a new identity and its groups "
-        "heal from their peers",
+        "log corrupt: starting empty under a new identity",
         reason=str(error),
         kept_as=str(aside),
     )
--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -8,7 +8,7 @@
 from bendshed.consensus.host import GroupHost, HostedGroup
 from bendshed.consensus.membership_plan import ReplicaFacts, plan_membership
 from bendshed.consensus.replica_choice import VoterPlaces, rank_candidates
-from bendshed.consensus.retirement import EMPTIED_METHOD, AskEmptied, RetirementReporter
+from bendshed.consensus.retirement import EMPTIED_METHOD, RequestEmptied, RetirementReporter
 from bendshed.logs import PartLog
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.ports.log_storage import LogStorage
@@ -34,7 +34,7 @@
 log = PartLog("supervisor")
 
 
-async def _ask_nobody(_group_id: int, _node_id: str) -> bool:
+async def _request_no_one(_group_id: int, _node_id: str) -> bool:
     return False
 
 
@@ -57,7 +57,7 @@
         tick_s: float,
         num_voters: int,
         groups: TurnGroups = ONE_GROUP,
-        ask_emptied: AskEmptied = _ask_nobody,
+        request_emptied: RequestEmptied = _request_no_one,
     ) -> None:
         self.me = me
         self._host = host
@@ -67,7 +67,7 @@
         self._num_voters = num_voters
         self._groups = groups
         self._bootstrap = GroupBootstrap(host, storage, registry, directory, me, num_voters, groups)
-        self._reporter = RetirementReporter(host, registry, directory, groups, ask_emptied)
+        self._reporter = RetirementReporter(host, registry, directory, groups, request_emptied)
         self._rejected_until_s: dict[str, float] = {}
         self._num_rejected: dict[str, int] = {}
         self._away_since: dict[int, tuple[float, int, int]] = {}
--- a/src/bendshed/dispatch/call_steps.py
+++ b/src/bendshed/dispatch/call_steps.py
@@ -107,11 +107,11 @@
             served = self._scheduler.serves(run.request.model)
             kind = ErrorKind.DEADLINE_EXCEEDED if served else ErrorKind.NO_RUNNER
             return await self.give_up(run, kind)
-        return await self._group.ask_grant(run.request, runner, replaces_attempt=0)
+        return await self._group.request_grant(run.request, runner, replaces_attempt=0)
 
     async def replace(self, run: CallRun, orphan: wire.CallResult, runner: str) -> wire.CallResult:
         """Request a new attempt in place of one whose executor is gone."""
-        return await self._group.ask_grant(run.request, runner, replaces_attempt=orphan.attempt)
+        return await self._group.request_grant(run.request, runner, replaces_attempt=orphan.attempt)
 
     async def give_up(self, run: CallRun, kind: ErrorKind) -> wire.CallResult:
         """Commit that the call was not run; a grant that crossed is handed back."""
--- a/src/bendshed/dispatch/group_commands.py
+++ b/src/bendshed/dispatch/group_commands.py
@@ -57,7 +57,7 @@
             request.program_id, wire.ProgramCommand(submit=command), GROUP_TIMEOUT_S, SUBMIT_WAIT_S
         )
 
-    async def ask_grant(
+    async def request_grant(
         self, request: CallRequest, runner: str, replaces_attempt: int
     ) -> wire.CallResult:
         """Ask for the next attempt at ``runner``; ``replaces_attempt``: an orphan, 0 none."""
--- a/src/bendshed/gateway/service_protocol.py
+++ b/src/bendshed/gateway/service_protocol.py
@@ -12,7 +12,7 @@
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.ports.caller_protocol import CallerProtocol, ReceivedRequest, RefusalAnswer
 from bendshed.ports.http_messages import ClientRequest, Headers, ResponseHead, end_to_end
-from bendshed.ports.runner import RunnerProtocol, Sending, ServiceRequest, Verdict
+from bendshed.ports.runner import RunnerDispatch, RunnerProtocol, ServiceRequest, Verdict
 
 REQUEST = b"x-bendshed-request"
 PROGRAM = b"x-bendshed-program"
@@ -25,7 +25,7 @@
 MISDIRECTED = 421
 """Another machine has the address now (RFC 9110, 15.5.20)."""
 
-_SET_ANEW = frozenset({REQUEST, DEADLINE_MS, RUNNER, AUTHORIZATION, b"content-length", b"expect"})
+_REPLACED = frozenset({REQUEST, DEADLINE_MS, RUNNER, AUTHORIZATION, b"content-length", b"expect"})
 """Headers of callers that are not passed on; the token is for this system only."""
 
 
@@ -75,7 +75,9 @@
 class ServiceRunnerProtocol(RunnerProtocol):
     """Runners of declared services."""
 
-    def request(self, request: ServiceRequest, body: bytes, sending: Sending) -> ClientRequest:
+    def request(
+        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+    ) -> ClientRequest:
         """Pass the caller's headers on, with our id, the time left and the runner meant."""
         wanted = request.request_id.encode()
         headers = [
@@ -111,4 +113,4 @@
 
 
 def _passed_on(received: Headers) -> Headers:
-    return [(name, value) for name, value in end_to_end(received) if name not in _SET_ANEW]
+    return [(name, value) for name, value in end_to_end(received) if name not in _REPLACED]
--- a/src/bendshed/gateway/services.py
+++ b/src/bendshed/gateway/services.py
@@ -92,7 +92,7 @@
             revision, document.services, document.routes, document.limits
         )
         self.forwarder.index = RouteIndex(forwarded)
-        log.say("puts routes in force", revision=revision, routes=len(forwarded.routes))
+        log.say("routes in force", revision=revision, routes=len(forwarded.routes))
 
     def _on_machines(self, machines: list[Machine]) -> None:
         """Take the whole machine list."""
--- a/src/bendshed/logs.py
+++ b/src/bendshed/logs.py
@@ -97,7 +97,7 @@
         if (self._lines or self._rest) and not self._is_closed:
             self._retry_later()
         elif self._num_untold and not self._is_closed:
-            self._tell_dropped()
+            self._report_dropped()
 
     def _retry_later(self) -> None:
         try:
@@ -133,9 +133,11 @@
         self._rest = b""
         self._num_bytes = 0
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         dropped, self._num_untold = self._num_untold, 0
-        PartLog("logs").say("lines were dropped", dropped=dropped, in_all=self.num_dropped)
+        PartLog("logs").say(
+            "lines dropped: reader too slow", dropped=dropped, in_all=self.num_dropped
+        )
 
 
 def log_to(descriptor: int) -> BoundedLineWriter:
--- a/src/bendshed/membership/service.py
+++ b/src/bendshed/membership/service.py
@@ -44,7 +44,7 @@
         self.on_runner: list[Callable[[wire.RunnerNotice], None]] = []
         self.on_leader: list[Callable[[wire.LeaderHint], None]] = []
         self.on_revision: list[Callable[[str, int], None]] = []
-        self.last_heard_s = float("-inf")
+        self.last_message_s = float("-inf")
         self._missed_news = True
         self._transport = transport
         self._rng = rng
@@ -97,19 +97,19 @@
 
     def _on_datagram(self, payload: bytes) -> None:
         gossip = wire.Gossip.FromString(payload)
-        self._note_heard()
-        self._perform(self.swim.receive(gossip, self.last_heard_s))
+        self._note_message()
+        self._perform(self.swim.receive(gossip, self.last_message_s))
 
-    def _note_heard(self) -> None:
+    def _note_message(self) -> None:
         now_s = asyncio.get_running_loop().time()
-        if now_s - self.last_heard_s > SILENCE_S:
+        if now_s - self.last_message_s > SILENCE_S:
             self._missed_news = True
-        self.last_heard_s = now_s
+        self.last_message_s = now_s
 
     @property
     def is_current(self) -> bool:
         """Whether news that all peers have would have reached this node."""
-        silent_s = asyncio.get_running_loop().time() - self.last_heard_s
+        silent_s = asyncio.get_running_loop().time() - self.last_message_s
         return silent_s <= SILENCE_S and not self._missed_news
 
     async def _on_sync(self, payload: bytes) -> bytes:
@@ -166,7 +166,7 @@
         payload = await self._transport.request(
             peer, SYNC_METHOD, mine.SerializeToString(), SYNC_TIMEOUT_S
         )
-        self._note_heard()
+        self._note_message()
         reply = wire.MembershipSync.FromString(payload)
         self._merge(reply)
         return reply
@@ -189,7 +189,7 @@
                 case swim.SendGossip(peer, gossip):
                     self._transport.send_datagram(peer, gossip.SerializeToString())
                 case swim.MemberChanged(member):
-                    log.say("a member changed", member=member.node_id, status=member.status)
+                    log.say("member changed", member=member.node_id, status=member.status)
                     for on_member in self.on_member:
                         on_member(member)
                 case swim.RunnerNoticed(notice):
--- a/src/bendshed/membership/swim.py
+++ b/src/bendshed/membership/swim.py
@@ -26,7 +26,7 @@
 MAX_UPDATES_PER_MESSAGE = 10
 DEAD_PROBE_INTERVAL_S = 5.0
 """How often one dead member is probed, so that a healed cut is noticed."""
-DEAD_KEPT_S = 3600.0
+DEAD_MEMORY_S = 3600.0
 
 ALIVE = wire.MEMBER_STATUS_ALIVE
 SUSPECT = wire.MEMBER_STATUS_SUSPECT
@@ -295,7 +295,7 @@
     def _probe_one_dead(self, now_s: float) -> None:
         dead = [node for node, member in self.view.members.items() if member.status == DEAD]
         for node in dead:
-            if now_s - self._died_at_s.get(node, now_s) > DEAD_KEPT_S:
+            if now_s - self._died_at_s.get(node, now_s) > DEAD_MEMORY_S:
                 del self.view.members[node]
                 self._died_at_s.pop(node, None)
         dead = [node for node in dead if node in self.view.members]
--- a/src/bendshed/node.py
+++ b/src/bendshed/node.py
@@ -207,7 +207,7 @@
                 return
             await asyncio.sleep(SPARED_CHECK_S)
         for group_id in self._needed_groups():
-            log.say("stops although a group needs it", group=group_id)
+            log.say("stopping although a group needs this node", group=group_id)
 
     def _needed_groups(self) -> list[int]:
         """Groups that would have no majority of live voters without this node."""
--- a/src/bendshed/operators/answers.py
+++ b/src/bendshed/operators/answers.py
@@ -108,7 +108,7 @@
         """Rows of all live nodes, and who did not reply."""
         me = self._node.node_id
         others = [m for m in self._node.membership.view.live() if m.node_id != me]
-        replies = await asyncio.gather(*(self._ask_node(m.node_id, request) for m in others))
+        replies = await asyncio.gather(*(self._request_node(m.node_id, request) for m in others))
         rows = self._local_rows(request)
         silent = []
         for member, reply in zip(others, replies, strict=True):
@@ -118,7 +118,9 @@
                 rows.extend(reply)
         return rows, silent
 
-    async def _ask_node(self, node_id: str, request: peer_pb2.StatusRequest) -> list[Row] | None:
+    async def _request_node(
+        self, node_id: str, request: peer_pb2.StatusRequest
+    ) -> list[Row] | None:
         address = self._node.membership.view.address(node_id)
         if address is None:
             return None
--- a/src/bendshed/operators/explanation.py
+++ b/src/bendshed/operators/explanation.py
@@ -34,13 +34,13 @@
         "cold: runner is cold",
         "cold: runner is warm again",
         "runners: runner is not listed any more",
-        "consensus: the role changed",
-        "consensus: the disk does not take a commit; it is tried again",
+        "consensus: role changed",
+        "consensus: disk commit failed: retrying",
         "supervisor: membership change proposed",
         "supervisor: handing leadership over: leader outside the home region",
         "supervisor: handing leadership over: disk or loop stalled",
-        "replicas: lost its disk",
-        "logs: lines were dropped",
+        "replicas: replica machine lost its disk",
+        "logs: lines dropped: reader too slow",
     }
 )
 """Sentences that may explain what happened to a request."""
--- a/src/bendshed/paths/echo.py
+++ b/src/bendshed/paths/echo.py
@@ -29,10 +29,10 @@
     def __init__(self) -> None:
         self._num_silent: dict[str, int] = {}
 
-    def note(self, asked: Collection[str], answered: Collection[str]) -> dict[str, bool]:
+    def note(self, requested: Collection[str], answered: Collection[str]) -> dict[str, bool]:
         """One round is over; return the regions that changed and whether they answer now."""
         changed: dict[str, bool] = {}
-        for region in set(asked):
+        for region in set(requested):
             before = self._num_silent.get(region, 0)
             now = 0 if region in answered else before + 1
             self._num_silent[region] = now
@@ -111,8 +111,8 @@
         regions = {self._neighbours.places.region(zone) for zone in zones if zone}
         return regions - {self._neighbours.places.region(self._neighbours.zone)}
 
-    def _log_changes(self, asked: Collection[str], answered: Collection[str]) -> None:
-        for region, is_reachable in self.watch.note(asked, answered).items():
+    def _log_changes(self, requested: Collection[str], answered: Collection[str]) -> None:
+        for region, is_reachable in self.watch.note(requested, answered).items():
             log.say(
                 "region reachable again"
                 if is_reachable
--- a/src/bendshed/paths/path_state.py
+++ b/src/bendshed/paths/path_state.py
@@ -74,7 +74,7 @@
         if not self.is_cut:
             self.no_relay_until_s = now_s + UNREACHED_PAUSE_S
 
-    def may_ask(self, relay: Address, now_s: float) -> bool:
+    def may_request(self, relay: Address, now_s: float) -> bool:
         """Whether a relay is not avoided for this target."""
         return self.avoided_until_s.get(relay, 0.0) <= now_s
 
--- a/src/bendshed/paths/relay_search.py
+++ b/src/bendshed/paths/relay_search.py
@@ -133,17 +133,17 @@
     def _candidates(self, path: PathState, peer: Address) -> list[Address]:
         """Relays that may be tried, the best first; equal ones in random order."""
         now_s = _now_s()
-        usable = [
+        eligible = [
             node
             for node in self._relays()
             if node != peer
             and self._silent_until_s.get(node, 0.0) <= now_s
-            and path.may_ask(node, now_s)
+            and path.may_request(node, now_s)
         ]
-        self._rng.shuffle(usable)
+        self._rng.shuffle(eligible)
         near = self._adaptive_timeout.neighbours
-        far = {node.host for node in usable if near.is_far(node.host)}
-        return relay_order(usable, path.relay, self._good_relay, far)
+        far = {node.host for node in eligible if near.is_far(node.host)}
+        return relay_order(eligible, path.relay, self._good_relay, far)
 
 
 def note_failure(
--- a/src/bendshed/placement/cluster_load.py
+++ b/src/bendshed/placement/cluster_load.py
@@ -218,9 +218,9 @@
         """Stop counting a turn, answered or not, and take what its node saw of runners."""
         self._running.end(ended, now_s)
 
-    def keep_only(self, listed: Collection[str]) -> None:
+    def retain_only(self, listed: Collection[str]) -> None:
         """Forget runners that are not listed any more, with their turns."""
-        self._running.keep_only(listed)
+        self._running.retain_only(listed)
 
 
 def _least(
--- a/src/bendshed/placement/node_choice.py
+++ b/src/bendshed/placement/node_choice.py
@@ -12,8 +12,8 @@
 from enum import StrEnum
 from typing import Literal
 
-from bendshed.admission.sliding_window import NO_PERMIT, TimedPermit
 from bendshed.identifiers import rendezvous_rank
+from bendshed.model.permit import NO_PERMIT, TimedPermit
 from bendshed.model.places import Places
 from bendshed.placement.runner_health import median_pace
 from bendshed.placement.runner_record import RunnerRecord
@@ -88,17 +88,17 @@
 
     record: RunnerRecord
     reason: ChoiceReason | Literal["advised", "permitted"]
-    leave: TimedPermit = NO_PERMIT
+    permit: TimedPermit = NO_PERMIT
 
 
 def choose_runner(
-    usable: Collection[RunnerRecord],
+    eligible: Collection[RunnerRecord],
     tried: Collection[str],
     session: str,
     view: NodeView,
     rng: random.Random,
     policy: Policy = EVERYTHING,
-    thing: str = "",
+    affinity_key: str = "",
 ) -> Choice | None:
     """Choose a runner that was not tried yet; ``None``: there is none.
 
@@ -115,13 +115,13 @@
         thing: affinity key: requests with the same one run faster at the same runner; empty: none.
 
     """
-    untried = [record for record in usable if record.listed.runner_id not in tried]
+    untried = [record for record in eligible if record.listed.runner_id not in tried]
     if not untried:
         return None
     sound = [r for r in untried if not (policy.avoidance and r.is_avoided(view.now_s))]
     pool = _near_first(sound or untried, view)
-    if thing and policy.thing_affinity:
-        choice = _by_affinity_key(pool, thing, view)
+    if affinity_key and policy.thing_affinity:
+        choice = _by_affinity_key(pool, affinity_key, view)
     elif session and policy.session_affinity:
         choice = _by_session(pool, session, SESSION_MAX_EXTRA if policy.step_aside else math.inf)
     elif policy.kept_connections:
--- a/src/bendshed/placement/running_turns.py
+++ b/src/bendshed/placement/running_turns.py
@@ -139,7 +139,7 @@
             _, turn_id = heapq.heappop(self._deadlines)
             self._remove(turn_id)
 
-    def keep_only(self, listed: Collection[str]) -> None:
+    def retain_only(self, listed: Collection[str]) -> None:
         """Forget runners that are not listed any more, with their turns."""
         for runner_id in [name for name in self._loads if name not in listed]:
             for turn_id in self._loads.pop(runner_id).turns:
--- a/src/bendshed/placement/zones.py
+++ b/src/bendshed/placement/zones.py
@@ -128,7 +128,7 @@
             del self.opened_at_s[zone]
         return bool(old)
 
-    def word(self, now_s: float) -> ZoneUpdate:
+    def update(self, now_s: float) -> ZoneUpdate:
         """What this node reports to others."""
         reopened = {
             zone: max(0.0, now_s - at_s)
--- a/src/bendshed/platform/caller_protocol.py
+++ b/src/bendshed/platform/caller_protocol.py
@@ -69,7 +69,7 @@
             arrived_s=received.arrived_s,
             credential=_read_credential(received.headers),
             authorization=[row for row in received.headers if row[0] == names.AUTHORIZATION],
-            thing=_text(fields, names.AFFINITY),
+            affinity_key=_text(fields, names.AFFINITY),
         )
 
     def answer_of(self, refusal: Refusal) -> RefusalAnswer:
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -12,7 +12,7 @@
 from bendshed.adapters.tcp_transport import TcpTransport
 from bendshed.catalog.reading import RegistryReading
 from bendshed.catalog.watcher import MAX_RETRY_GROWTH, KindHandler, KindWatcher
-from bendshed.catalog.zones import word_of_listing
+from bendshed.catalog.zones import update_of_listing
 from bendshed.gateway.forwarding import ForwardingApplication
 from bendshed.logs import PartLog
 from bendshed.model.service_document import ServiceDocument
@@ -110,7 +110,7 @@
         following = [start_loop(watcher.run(), "platform") for watcher in watchers]
         following.append(start_loop(self._node.watch_turn_log(), "turns"))
         following.append(start_loop(self._node.catalog.run(), "catalog"))
-        following.append(start_loop(self._node.quotas.tell(), "quota"))
+        following.append(start_loop(self._node.quotas.report_until_cancelled(), "quota"))
         waiting = self._reading.wait_for_update(self._look_for_replicas, self._settle_s)
         following.append(start_loop(waiting, "registry"))
         sockets = list(self._listeners.sockets)
@@ -180,7 +180,7 @@
         try:
             listed = await self._api.list(names.REPLICA_KIND, may_be_stale=True)
         except StoreUnavailable as error:
-            log.say("cannot look for replica machines yet", reason=str(error))
+            log.say("replica machines unknown: registry unavailable", reason=str(error))
             return False
         for item in listed.items:
             self._take_replica(item)
@@ -202,7 +202,7 @@
             self._node.take_document(read_document(item.spec))
 
     def _take_zones(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self._node.take_zones(word_of_listing(names, at, gone))
+        self._node.take_zones(update_of_listing(names, at, gone))
         self._node.zones.confirm(0.0)
 
     def _take_replica(self, item: StoredObject) -> None:
--- a/src/bendshed/platform/objects.py
+++ b/src/bendshed/platform/objects.py
@@ -79,12 +79,12 @@
         )
         if status == 410:
             raise HistoryGone(kind)
-        told_at = int(content["at"])
+        listed_at = int(content["at"])
         events = [
-            ObjectEvent(_read_object(row["object"]), bool(row["gone"]), told_at)
+            ObjectEvent(_read_object(row["object"]), bool(row["gone"]), listed_at)
             for row in content["events"]
         ]
-        return ObjectEvents(events, told_at)
+        return ObjectEvents(events, listed_at)
 
     async def create(self, kind: str, name: str, spec: Any) -> StoredObject:
         """Create an object; raise ``VersionConflict`` if it exists."""
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -14,7 +14,7 @@
 from bendshed.catalog.state import KnownRunner
 from bendshed.catalog.times import ReadingPace
 from bendshed.catalog.watcher import KindHandler, KindWatcher
-from bendshed.catalog.zones import word_of_listing
+from bendshed.catalog.zones import update_of_listing
 from bendshed.consensus.sqlite_storage import open_or_replace
 from bendshed.logs import PartLog
 from bendshed.platform import names
@@ -135,7 +135,7 @@
         self._zones.set_pace(pace.zones_wait_s, pace.pace_s)
 
     def _take_zones(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self._node.take_zones(word_of_listing(names, at, gone))
+        self._node.take_zones(update_of_listing(names, at, gone))
 
     def _list_runners(self, listed: ObjectList) -> None:
         runners = [KnownRunner(read_runner(item), item.revision) for item in listed.items]
--- a/src/bendshed/platform/roles.py
+++ b/src/bendshed/platform/roles.py
@@ -43,7 +43,7 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
-    loop.add_signal_handler(signal.SIGHUP, _tell_changes, settings)
+    loop.add_signal_handler(signal.SIGHUP, _log_changes, settings)
     if role == "node":
         from bendshed.platform.front import FrontProcess  # noqa: PLC0415 (a role loads its part)
 
@@ -64,13 +64,13 @@
     gc.enable()
 
 
-def _tell_changes(in_force: SiteSettings) -> None:
+def _log_changes(in_force: SiteSettings) -> None:
     """Read the settings again and say what differs from the old ones."""
     try:
         fresh = load_site_settings()
     except SiteSettingsInvalid as error:
-        log.say("the new settings are refused, the old ones stay", reason=str(error))
+        log.say("new settings rejected: old ones stay in force", reason=str(error))
         return
     names = SiteSettings.__struct_fields__
     changed = [name for name in names if getattr(fresh, name) != getattr(in_force, name)]
-    log.say("read the settings again", changed=changed)
+    log.say("settings reloaded", changed=changed)
--- a/src/bendshed/platform/runner_protocol.py
+++ b/src/bendshed/platform/runner_protocol.py
@@ -2,13 +2,15 @@
 
 from bendshed.platform import names
 from bendshed.ports.http_messages import ClientRequest, ResponseHead
-from bendshed.ports.runner import RunnerProtocol, Sending, ServiceRequest, Verdict
+from bendshed.ports.runner import RunnerDispatch, RunnerProtocol, ServiceRequest, Verdict
 
 
 class PlatformRunnerProtocol(RunnerProtocol):
     """Headers towards runners, and what their answers say."""
 
-    def request(self, request: ServiceRequest, body: bytes, sending: Sending) -> ClientRequest:
+    def request(
+        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+    ) -> ClientRequest:
         """Pass the caller's headers on, with the tenant, the time left and the runner meant."""
         headers = list(request.headers)
         headers.append((names.DEADLINE_MS, str(sending.left_ms).encode()))
--- a/src/bendshed/ports/round_trips.py
+++ b/src/bendshed/ports/round_trips.py
@@ -14,9 +14,9 @@
 WINDOW_S = 10.0
 """The least of the last 10 to 20 s counts: longer than a burst, short enough that a path which has
 become longer is known before its requests have been late for long."""
-KEPT_S = 600.0
+MEMORY_S = 600.0
 """A measure that nothing has confirmed for so long is forgotten."""
-MAX_KEPT = 1_000
+MAX_PEERS = 1_000
 """Peers that are remembered, the longest unheard given up first; some 200 bytes each."""
 
 
@@ -47,7 +47,7 @@
 
     def least(self, now_s: float) -> float | None:
         """The least of this window and the one before; ``None``: nothing was noted for long."""
-        if now_s - self.noted_s > KEPT_S:
+        if now_s - self.noted_s > MEMORY_S:
             return None
         return min(self._current, self._before)
 
@@ -63,7 +63,7 @@
         known = self._known.pop(key, None) or SlidingLeast()
         known.note(max(0.0, took_s), now_s)
         self._known[key] = known
-        if len(self._known) > MAX_KEPT:
+        if len(self._known) > MAX_PEERS:
             del self._known[next(iter(self._known))]
 
     def least_s(self, key: Key, now_s: float) -> float | None:
--- a/src/bendshed/ports/runner.py
+++ b/src/bendshed/ports/runner.py
@@ -65,7 +65,7 @@
     arrived_s: float
     credential: str = field(default="", repr=False)
     authorization: Headers = field(default_factory=list, repr=False)
-    thing: str = ""
+    affinity_key: str = ""
 
 
 class Caller(ABC):
@@ -102,7 +102,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sending:
+class RunnerDispatch:
     """What one dispatch adds to the caller's request, for one runner.
 
     Attributes:
@@ -125,7 +125,9 @@
     """The protocol of runners."""
 
     @abstractmethod
-    def request(self, request: ServiceRequest, body: bytes, sending: Sending) -> ClientRequest:
+    def request(
+        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+    ) -> ClientRequest:
         """Build the request for one runner."""
 
     @abstractmethod
--- a/src/bendshed/process.py
+++ b/src/bendshed/process.py
@@ -110,7 +110,7 @@
             server.should_exit = True
             await serving
     except TimeoutError:
-        log.say("the drain took too long; streams are cut")
+        log.say("drain timed out: streams cut")
     await node.stop()
 
 
--- a/src/bendshed/programs/service.py
+++ b/src/bendshed/programs/service.py
@@ -341,7 +341,7 @@
         result = wire.CallResult(executor=call.executor, request_id=call.request_id)
         if not await self._is_orphaned(result):
             return wire.ProgramCommand()
-        log.say("a call lost its executor", program=program.program_id, call=call.number)
+        log.say("call lost its executor", program=program.program_id, call=call.number)
         outcome = wire.ATTEMPT_OUTCOME_UNKNOWN if call.unrepeatable else wire.ATTEMPT_OUTCOME_BROKEN
         finish = wire.FinishCall(
             program_id=program.program_id,
--- a/src/bendshed/rehearsal/site/sim_runners.py
+++ b/src/bendshed/rehearsal/site/sim_runners.py
@@ -11,7 +11,7 @@
     ResponseBroken,
     ResponseHead,
 )
-from bendshed.ports.runner import RunnerProtocol, Sending, ServiceRequest, Verdict
+from bendshed.ports.runner import RunnerDispatch, RunnerProtocol, ServiceRequest, Verdict
 from bendshed.ports.runner_connections import RunnerConnection, RunnerConnections
 from bendshed.rehearsal.simulator.loop import SimProcess
 from bendshed.rehearsal.simulator.network import MIN_GAP_S, Network
@@ -33,7 +33,9 @@
 class SimRunnerProtocol(RunnerProtocol):
     """How simulated runners are spoken to."""
 
-    def request(self, request: ServiceRequest, body: bytes, sending: Sending) -> ClientRequest:
+    def request(
+        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+    ) -> ClientRequest:
         """Build a request."""
         headers = [
             *request.headers,
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -236,7 +236,7 @@
         machine.process.spawn(self.loop, self._follow(machine, self._update_front))
         machine.process.spawn(self.loop, front.watch_turn_log())
         machine.process.spawn(self.loop, front.catalog.run())
-        machine.process.spawn(self.loop, front.quotas.tell())
+        machine.process.spawn(self.loop, front.quotas.report_until_cancelled())
 
     def _start_store(
         self,
--- a/src/bendshed/routing/monitor.py
+++ b/src/bendshed/routing/monitor.py
@@ -112,7 +112,7 @@
             try:
                 self._take_list(await self._machine_list.read())
             except StoreUnavailable:
-                log.say("the machine list does not answer")
+                log.say("machine list unavailable")
                 await self._request_from_peer()
         else:
             await self._request_from_peer()
@@ -137,7 +137,7 @@
         self._machines = machines
         self._digest = xxhash.xxh3_64_intdigest(_encode(machines))
         for notice in self._table.update_list(machines):
-            log.say("a back end is leaving", runner=notice.runner_id)
+            log.say("back end is leaving", runner=notice.runner_id)
             self._membership.notice_runner(notice)
         for take in self.on_list:
             take(machines)
@@ -218,7 +218,7 @@
         try:
             await engine.order(order.fence, "load_model", order.model)
         except NotSupported:
-            log.say("a runner takes no orders", runner=runner_id, fence=order.fence)
+            log.say("order not supported by the runner", runner=runner_id, fence=order.fence)
         except (EngineBroken, EngineNotStarted):
             return
         self._fences_sent[runner_id] = order.fence
--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -21,7 +21,7 @@
     ResponseBroken,
     ResponseHead,
 )
-from bendshed.ports.runner import Sending, ServiceRequest, Verdict
+from bendshed.ports.runner import RunnerDispatch, ServiceRequest, Verdict
 from bendshed.ports.runner_connections import RunnerConnection, RunnerConnections
 from bendshed.retries.decisions import (
     GiveUp,
@@ -198,11 +198,13 @@
             record.note_unreachable(loop.time())
             self._say("attempt failed: runner unreachable", choice, reason=str(error))
             return None
-        if not self.placement.may_get(record, choice.leave, loop.time()):
+        if not self.placement.may_get(record, choice.permit, loop.time()):
             self._withdraw(choice, connection)
             return None
         left_ms = max(1, int((self.history.deadline_s - loop.time()) * 1000))
-        message = self.ports.protocol.request(self.request, body, self._sending(choice, left_ms))
+        message = self.ports.protocol.request(
+            self.request, body, self._runner_dispatch(choice, left_ms)
+        )
         self.history.record_dispatch()
         self._log_dispatch(choice, was_connected, left_ms)
         return await self._dispatch(choice, connection, message)
@@ -228,9 +230,9 @@
             raise
         return OpenAnswer(head, record, connection, self.ports.pool, sent_s)
 
-    def _sending(self, choice: Choice, left_ms: int) -> Sending:
+    def _runner_dispatch(self, choice: Choice, left_ms: int) -> RunnerDispatch:
         principal = self.principal
-        return Sending(
+        return RunnerDispatch(
             self.route,
             choice.record.listed,
             principal.name,
--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -206,7 +206,7 @@
         """What requests share that run faster at the same runner; empty: nothing."""
         if not route.is_sticky:
             return ""
-        return request.thing or request.session
+        return request.affinity_key or request.session
 
     async def _admit_call(
         self, request: ServiceRequest, principal: Principal, deadline_s: float
--- a/src/bendshed/services/metrics.py
+++ b/src/bendshed/services/metrics.py
@@ -27,12 +27,12 @@
     """How a request that is no turn was admitted, or not."""
 
     ALLOWED = "by_allowance"
-    ASKED = "asked_for"
+    REQUESTED = "asked_for"
     REFUSED = "refused"
     UNANSWERED = "unanswered"
 
 
-class ColdAskEnd(StrEnum):
+class PermitEnd(StrEnum):
     """What became of a request for a permit for a cold runner."""
 
     PERMITTED = "permitted"
@@ -81,7 +81,7 @@
             ["end"],
             registry=registry,
         )
-        self.cold_asks = Counter(
+        self.permit_requests = Counter(
             "bendshed_cold_asks",
             "Requests without a warm runner by decision",
             ["end"],
--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -10,12 +10,12 @@
 from typing import assert_never
 
 from bendshed.admission.retry_schedule import retry_after_s
-from bendshed.admission.sliding_window import TimedPermit
 from bendshed.consensus.group_client import FAR_TRIPS
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.logs import PartLog
+from bendshed.model.permit import TimedPermit
 from bendshed.ports.runner import ServiceRequest
-from bendshed.services.metrics import ColdAskEnd, ServiceMetrics
+from bendshed.services.metrics import PermitEnd, ServiceMetrics
 from bendshed.turns.client import TurnClient
 from bendshed.turns.codec import (
     NoRoom,
@@ -55,7 +55,7 @@
     """Permit for one dispatch; ``leave`` is its expiry on this node's clock."""
 
     runner_id: str
-    leave: TimedPermit
+    permit: TimedPermit
 
 
 def demand_of(
@@ -103,20 +103,20 @@
         requested_s = asyncio.get_running_loop().time()
         decision = await self._request(request, demand)
         if decision is None:
-            self._count(ColdAskEnd.UNANSWERED)
+            self._count(PermitEnd.UNANSWERED)
             return Refusal(
                 ErrorKind.TURN_LOG_UNAVAILABLE, "all runners are cold, and nobody permits a sending"
             )
         match decision:
             case PermitGiven():
-                self._count(ColdAskEnd.PERMITTED)
+                self._count(PermitEnd.PERMITTED)
                 expiry = TimedPermit(requested_s + decision.valid_ms / 1000)
                 return Permit(decision.runner_id, expiry)
             case NoRoom():
-                self._count(ColdAskEnd.REFUSED)
+                self._count(PermitEnd.REFUSED)
                 return _no_room(decision.retry_after_ms)
             case NoRunner():
-                self._count(ColdAskEnd.REFUSED)
+                self._count(PermitEnd.REFUSED)
                 return Refusal(ErrorKind.NO_RUNNER, "the leader knows no runner either")
             case _:
                 assert_never(decision)
@@ -152,8 +152,8 @@
         timeout_s += FAR_TRIPS * self._client.expected_round_trip_home_s
         return min(timeout_s, left_s)
 
-    def _count(self, end: ColdAskEnd) -> None:
-        self._metrics.cold_asks.labels(end.value).inc()
+    def _count(self, end: PermitEnd) -> None:
+        self._metrics.permit_requests.labels(end.value).inc()
 
 
 def no_room(reply: wire.TurnReply) -> Refusal:
--- a/src/bendshed/services/quota_client.py
+++ b/src/bendshed/services/quota_client.py
@@ -83,7 +83,7 @@
         if isinstance(decision, CallRejected):
             self._count(QuotaEnd.REFUSED)
             return _quota_refusal(decision.retry_after_ms)
-        self._count(QuotaEnd.ASKED)
+        self._count(QuotaEnd.REQUESTED)
         self._allowances.spend_granted(principal.name, decision.counted_total, loop.time())
         self._allowances.note_committed(principal.name, decision.counted_total, loop.time())
         return None
@@ -122,7 +122,7 @@
         command.spent.spent.extend(_to_wire(row) for row in rows)
         return lambda: self._allowances.note_reported(rows, asyncio.get_running_loop().time())
 
-    async def tell(self) -> None:
+    async def report_until_cancelled(self) -> None:
         """Report calls that no command took along; runs until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
--- a/src/bendshed/services/runner_placement.py
+++ b/src/bendshed/services/runner_placement.py
@@ -9,8 +9,8 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from bendshed.admission.sliding_window import NO_PERMIT, TimedPermit
 from bendshed.errors import Refusal
+from bendshed.model.permit import NO_PERMIT, TimedPermit
 from bendshed.model.places import Places
 from bendshed.placement.node_choice import Choice, NodeView, choose_runner
 from bendshed.policy import EVERYTHING, Policy
@@ -41,7 +41,7 @@
     rng: random.Random
     metrics: ServiceMetrics
     policy: Policy = EVERYTHING
-    asks: PermitClient | None = None
+    permits: PermitClient | None = None
     places: Places = field(default_factory=Places)
 
     def is_connected(self, record: RunnerRecord) -> bool:
@@ -95,11 +95,11 @@
     def runner_state(self) -> RunnerState:
         """What this node reports of the service's runners to a leader that places the request."""
         now_s = asyncio.get_running_loop().time()
-        usable = self._usable(now_s)
+        eligible = self._usable(now_s)
         connected: list[str] = []
         if self.ports.policy.kept_connections:
-            connected = [r.listed.runner_id for r in usable if self.ports.is_connected(r)]
-        return RunnerState(connected, [r.listed.runner_id for r in usable if r.is_avoided(now_s)])
+            connected = [r.listed.runner_id for r in eligible if self.ports.is_connected(r)]
+        return RunnerState(connected, [r.listed.runner_id for r in eligible if r.is_avoided(now_s)])
 
     async def find(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
         """Find the runner of the next attempt; a refusal is the leader's, which gave no permit."""
@@ -114,14 +114,14 @@
 
     def choose(self, tried: Collection[str], now_s: float) -> Choice | None:
         """Choose the preferred runner if it may get the request, else a warm one from here."""
-        usable = self._usable(now_s)
-        preferred = self._choose_preferred(usable, tried, now_s)
+        eligible = self._usable(now_s)
+        preferred = self._choose_preferred(eligible, tried, now_s)
         if preferred is not None:
             return preferred
-        warm = self.ports.table.cold.only_warm(usable)
+        warm = self.ports.table.cold.only_warm(eligible)
         connected: set[str] = set()
         if self.ports.policy.kept_connections:
-            connected = {r.listed.runner_id for r in usable if self.ports.is_connected(r)}
+            connected = {r.listed.runner_id for r in eligible if self.ports.is_connected(r)}
         ports = self.ports
         return choose_runner(
             warm,
@@ -130,7 +130,7 @@
             NodeView(ports.node, ports.zone, connected, now_s, ports.places),
             ports.rng,
             ports.policy,
-            self.request.thing if self.sticky_key else "",
+            self.request.affinity_key if self.sticky_key else "",
         )
 
     def may_get(self, record: RunnerRecord, permit: TimedPermit, now_s: float) -> bool:
@@ -142,13 +142,13 @@
         return permit.is_valid(now_s) or not self.ports.table.cold.is_cold(record.listed.runner_id)
 
     def _usable(self, now_s: float) -> list[RunnerRecord]:
-        return self.ports.table.usable(self.service, now_s, self.regions)
+        return self.ports.table.eligible(self.service, now_s, self.regions)
 
     def _choose_preferred(
-        self, usable: Collection[RunnerRecord], tried: Collection[str], now_s: float
+        self, eligible: Collection[RunnerRecord], tried: Collection[str], now_s: float
     ) -> Choice | None:
         permit = self._preferred_permit
-        for record in usable:
+        for record in eligible:
             runner_id = record.listed.runner_id
             is_fit = runner_id not in tried and not record.is_avoided(now_s)
             is_preferred = runner_id == self._preferred_runner and is_fit
@@ -166,7 +166,7 @@
 
     async def _request_permit(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
         """Request a permit for one dispatch to a runner that was not tried yet."""
-        if self.ports.asks is None:
+        if self.ports.permits is None:
             detail = f"all runners of {self.service} are cold"
             return GiveUp(GiveUpReason.NO_PERMIT, detail)
         loop = asyncio.get_running_loop()
@@ -179,10 +179,10 @@
             history.tried,
             self.regions,
         )
-        permit = await self.ports.asks.ask(self.request, demand)
+        permit = await self.ports.permits.ask(self.request, demand)
         if isinstance(permit, Refusal):
             return permit
         for record in self._usable(loop.time()):
             if record.listed.runner_id == permit.runner_id:
-                return Choice(record, "permitted", permit.leave)
+                return Choice(record, "permitted", permit.permit)
         return GiveUp(GiveUpReason.NO_PERMIT, "this node does not know the permitted runner")
--- a/src/bendshed/services/runners.py
+++ b/src/bendshed/services/runners.py
@@ -107,7 +107,7 @@
         """Runners in a state."""
         return sum(1 for record in self.by_id.values() if record.view is view)
 
-    def usable(
+    def eligible(
         self, service: str, now_s: float, regions: Collection[str] | None
     ) -> list[RunnerRecord]:
         """Eligible runners of a service, else its last resorts; see ``eligible_runners``.
--- a/src/bendshed/services/turn_reservation.py
+++ b/src/bendshed/services/turn_reservation.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from bendshed.admission.sliding_window import TimedPermit
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.logs import PartLog
+from bendshed.model.permit import TimedPermit
 from bendshed.services.attempts import Attempts
 from bendshed.services.group_search import GroupSearch
 from bendshed.services.permit_client import demand_of
--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from bendshed.admission.cold_permits import PERMIT_VALID_S, WINDOW_MS, ColdPermitCounts
-from bendshed.admission.retry_schedule import RetrySchedule
+from bendshed.admission.retry_schedule import RetrySchedule, cold_retry_after_ms
 from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
 from bendshed.identifiers import rendezvous_rank
 from bendshed.logs import PartLog
@@ -23,9 +23,6 @@
 REJECTED_VALID_S = 2.0
 """Time, in seconds, for which the rejection of a turn rejects its begin too, which may arrive
 afterwards; otherwise the program would count as begun when its client comes back."""
-MIN_WAIT_MS = 100
-"""Least retry time, in milliseconds: above the round trip of a client, so that it does not retry
-in a loop."""
 
 log = PartLog("cold")
 
@@ -196,7 +193,7 @@
         now_ms = int(1000 * now_s)
         retries = self._retries[request.is_new_program]
         num_before = retries.num_others(request.retry_key, now_ms)
-        retry_ms = max(MIN_WAIT_MS, self._wait_ms(runners, request, num_before, now_s))
+        retry_ms = self._retry_after_ms(runners, request, num_before, now_s)
         retries.note(request.retry_key, now_ms + retry_ms)
         self._note_rejected(request.request_id, retry_ms, now_s)
         self.metrics.cold_permits.labels(ColdEnd.REFUSED.value).inc()
@@ -210,7 +207,7 @@
         )
         return Placement(retry_after_ms=retry_ms)
 
-    def _wait_ms(
+    def _retry_after_ms(
         self,
         runners: Sequence[ServiceRunner],
         request: PermitRequest,
@@ -221,7 +218,7 @@
         is_new = request.is_new_program
         least_ms = min(self.grants.wait_ms(r, rate, is_new, now_s) for r, rate in rates.items())
         per_window = sum(self.grants.most(rate, is_new, now_s) for rate in rates.values())
-        return least_ms + WINDOW_MS * num_before // max(1, per_window)
+        return cold_retry_after_ms(least_ms, num_before, per_window, WINDOW_MS)
 
     def _note_rejected(self, request_id: str, retry_ms: int, now_s: float) -> None:
         self._rejected[request_id] = (now_s, retry_ms)
--- a/src/bendshed/turns/group_peers.py
+++ b/src/bendshed/turns/group_peers.py
@@ -54,7 +54,7 @@
         except GroupUnavailable:
             return None
 
-    async def ask_emptied(self, group_id: int, node_id: str) -> bool:
+    async def request_emptied(self, group_id: int, node_id: str) -> bool:
         """Whether a group has let a machine go; ``False`` also where its leader does not answer."""
         request = wire.EmptiedAsk(group=group_id, node_id=node_id)
         answer = await self._client.request_leader(
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -135,7 +135,9 @@
         )
         placement = self._build_placement(terms, rng, metrics)
         self._service = self._build_service(ports.transport, terms, metrics, placement, peers)
-        self._loads = LoadExchange(ports.transport, self.host, terms.groups, peers, placement.board)
+        self._loads = LoadExchange(
+            ports.transport, self.host, terms.groups, peers, placement.cluster_load
+        )
         self._tasks: list[asyncio.Task[None]] = []
         self._add_gauges(metrics, placement)
 
@@ -148,7 +150,7 @@
             TurnLogState,
             self.directory.resolve,
             COMPACT_AFTER_ENTRIES,
-            stands_at_once=policy.quick_election,
+            is_candidate_at_once=policy.quick_election,
             order_of=self._standing_order,
         )
 
@@ -165,7 +167,7 @@
             TICK_S,
             terms.num_voters,
             terms.groups,
-            peers.ask_emptied,
+            peers.request_emptied,
         )
 
     def _build_placement(
@@ -200,7 +202,7 @@
             tuple(self._groups.numbers),
             self.directory,
             self._service,
-            placement.board,
+            placement.cluster_load,
             self.catalog.catalog,
             self._echo.watch,
             self._distance,
--- a/src/bendshed/turns/quota_counting.py
+++ b/src/bendshed/turns/quota_counting.py
@@ -56,7 +56,7 @@
         rank = Rank.TURN if state.is_under_way(begin) else Rank.NEW_PROGRAM
         request = QuotaRequest(begin.turn_id, begin.tenant, begin.program_id, rank, chain)
         if begin.has_left:
-            self._ledger.count_left(request, now_ms)
+            self._ledger.count_dispatched(request, now_ms)
             return None
         admission = self._ledger.admit_turn(request, limit, state.usage, now_ms)
         if admission.is_granted:
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -71,13 +71,13 @@
         placement: TurnPlacement,
         make_quotas: Callable[[], QuotaCounting],
         groups: TurnGroups = ONE_GROUP,
-        ask_group: SendToGroup = _reach_nobody,
+        send_to_group: SendToGroup = _reach_nobody,
     ) -> None:
         self._host = host
         self._placement = placement
         self._metrics = metrics
         self._transport = transport
-        self._send_elsewhere = ask_group
+        self._send_elsewhere = send_to_group
         self._groups = {number: LedGroup(number, host, make_quotas()) for number in groups.numbers}
         self.shares = ShareGatherer(groups, self._send)
         host.on_role_changed = self._note_role
@@ -215,7 +215,7 @@
         is_new = not state.is_under_way(begin)
         has_cold = self._placement.cold.tracker.has_cold
         now_s = self._look() if has_cold else asyncio.get_running_loop().time()
-        placement = self._placement.advise(preview, ran_at, is_new, now_s)
+        placement = self._placement.place_turn(preview, ran_at, is_new, now_s)
         if placement.retry_after_ms:
             return no_room_reply(placement.retry_after_ms)
         reply.runner_id, reply.permit_ms = placement.runner_id, placement.permit_ms
@@ -264,7 +264,7 @@
         terms = [
             number * TERMS_OF_A_GROUP + group.replica.term
             for number, group in self._host.groups.items()
-            if group.replica.is_ready_leader and group.replica.hears_majority
+            if group.replica.is_ready_leader and group.replica.has_majority
         ]
         self._placement.cold.grants.touch.look(min(terms, default=0), bool(terms), now_s)
         return now_s
--- a/src/bendshed/turns/state.py
+++ b/src/bendshed/turns/state.py
@@ -12,11 +12,11 @@
 from bendshed.turns.stored_turn import StoredTurn
 from bendshed.wire import turns_pb2 as wire
 
-PROGRAM_KEPT_FACTOR = 2
+PROGRAM_RETENTION_FACTOR = 2
 """A program's budget is stored this many retentions beyond its last turn."""
-MIN_PROGRAM_KEPT_MS = 120_000
+MIN_PROGRAM_RETENTION_MS = 120_000
 """The same at least, for routes with a short retention or none."""
-RELEASED_KEPT_FACTOR = 10
+RELEASED_RETENTION_FACTOR = 10
 """A program that has released its share here is stored this many times as long as others. The group
 that took the share requests it again while the program runs; a group that had forgotten the release
 would give the same tokens twice."""
@@ -195,7 +195,7 @@
     def _release(self, request: wire.ReleaseShare) -> wire.TurnReply:
         """Give up what the group holds of a budget and does not need, for good."""
         owned = (request.tenant, request.program_id)
-        program = self._program(owned, request.retention_ms, RELEASED_KEPT_FACTOR)
+        program = self._program(owned, request.retention_ms, RELEASED_RETENTION_FACTOR)
         reply = self._reply(wire.TURN_ANSWER_GRANTED, program)
         if request.to_group != self.group_id:
             reply.released_tokens = program.release(request, self.group_id)
@@ -280,4 +280,4 @@
 
 def _stored_ms(retention_ms: int) -> int:
     """How long a program's budget is stored beyond its latest turn."""
-    return max(MIN_PROGRAM_KEPT_MS, PROGRAM_KEPT_FACTOR * retention_ms)
+    return max(MIN_PROGRAM_RETENTION_MS, PROGRAM_RETENTION_FACTOR * retention_ms)
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -36,12 +36,12 @@
         rng: random.Random,
         distance: DistanceCosts | None = None,
     ) -> None:
-        self.board = ClusterLoad(rng, distance)
+        self.cluster_load = ClusterLoad(rng, distance)
         self.cold = cold
         self._catalog = catalog
         self._listed_at = 0
 
-    def advise(
+    def place_turn(
         self, preview: wire.TurnPreview, ran_at: str, is_new_program: bool, now_s: float
     ) -> Placement:
         """Place a turn, or reject it because all its runners are cold and full.
@@ -67,11 +67,11 @@
             return self.cold.grant(runner_id, request, now_s)
         return Placement(runner_id)
 
-    def place(self, asked: wire.RunnerAsk, now_s: float) -> Placement:
+    def place(self, requested: wire.RunnerAsk, now_s: float) -> Placement:
         """Permit one dispatch of a request without a preview, also to a runner that is warm
         here."""
         self._follow_list()
-        demand = asked.demand
+        demand = requested.demand
         regions = frozenset(demand.regions) or None
         runners = [
             runner
@@ -80,28 +80,36 @@
         ]
         if not runners:
             return Placement()
-        request = PermitRequest(asked.request_id, asked.request_id, asked.is_new_program)
+        request = PermitRequest(
+            requested.request_id, requested.request_id, requested.is_new_program
+        )
         openings = self.cold.counted_openings(runners, request, now_s)
         if not openings.runners:
             placement = self.cold.refuse(runners, request, now_s)
-            self.cold.forget_refused(asked.request_id)  # no begin follows it
+            self.cold.forget_refused(requested.request_id)  # no begin follows it
             return placement
-        return self.cold.grant(self._place(asked, openings.runners, now_s), request, now_s)
+        return self.cold.grant(self._place(requested, openings.runners, now_s), request, now_s)
 
-    def _place(self, asked: wire.RunnerAsk, runners: Sequence[ServiceRunner], now_s: float) -> str:
+    def _place(
+        self, requested: wire.RunnerAsk, runners: Sequence[ServiceRunner], now_s: float
+    ) -> str:
         """A turn by the cluster load; another request by permits, as its end is not reported."""
-        demand = asked.demand
+        demand = requested.demand
         if not demand.parts:
             avoided = frozenset(demand.avoided)
-            return self.cold.least_loaded(runners, asked.request_id, demand.zone, avoided, now_s)
-        turn = _read_demand(wire.BeginTurn(turn_id=asked.request_id), demand, "")
+            return self.cold.least_loaded(
+                runners, requested.request_id, demand.zone, avoided, now_s
+            )
+        turn = _read_demand(wire.BeginTurn(turn_id=requested.request_id), demand, "")
         cold = {r.runner_id for r in runners if self.cold.tracker.is_cold(r.runner_id)}
         return self._choose(turn, demand.service, Openings(runners, cold), now_s)
 
     def _choose(self, demand: Demand, service: str, openings: Openings, now_s: float) -> str:
         """Id of the runner with the least cost; empty: no runner is eligible."""
         memory_tokens = self._memory_tokens(service)
-        placed = self.board.place(demand, openings.runners, memory_tokens, now_s, openings.cold)
+        placed = self.cluster_load.place(
+            demand, openings.runners, memory_tokens, now_s, openings.cold
+        )
         if isinstance(placed, NotPlaced):
             return ""
         log.say(
@@ -111,7 +119,7 @@
             cost_ms=round(placed.cost_ms, 1),
             distance=placed.distance.value,
             running_there=placed.num_running,
-            running=self.board.num_running,
+            running=self.cluster_load.num_running,
             cached_tokens=placed.cached_tokens,
             prompt_tokens=demand.prompt_tokens,
             is_connected=placed.runner_id in demand.connected,
@@ -123,11 +131,11 @@
     def take_report(self, turn_id: str, report: wire.TurnReport, now_s: float) -> None:
         """A turn has ended."""
         ended = Ended(turn_id, report.runner_id, report.event_gap_us / 1000, report.failed)
-        self.board.end(ended, now_s)
+        self.cluster_load.end(ended, now_s)
 
     def take_refusal(self, turn_id: str, now_s: float) -> None:
         """A turn that was placed was rejected after all."""
-        self.board.end(Ended(turn_id), now_s)
+        self.cluster_load.end(Ended(turn_id), now_s)
 
     def _memory_tokens(self, service: str) -> int:
         document = self._catalog.document
@@ -137,7 +145,7 @@
     def _follow_list(self) -> None:
         if self._catalog.runners_at != self._listed_at:
             self._listed_at = self._catalog.runners_at
-            self.board.keep_only(self._catalog.runner_ids)
+            self.cluster_load.retain_only(self._catalog.runner_ids)
 
 
 def _read_demand(begin: wire.BeginTurn, wanted: wire.TurnDemand, ran_at: str) -> Demand:
--- a/tests/site_cold_defects.py
+++ b/tests/site_cold_defects.py
@@ -1,8 +1,8 @@
 """Planted defects around cold runners, and scenarios that must catch them."""
 
 from bendshed.admission.cold_permits import LeaderTouch
-from bendshed.admission.sliding_window import TimedPermit
 from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
+from bendshed.model.permit import TimedPermit
 from bendshed.model.runner import ServiceRunner
 from bendshed.placement.cold_runners import ColdRunners
 from bendshed.rehearsal.site.documents import WIDE
@@ -84,7 +84,7 @@
     return 1.0
 
 
-async def _ask_nobody(asks: PermitClient, request: object, demand: object) -> Permit:
+async def _request_no_one(permits: PermitClient, request: object, demand: object) -> Permit:
     return Permit("tool-1", TimedPermit(float("inf")))
 
 
@@ -106,7 +106,7 @@
         Rule.COLD, all_cold_while_leaders_change, patch(LeaderTouch, "share", _whole_share)
     ),
     "a front without a word goes on": Defect(
-        Rule.COLD, all_cold_while_fronts_are_cut, patch(PermitClient, "ask", _ask_nobody)
+        Rule.COLD, all_cold_while_fronts_are_cut, patch(PermitClient, "ask", _request_no_one)
     ),
     "the time left is counted from another clock": Defect(
         Rule.COLD, all_cold_after_a_while, patch(ColdRunners, "_note", _note_by_another_clock)
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -340,7 +340,7 @@
         Rule.FOUND, leaders_lose_their_disks, patch(RaftReplica, "_quorum", property(lambda _s: 1))
     ),
     "leaving is ignored": Defect(
-        Rule.DRAIN, a_runner_leaves, patch(RunnerTable, "usable", _all_of_service)
+        Rule.DRAIN, a_runner_leaves, patch(RunnerTable, "eligible", _all_of_service)
     ),
     "a connection is kept when its client left": Defect(
         Rule.LEAVE, clients_leave, patch(SimConnection, "abort", lambda self: None)
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -6,7 +6,7 @@
 import orjson
 
 from bendshed.admission.access import AccessIndex
-from bendshed.catalog.codec import StoredCatalog, decode_kept, encode_kept, read_document
+from bendshed.catalog.codec import StoredCatalog, decode_stored, encode_stored, read_document
 from bendshed.catalog.state import Catalog
 from bendshed.errors import Refusal
 from bendshed.identifiers import credential_digest
@@ -18,7 +18,7 @@
 from bendshed.ports.caller_protocol import ReceivedRequest
 from bendshed.ports.http_messages import Headers
 from bendshed.ports.objects import StoredObject
-from bendshed.ports.runner import Sending, ServiceRequest
+from bendshed.ports.runner import RunnerDispatch, ServiceRequest
 
 KEY, OTHER_KEY = "gjqnirth5mgjy5rcpihh", "acruddedev3nax7u27gx"
 
@@ -72,7 +72,7 @@
     route = document().routes[0]
     spec = {"service": "s", "addr": "10.0.0.9:80", "state": "ready"}
     runner = translate.read_runner(StoredObject("i-1", 3, spec, None))
-    sending = Sending(route, runner, who.name, who.is_unasked, who.urgency, 100)
+    sending = RunnerDispatch(route, runner, who.name, who.is_unasked, who.urgency, 100)
     return PlatformRunnerProtocol().request(asked, b"", sending).headers
 
 
@@ -155,12 +155,12 @@
         known = document()
         catalog = Catalog()
         catalog.take_document(known)
-        kept = encode_kept(StoredCatalog(catalog))
+        kept = encode_stored(StoredCatalog(catalog))
         told = catalog.written(lambda row: orjson.dumps(orjson.loads(_plain(row))))
         asked = request(authorization(f"Token {KEY}"))
         for place in (kept, told, repr(known).encode(), repr(asked).encode()):
             self.assertNotIn(KEY.encode(), place)
-        opened = decode_kept(kept).catalog.document
+        opened = decode_stored(kept).catalog.document
         self.assertEqual(opened, known)
 
     def test_a_document_kept_as_plain_json_opens(self) -> None:
--- a/tests/test_budget_shares.py
+++ b/tests/test_budget_shares.py
@@ -10,7 +10,7 @@
 from bendshed.admission.program_budget import first_share
 from bendshed.consensus.raft import RaftReplica
 from bendshed.ports.log_storage import StoredGroup
-from bendshed.turns.state import MIN_PROGRAM_KEPT_MS, RELEASED_KEPT_FACTOR, TurnLogState
+from bendshed.turns.state import MIN_PROGRAM_RETENTION_MS, RELEASED_RETENTION_FACTOR, TurnLogState
 from bendshed.wire import consensus_pb2
 from bendshed.wire import turns_pb2 as wire
 
@@ -163,7 +163,7 @@
         groups.move(1)
         self.assertFalse(groups.states[0].wants_shares(begin))
         for turn in ("c", "d"):
-            groups.now_ms += 2 * MIN_PROGRAM_KEPT_MS // 3
+            groups.now_ms += 2 * MIN_PROGRAM_RETENTION_MS // 3
             groups.begin(0, turn, most=10)
         self.assertTrue(groups.states[0].wants_shares(begin))
 
@@ -171,7 +171,7 @@
         groups = Groups()
         groups.begin(0, "a")
         groups.move(1)
-        groups.now_ms += (RELEASED_KEPT_FACTOR - 1) * MIN_PROGRAM_KEPT_MS
+        groups.now_ms += (RELEASED_RETENTION_FACTOR - 1) * MIN_PROGRAM_RETENTION_MS
         self.assertEqual(groups.begin(1, "b").answer, wire.TURN_ANSWER_OTHER_GROUP)
 
     def test_a_first_turn_is_previewed_if_its_share_holds_it(self) -> None:
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from bendshed.catalog import demand, follower
-from bendshed.catalog.codec import StoredCatalog, decode_kept, encode_kept
+from bendshed.catalog.codec import StoredCatalog, decode_stored, encode_stored
 from bendshed.catalog.known_fronts import KnownFronts
 from bendshed.catalog.server import CATALOG_METHOD
 from bendshed.catalog.state import MAX_REMOVED, Catalog, KnownRunner
@@ -64,13 +64,13 @@
         self.catalog.take_document(make_document(4))
         node = ReplicaNode("store-1", "abc", Address("10.0.1.1", 7000), "zone-a")
         front = Address("10.0.2.1", 7000)
-        kept = decode_kept(encode_kept(StoredCatalog(self.catalog, (node,), (front,))))
+        kept = decode_stored(encode_stored(StoredCatalog(self.catalog, (node,), (front,))))
         self.assertEqual((kept.replicas, kept.fronts), ((node,), (front,)))
         read = kept.catalog
         self.assertEqual((read.version, read.runners_at), (4, 6))
         self.assertEqual(read.document, self.catalog.document)
-        self.assertEqual(decode_kept(b"\xff\xff").catalog.version, 0)
-        self.assertEqual(decode_kept(None).catalog.version, 0)
+        self.assertEqual(decode_stored(b"\xff\xff").catalog.version, 0)
+        self.assertEqual(decode_stored(None).catalog.version, 0)
 
 
 class ColdStartTest(unittest.TestCase):
@@ -135,7 +135,7 @@
     """With enough fronts one replica machine of a zone asks the registry for all of them."""
 
     def setUp(self) -> None:
-        patch = mock.patch.object(demand, "MIN_SHARED_ASKERS", 1)
+        patch = mock.patch.object(demand, "MIN_SHARED_REQUESTERS", 1)
         patch.start()
         self.addCleanup(patch.stop)
         self.world = SiteWorld.started(3)
@@ -234,6 +234,7 @@
         self.world.run_for(0.5)
         assert self.front.front is not None
         names = {
-            record.listed.runner_id for record in self.front.front._table.usable("engines", 0, None)
+            record.listed.runner_id
+            for record in self.front.front._table.eligible("engines", 0, None)
         }
         self.assertEqual(names, {"engine-2", "engine-3"})
--- a/tests/test_cold_runners.py
+++ b/tests/test_cold_runners.py
@@ -126,7 +126,7 @@
     def lead(self, from_s: float, to_s: float, rng: random.Random, term: int) -> None:
         at_s = from_s
         while at_s < to_s:
-            self.grants.touch.look(term, hears_majority=True, now_s=at_s)
+            self.grants.touch.look(term, has_majority=True, now_s=at_s)
             if self.grants.room("r", COLD_PER_S, False, at_s) > 0:
                 self.grants.grant("r", at_s)
                 self.sent_s.append(at_s + rng.uniform(0, PERMIT_VALID_S))
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -8,11 +8,10 @@
 
 from prometheus_client import CollectorRegistry
 
-from bendshed.admission.sliding_window import NO_PERMIT, TimedPermit
 from bendshed.catalog.codec import (
     StoredCatalog,
-    decode_kept,
-    encode_kept,
+    decode_stored,
+    encode_stored,
     read_runner,
     write_reply,
 )
@@ -20,12 +19,13 @@
 from bendshed.catalog.state import Catalog, KnownRunner
 from bendshed.errors import ErrorKind, Refusal, WasRun
 from bendshed.model.address import Address
+from bendshed.model.permit import NO_PERMIT, TimedPermit
 from bendshed.model.principal import Principal
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.model.service_document import Route, RouteKind, Service, ServiceDocument
 from bendshed.placement.cold_runners import ColdTerms
 from bendshed.ports.http_messages import ClientRequest, ConnectFailed, ResponseHead
-from bendshed.ports.runner import RunnerProtocol, Sending, ServiceRequest, Verdict
+from bendshed.ports.runner import RunnerDispatch, RunnerProtocol, ServiceRequest, Verdict
 from bendshed.ports.runner_connections import RunnerConnection, RunnerConnections
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.records import Kind
@@ -118,8 +118,8 @@
         runners = [KnownRunner(runner("a", 5_000), 1), KnownRunner(runner("b"), 2)]
         self.catalog.list_runners(runners, 2, is_trusted=True)
         self.clock.now_s += 1.0
-        content = encode_kept(StoredCatalog(self.catalog))
-        kept = decode_kept(content).catalog
+        content = encode_stored(StoredCatalog(self.catalog))
+        kept = decode_stored(content).catalog
         kept.begin_incarnation(Clock(3_600.0))
         self.assertEqual(self.told(kept), {"a": 4_000, "b": 0})
         kept.list_runners([KnownRunner(runner("a"), 1)], 2, is_trusted=True)
@@ -156,7 +156,7 @@
         asked.begin.program_id = f"p{self.num_turns}"
         asked.demand.service = "s"
         asked.demand.left_ms = 2_000
-        placed = self.advice.advise(asked, "", is_new, self.clock.now_s)
+        placed = self.advice.place_turn(asked, "", is_new, self.clock.now_s)
         return wire.TurnReply(
             runner_id=placed.runner_id,
             permit_ms=placed.permit_ms,
@@ -315,7 +315,9 @@
 
 
 class FakeProtocol(RunnerProtocol):
-    def request(self, request: ServiceRequest, body: bytes, sending: Sending) -> ClientRequest:
+    def request(
+        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+    ) -> ClientRequest:
         return ClientRequest(b"POST", b"/", [], body, lambda _head: True)
 
     def verdict(self, head: ResponseHead) -> Verdict:
@@ -384,7 +386,7 @@
         self.lost_since_s = None
         self.home_group = 0
         self.reply = reply
-        self.asks: list[wire.RunnerAsk] = []
+        self.permits: list[wire.RunnerAsk] = []
 
     @property
     def is_isolated(self) -> bool:
@@ -395,7 +397,7 @@
         return 0.0
 
     async def place(self, ask: wire.RunnerAsk, timeout_s: float) -> wire.TurnReply | None:
-        self.asks.append(ask)
+        self.permits.append(ask)
         return self.reply
 
 
@@ -406,8 +408,8 @@
 class AsksTest(unittest.IsolatedAsyncioTestCase):
     async def ask(self, reply: wire.TurnReply | None, program_id: str = "") -> Permit | Refusal:
         self.client = FakeClient(reply)
-        asks = PermitClient(self.client, ServiceMetrics(CollectorRegistry()))
-        return await asks.ask(call(program_id), wire.TurnDemand(service="s", left_ms=2_000))
+        permits = PermitClient(self.client, ServiceMetrics(CollectorRegistry()))
+        return await permits.ask(call(program_id), wire.TurnDemand(service="s", left_ms=2_000))
 
     async def test_leave_runs_from_the_question(self) -> None:
         asked_s = asyncio.get_running_loop().time()
@@ -415,7 +417,7 @@
         assert isinstance(permit, Permit)
         self.assertEqual(permit.runner_id, "a")
         answered_s = asyncio.get_running_loop().time()
-        self.assertTrue(asked_s + 0.25 <= permit.leave.until_s <= answered_s + 0.25)
+        self.assertTrue(asked_s + 0.25 <= permit.permit.until_s <= answered_s + 0.25)
 
     async def test_no_room_tells_when_to_come_back(self) -> None:
         no_room = wire.TurnReply(answer=wire.TURN_ANSWER_NO_ROOM, retry_after_ms=400)
@@ -436,9 +438,9 @@
 
     async def test_only_a_request_of_no_program_is_a_new_one(self) -> None:
         await self.ask(None)
-        self.assertTrue(self.client.asks[0].is_new_program)
+        self.assertTrue(self.client.permits[0].is_new_program)
         await self.ask(None, "p1")
-        self.assertFalse(self.client.asks[0].is_new_program)
+        self.assertFalse(self.client.permits[0].is_new_program)
 
 
 class SendingTest(unittest.IsolatedAsyncioTestCase):
@@ -451,12 +453,12 @@
             self.table.put(runner(name, 60_000))
 
     def attempts(self, *answers: Permit | Refusal) -> Attempts:
-        self.asks = FakeAsks(*answers)
+        self.permits = FakeAsks(*answers)
         metrics = ServiceMetrics(CollectorRegistry())
         ports = RunnerPorts(
             self.table, self.pool, FakeProtocol(), "z", "n", random.Random(1), metrics
         )
-        ports = replace(ports, asks=self.asks)
+        ports = replace(ports, permits=self.permits)
         now_s = asyncio.get_running_loop().time()
         request = ServiceRequest(
             "r1", b"POST", b"/", "h", "/", [], b"", None, "", "", "", None, now_s
@@ -475,7 +477,7 @@
     async def test_a_warm_runner_is_sent_to_without_a_question(self) -> None:
         self.table.put(runner("b"))
         self.assertEqual(await self.open(self.attempts()), "b")
-        self.assertEqual(self.asks.tried, [])
+        self.assertEqual(self.permits.tried, [])
 
     async def test_a_cold_one_only_with_leave(self) -> None:
         self.assertEqual(await self.open(self.attempts(Permit("a", VALID))), "a")
@@ -495,7 +497,7 @@
     async def test_leave_that_ran_out_on_the_way_is_not_used(self) -> None:
         attempts = self.attempts(Permit("a", NO_PERMIT), Permit("a", VALID))
         self.assertEqual(await self.open(attempts), "a")
-        self.assertEqual(self.asks.tried, [[], []])
+        self.assertEqual(self.permits.tried, [[], []])
         self.assertEqual(attempts.history.num_maybe_run, 1)
 
     async def test_a_runner_that_turns_cold_while_its_connection_comes_up_gets_nothing(
@@ -511,17 +513,17 @@
         self.pool.unreachable = {Address("a", 80)}
         attempts = self.attempts(Permit("a", VALID), Permit("b", VALID))
         self.assertEqual(await self.open(attempts), "b")
-        self.assertEqual(self.asks.tried, [[], ["a"]])
+        self.assertEqual(self.permits.tried, [[], ["a"]])
 
     async def test_without_anybody_to_ask_it_is_refused(self) -> None:
         attempts = self.attempts()
-        attempts.placement.ports = replace(attempts.ports, asks=None)
+        attempts.placement.ports = replace(attempts.ports, permits=None)
         self.assertEqual(await self.open(attempts), "no_runner")
 
     async def test_leave_is_asked_for_a_bounded_number_of_times(self) -> None:
         attempts = self.attempts(*[Permit("a", NO_PERMIT)] * 9)
         self.assertEqual(await self.open(attempts), "overloaded")
-        self.assertEqual(len(self.asks.tried), 4)
+        self.assertEqual(len(self.permits.tried), 4)
 
 
 class ColdSiteTest(unittest.TestCase):
--- a/tests/test_distance_placement.py
+++ b/tests/test_distance_placement.py
@@ -170,17 +170,19 @@
     def setUp(self) -> None:
         self.records = {name: RunnerRecord(runner(name)) for name in ZONES}
 
-    def choose(self, session: str = "", thing: str = "", connected: str = "") -> str:
+    def choose(self, session: str = "", affinity_key: str = "", connected: str = "") -> str:
         view = NodeView("front", "x", set(connected.split()), 0.0, PLACES)
         rng = random.Random(1)
-        found = choose_runner(self.records.values(), (), session, view, rng, thing=thing)
+        found = choose_runner(
+            self.records.values(), (), session, view, rng, affinity_key=affinity_key
+        )
         assert found is not None
         return found.record.listed.runner_id
 
     def test_every_way_of_choosing_stays_in_the_region(self) -> None:
         for number in range(20):
             self.assertIn(self.choose(session=f"s{number}"), WEST)
-            self.assertIn(self.choose(thing=f"t{number}", connected="a1 b1 x1"), WEST)
+            self.assertIn(self.choose(affinity_key=f"t{number}", connected="a1 b1 x1"), WEST)
         self.assertEqual(ZONES[self.choose()], "x")
         self.assertIn(self.choose(connected="a1 b1"), WEST)
 
--- a/tests/test_explanation.py
+++ b/tests/test_explanation.py
@@ -43,8 +43,8 @@
         self.assertIn("may not be repeated", explanation.cause)
 
     def test_what_processes_believed_around_it_stands_between(self) -> None:
-        near = line(9.0, "store-1", "consensus: the role changed", role="leader", term=4)
-        far = line(2.0, "store-1", "consensus: the role changed", role="follower", term=3)
+        near = line(9.0, "store-1", "consensus: role changed", role="leader", term=4)
+        far = line(2.0, "store-1", "consensus: role changed", role="follower", term=3)
         explanation = explain("r1", [near, far, *LOST_RUNNER])
         self.assertEqual(explanation.lines[0], near)
         self.assertNotIn(far, explanation.lines)
--- a/tests/test_follower_ways.py
+++ b/tests/test_follower_ways.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from bendshed.catalog.demand import MIN_SHARED_ASKERS
+from bendshed.catalog.demand import MIN_SHARED_REQUESTERS
 from bendshed.catalog.follower import CatalogFollower, FollowerPaths
 from bendshed.catalog.state import Catalog, KnownRunner
 from bendshed.catalog.times import CatalogTimes
@@ -61,7 +61,7 @@
         reply = wire.CatalogReply(
             has_runners=True,
             runners_at=5,
-            num_askers=MIN_SHARED_ASKERS,
+            num_askers=MIN_SHARED_REQUESTERS,
             document_version=0,
             zones_at=self.zones_at,
         )
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -222,7 +222,7 @@
 
     def test_runners_that_are_gone_are_forgotten_with_their_turns(self) -> None:
         placed = self.place(self.demand())
-        self.load.keep_only([])
+        self.load.retain_only([])
         self.assertEqual(self.load.num_running, 0)
         self.load.end(Ended("turn-1", placed.runner_id, 30.0), 1.0)
         self.assertEqual(self.load.place(self.demand(), [], CAPACITY, 1.0), NotPlaced())
--- a/tests/test_log_table.py
+++ b/tests/test_log_table.py
@@ -40,7 +40,7 @@
 
 def all_sentences() -> set[str]:
     paths = [p for folder in FOLDERS for p in (SOURCES / folder).rglob("*.py")]
-    found = {"logs: lines were dropped"}
+    found = {"logs: lines dropped: reader too slow"}
     return found.union(*(sentences_of(p) for p in paths if p.name not in OWN_INTERFACE_ONLY))
 
 
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -24,7 +24,7 @@
 from bendshed.ports.caller_protocol import ReceivedRequest
 from bendshed.ports.http_messages import Headers, ResponseHead
 from bendshed.ports.objects import StoredObject
-from bendshed.ports.runner import Sending, ServiceRequest, Verdict
+from bendshed.ports.runner import RunnerDispatch, ServiceRequest, Verdict
 
 SETTINGS = {
     "nodeName": "front-1",
@@ -233,7 +233,7 @@
         spec = {"service": "s", "addr": "10.0.0.9:80", "state": "ready"}
         target = read_runner(StoredObject("i-1", 3, spec, None))
         protocol = PlatformRunnerProtocol()
-        sending = Sending(document.routes[0], target, "", True, 1, 1234)
+        sending = RunnerDispatch(document.routes[0], target, "", True, 1, 1234)
         sent = protocol.request(request, b"all", sending)
         fields = dict(sent.headers)
         self.assertEqual(fields[names.DEADLINE_MS], b"1234")
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -9,7 +9,7 @@
 from bendshed.admission.quota_allowance import USABLE_S, LocalAllowances
 from bendshed.admission.quota_ledger import GUARD_MS, QuotaLedger, QuotaRequest, Rank
 from bendshed.admission.quota_limits import QuotaTerms, TenantLimit, limit_of
-from bendshed.admission.quota_usage import KEPT_MS, UsageWindows
+from bendshed.admission.quota_usage import USAGE_MEMORY_MS, UsageWindows
 from bendshed.admission.retry_schedule import (
     MIN_RETRY_AFTER_MS,
     RetrySchedule,
@@ -75,10 +75,10 @@
     def test_a_node_that_was_forgotten_is_not_counted_anew(self) -> None:
         usage = UsageWindows()
         usage.take_report("n", [wire.TenantSpent(tenant="t", total=50)], 0)
-        usage.sweep(2 * KEPT_MS)
+        usage.sweep(2 * USAGE_MEMORY_MS)
         row = wire.TenantSpent(tenant="t", total=51, reported=50)
-        usage.take_report("n", [row], 2 * KEPT_MS)
-        self.assertEqual(usage.in_window("t", 2 * KEPT_MS, WINDOW_MS), 1)
+        usage.take_report("n", [row], 2 * USAGE_MEMORY_MS)
+        self.assertEqual(usage.in_window("t", 2 * USAGE_MEMORY_MS, WINDOW_MS), 1)
 
 
 class LedgerTest(unittest.TestCase):
@@ -108,8 +108,8 @@
     def test_turns_that_left_count_until_they_are_committed(self) -> None:
         for number in range(10):
             request = QuotaRequest(f"l{number}", "t", "p", Rank.TURN)
-            self.ledger.count_left(request, 0)
-            self.ledger.count_left(request, 0)
+            self.ledger.count_dispatched(request, 0)
+            self.ledger.count_dispatched(request, 0)
         self.assertFalse(self.turn("new", 0))
         for number in range(10):
             self.ledger.settle_turn(f"l{number}")
--- a/tests/test_regions_catalog.py
+++ b/tests/test_regions_catalog.py
@@ -83,7 +83,7 @@
     """Eight fronts and four replica machines in two regions, 30 ms apart one way."""
 
     def setUp(self) -> None:
-        patch = mock.patch.object(demand, "MIN_SHARED_ASKERS", 1)
+        patch = mock.patch.object(demand, "MIN_SHARED_REQUESTERS", 1)
         patch.start()
         self.addCleanup(patch.stop)
         self.world = SiteWorld.started(3, two_zones_a_region(NUM_FRONTS))
@@ -216,7 +216,7 @@
     """Neither region has enough nodes for a reader of its own; both together have."""
 
     def test_both_regions_count_together(self) -> None:
-        world = SiteWorld.started(3, two_zones_a_region(demand.MIN_SHARED_ASKERS))
+        world = SiteWorld.started(3, two_zones_a_region(demand.MIN_SHARED_REQUESTERS))
         self.addCleanup(world.close)
         world.run_for(4.0)
         for front in world.fronts.values():
--- a/tests/test_regions_site.py
+++ b/tests/test_regions_site.py
@@ -32,7 +32,7 @@
 
 class RegionsTest(unittest.TestCase):
     def start(self, seed: int) -> SiteWorld:
-        patch = mock.patch.object(demand, "MIN_SHARED_ASKERS", 1)
+        patch = mock.patch.object(demand, "MIN_SHARED_REQUESTERS", 1)
         patch.start()
         self.addCleanup(patch.stop)
         world = SiteWorld.started(seed, two_zones_a_region(NUM_FRONTS))
--- a/tests/test_round_trips.py
+++ b/tests/test_round_trips.py
@@ -11,7 +11,7 @@
 from bendshed.paths.adaptive_timeout import NEAR_TIMEOUT_S, AdaptiveTimeout
 from bendshed.paths.echo import ROUNDS_UNHEARD, RegionWatch
 from bendshed.paths.neighbours import UNMEASURED_S, Neighbours
-from bendshed.ports.round_trips import KEPT_S, MAX_KEPT, WINDOW_S, RoundTrips
+from bendshed.ports.round_trips import MAX_PEERS, MEMORY_S, WINDOW_S, RoundTrips
 
 PLACES = Places({"a": "east", "b": "east", "x": "west"})
 LOCAL = "127.0.0.1"
@@ -45,13 +45,13 @@
 
     def test_an_old_word_holds_for_a_while_and_not_for_ever(self) -> None:
         self.trips.note("peer", 0.06, 0.0)
-        self.assertEqual(self.trips.least_s("peer", KEPT_S), 0.06)
-        self.assertIsNone(self.trips.least_s("peer", KEPT_S + 1))
+        self.assertEqual(self.trips.least_s("peer", MEMORY_S), 0.06)
+        self.assertIsNone(self.trips.least_s("peer", MEMORY_S + 1))
 
     def test_what_is_kept_is_bounded(self) -> None:
-        for number in range(MAX_KEPT + 10):
+        for number in range(MAX_PEERS + 10):
             self.trips.note(str(number), 0.01, 0.0)
-        self.assertEqual(len(self.trips.all_s(0.0)), MAX_KEPT)
+        self.assertEqual(len(self.trips.all_s(0.0)), MAX_PEERS)
 
 
 class NeighboursTest(unittest.TestCase):
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -73,41 +73,41 @@
         for name in ("a", "b"):
             self.table.put(runner(name))
 
-    def usable(self, now_s: float = 0.0) -> list[str]:
-        return [record.listed.runner_id for record in self.table.usable("s", now_s, None)]
+    def eligible(self, now_s: float = 0.0) -> list[str]:
+        return [record.listed.runner_id for record in self.table.eligible("s", now_s, None)]
 
     def test_a_draining_runner_gets_nothing_new(self) -> None:
         self.table.put(runner("a", state=RunnerState.DRAINING))
-        self.assertEqual(self.usable(), ["b"])
+        self.assertEqual(self.eligible(), ["b"])
 
     def test_a_gone_runner_gets_nothing_new(self) -> None:
         self.table.remove("a", 0.0, trusted=True)
         self.table.remove("b", 0.0, trusted=True)
-        self.assertEqual(self.usable(), [])
+        self.assertEqual(self.eligible(), [])
 
     def test_runners_that_vanish_while_the_store_fails_are_a_last_resort(self) -> None:
         self.table.remove("a", 0.0, trusted=False)
-        self.assertEqual(self.usable(), ["b"])
+        self.assertEqual(self.eligible(), ["b"])
         self.table.remove("b", 0.0, trusted=False)
-        self.assertEqual(self.usable(), ["a", "b"])
+        self.assertEqual(self.eligible(), ["a", "b"])
         self.table.put(runner("b"))
-        self.assertEqual(self.usable(), ["b"])
+        self.assertEqual(self.eligible(), ["b"])
         self.table.remove("b", 0.0, trusted=True)
-        self.assertEqual(self.usable(UNLISTED_VALID_S + 1), [])
+        self.assertEqual(self.eligible(UNLISTED_VALID_S + 1), [])
 
     def test_a_runner_that_does_not_come_back_with_the_store_is_gone(self) -> None:
         """Entries that lapsed with the store are back 2 s after its return, or gone."""
         self.table.remove("a", 10.0, trusted=False)
         self.table.remove("b", 10.0, trusted=False)
-        self.assertEqual(self.usable(12.0), ["a", "b"])
+        self.assertEqual(self.eligible(12.0), ["a", "b"])
         self.table.put(runner("b"))
-        self.assertEqual(self.usable(12.2), ["b"])
+        self.assertEqual(self.eligible(12.2), ["b"])
         self.table.remove("b", 12.3, trusted=True)
-        self.assertEqual(self.usable(13.0), [])
+        self.assertEqual(self.eligible(13.0), [])
 
     def test_a_runner_of_another_service_is_not_used(self) -> None:
         self.table.put(runner("a", service="t"))
-        self.assertEqual(self.usable(), ["b"])
+        self.assertEqual(self.eligible(), ["b"])
 
 
 class PlacementTest(unittest.TestCase):
@@ -123,11 +123,11 @@
         connected: str = "",
         node: str = "node",
         now_s: float = 0.0,
-        thing: str = "",
+        affinity_key: str = "",
         policy: Policy = EVERYTHING,
     ) -> str:
         view = NodeView(node, zone, connected, now_s)
-        choice = choose_runner(self.records, tried, session, view, self.rng, policy, thing)
+        choice = choose_runner(self.records, tried, session, view, self.rng, policy, affinity_key)
         return choice.record.listed.runner_id if choice is not None else ""
 
     def test_a_session_stays_until_its_runner_is_loaded(self) -> None:
@@ -153,23 +153,25 @@
         self.assertNotEqual(self.choose(connected="c"), "c")
 
     def test_a_thing_stays_at_one_runner_among_those_with_an_idle_connection(self) -> None:
-        homes = {self.choose(thing=str(number), connected="bcd") for number in range(60)}
+        homes = {self.choose(affinity_key=str(number), connected="bcd") for number in range(60)}
         self.assertEqual(homes, set("bcd"))
-        home = self.choose(thing="7", connected="bcd")
-        self.assertEqual({self.choose(thing="7", connected="bcd") for _ in range(9)}, {home})
+        home = self.choose(affinity_key="7", connected="bcd")
+        self.assertEqual({self.choose(affinity_key="7", connected="bcd") for _ in range(9)}, {home})
         record = next(r for r in self.records if r.listed.runner_id == home)
         record.in_flight = AFFINITY_MAX_EXTRA + 1
-        self.assertNotEqual(self.choose(thing="7", connected="bcd"), home)
+        self.assertNotEqual(self.choose(affinity_key="7", connected="bcd"), home)
 
     def test_a_thing_opens_no_connection_where_one_rests(self) -> None:
-        self.assertEqual({self.choose(thing=str(n), connected="c") for n in range(20)}, {"c"})
+        self.assertEqual(
+            {self.choose(affinity_key=str(n), connected="c") for n in range(20)}, {"c"}
+        )
         by_node = self.choose(node="n")
-        self.assertEqual(self.choose(thing="7", node="n"), by_node)
+        self.assertEqual(self.choose(affinity_key="7", node="n"), by_node)
 
     def test_switched_off_a_thing_has_one_runner_for_all_nodes(self) -> None:
         policy = Policy(thing_affinity=False)
         chosen = {
-            self.choose("thing", thing="thing", policy=policy, connected=one, node=one)
+            self.choose("thing", affinity_key="thing", policy=policy, connected=one, node=one)
             for one in "abcd"
         }
         self.assertEqual(len(chosen), 1)
--- a/tests/test_zone_processes.py
+++ b/tests/test_zone_processes.py
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-from bendshed.catalog.codec import decode_kept
+from bendshed.catalog.codec import decode_stored
 from bendshed.catalog.file import FileCatalogStorage
 from bendshed.platform import names
 from bendshed.rehearsal.site.demo import make_program
@@ -52,7 +52,7 @@
             await site.wait_ready(front)
 
     def is_kept(self, site: SiteInstallation, store: str) -> bool:
-        kept = decode_kept(FileCatalogStorage(site.folder / store).load())
+        kept = decode_stored(FileCatalogStorage(site.folder / store).load())
         return kept.zones.zones.closed == {CLOSED}
 
     async def open(self, site: SiteInstallation) -> None:
--- a/tests/test_zone_ways.py
+++ b/tests/test_zone_ways.py
@@ -331,7 +331,7 @@
                 demand = wire.TurnDemand(service="s", left_ms=4000, zone="b", regions=regions)
                 begin = wire.BeginTurn(turn_id=f"t{number}", most_tokens=9)
                 preview = wire.TurnPreview(begin=begin, demand=demand)
-                placement = advice.advise(preview, SHUT[0], False, 1.0)
+                placement = advice.place_turn(preview, SHUT[0], False, 1.0)
                 self.assertIn(placement.runner_id, OPEN)
 
     async def test_the_leader_is_told_the_homes(self) -> None:
--- a/tests/test_zone_worlds.py
+++ b/tests/test_zone_worlds.py
@@ -25,7 +25,7 @@
     """Enough fronts ask that one replica machine reads the registry for all."""
 
     def setUp(self) -> None:
-        patch = mock.patch.object(demand, "MIN_SHARED_ASKERS", 1)
+        patch = mock.patch.object(demand, "MIN_SHARED_REQUESTERS", 1)
         patch.start()
         self.addCleanup(patch.stop)
         self.world = SiteWorld.started(5)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -2,12 +2,18 @@
 
 import unittest
 
-from bendshed.catalog.codec import StoredCatalog, add_zones, decode_kept, encode_kept, read_zones
+from bendshed.catalog.codec import (
+    StoredCatalog,
+    add_zones,
+    decode_stored,
+    encode_stored,
+    read_zones,
+)
 from bendshed.catalog.follower import REPLY_MARGIN_S
 from bendshed.catalog.state import Catalog, KnownRunner
 from bendshed.catalog.times import CatalogTimes
 from bendshed.catalog.watcher import KNOWING_RETRY_MAX_S, LOST_WAIT_S, KindHandler
-from bendshed.catalog.zones import word_of_listing
+from bendshed.catalog.zones import update_of_listing
 from bendshed.model.address import Address
 from bendshed.model.places import Places
 from bendshed.model.principal import Principal
@@ -38,7 +44,7 @@
 ZONE_CLOSE_S = 5.0
 
 
-def word(at: int, *closed: str, **reopened_ago_s: float) -> ZoneUpdate:
+def update(at: int, *closed: str, **reopened_ago_s: float) -> ZoneUpdate:
     return ZoneUpdate(ClosedZones(at, frozenset(closed)), reopened_ago_s)
 
 
@@ -49,43 +55,43 @@
 class ZoneRecordTest(unittest.TestCase):
     def setUp(self) -> None:
         self.record = ZoneRecord()
-        self.record.take(word(5, "a"), 10.0)
+        self.record.take(update(5, "a"), 10.0)
 
     def test_a_zone_is_closed_and_opened(self) -> None:
         self.assertEqual(self.record.closed_since_s, {"a": 10.0})
-        changes = self.record.take(word(9, "b"), 14.0)
+        changes = self.record.take(update(9, "b"), 14.0)
         self.assertEqual(changes.closed, ("b",))
         self.assertEqual(changes.opened, (OpenedZone("a", 14.0),))
         self.assertEqual(self.record.closed_since_s, {"b": 14.0})
 
     def test_an_older_word_changes_nothing(self) -> None:
-        for old in (word(4), word(4, "b"), word(0), word(4, a=0.1)):
+        for old in (update(4), update(4, "b"), update(0), update(4, a=0.1)):
             self.assertFalse(self.record.take(old, 11.0))
         self.assertEqual(self.record.zones, ClosedZones(5, frozenset("a")))
 
     def test_the_revision_rises_without_a_change(self) -> None:
-        self.assertFalse(self.record.take(word(8, "a"), 11.0))
+        self.assertFalse(self.record.take(update(8, "a"), 11.0))
         self.assertEqual((self.record.zones.at, self.record.changed_at), (8, 5))
 
     def test_a_zone_that_was_closed_and_opened_while_this_node_slept(self) -> None:
-        changes = self.record.take(word(9, "a", b=2.5), 20.0)
+        changes = self.record.take(update(9, "a", b=2.5), 20.0)
         self.assertEqual(changes.opened, (OpenedZone("b", 17.5),))
 
     def test_an_opening_that_is_told_again_is_none(self) -> None:
-        self.record.take(word(9, b=2.5), 20.0)
-        self.assertFalse(self.record.take(word(10, b=4.1), 21.5))
-        self.assertTrue(self.record.take(word(12, b=0.2), 25.0))
+        self.record.take(update(9, b=2.5), 20.0)
+        self.assertFalse(self.record.take(update(10, b=4.1), 21.5))
+        self.assertTrue(self.record.take(update(12, b=0.2), 25.0))
 
     def test_a_zone_that_is_closed_again_is_not_open(self) -> None:
-        self.assertEqual(self.record.take(word(9, "a", a=1.0), 20.0).opened, ())
+        self.assertEqual(self.record.take(update(9, "a", a=1.0), 20.0).opened, ())
 
     def test_a_known_time_of_opening_counts(self) -> None:
-        self.assertEqual(self.record.take(word(9, a=3.0), 20.0).opened, (OpenedZone("a", 17.0),))
+        self.assertEqual(self.record.take(update(9, a=3.0), 20.0).opened, (OpenedZone("a", 17.0),))
 
     def test_telling_of_an_opening_ends(self) -> None:
-        self.record.take(word(9), 20.0)
-        self.assertEqual(self.record.word(23.0).reopened_ago_s, {"a": 3.0})
-        self.assertEqual(self.record.word(20.5 + REOPENED_REPORTED_S).reopened_ago_s, {})
+        self.record.take(update(9), 20.0)
+        self.assertEqual(self.record.update(23.0).reopened_ago_s, {"a": 3.0})
+        self.assertEqual(self.record.update(20.5 + REOPENED_REPORTED_S).reopened_ago_s, {})
         self.assertFalse(self.record.forget_old(20.5 + REOPENED_REPORTED_S))
         self.assertTrue(self.record.forget_old(20.5 + REOPENED_KNOWN_S))
         self.assertEqual(self.record.opened_at_s, {})
@@ -117,8 +123,8 @@
             table.put(runner(zone, zone))
             catalog.put_runner(KnownRunner(runner(zone, zone), number + 1))
         for regions, expected in ((None, ["b", "c"]), (frozenset({"west"}), ["b"])):
-            usable = table.usable("s", 0.0, regions)
-            self.assertEqual([one.listed.runner_id for one in usable], expected)
+            eligible = table.eligible("s", 0.0, regions)
+            self.assertEqual([one.listed.runner_id for one in eligible], expected)
             ready = catalog.ready_runners("s", regions)
             self.assertEqual([one.runner_id for one in ready], expected)
 
@@ -127,7 +133,7 @@
         for zone in "ab":
             table.put(runner(zone, zone))
         table.remove("b", 0.0, trusted=False)
-        self.assertEqual([one.listed.runner_id for one in table.usable("s", 0.0, None)], ["b"])
+        self.assertEqual([one.listed.runner_id for one in table.eligible("s", 0.0, None)], ["b"])
 
     def test_a_service_is_shut_only_where_closed_zones_or_regions_are_the_cause(self) -> None:
         table = RunnerTable(filter=self.filter)
@@ -172,19 +178,19 @@
 class WordOnTheWireTest(unittest.TestCase):
     def test_closed_zones_go_to_who_knows_an_older_revision(self) -> None:
         reply = wire.CatalogReply()
-        add_zones(reply, word(9, "b", a=2.5), known_at=5)
-        self.assertEqual(read_zones(reply), word(9, "b", a=2.5))
+        add_zones(reply, update(9, "b", a=2.5), known_at=5)
+        self.assertEqual(read_zones(reply), update(9, "b", a=2.5))
         reply = wire.CatalogReply()
-        add_zones(reply, word(9, "b", a=2.5), known_at=9)
+        add_zones(reply, update(9, "b", a=2.5), known_at=9)
         self.assertEqual((reply.zones_at, list(reply.closed_zones)), (9, []))
 
     def test_they_are_kept_beside_the_rest(self) -> None:
-        kept = decode_kept(encode_kept(StoredCatalog(zones=word(9, "b", a=2.5))))
-        self.assertEqual(kept.zones, word(9, "b", a=2.5))
+        kept = decode_stored(encode_stored(StoredCatalog(zones=update(9, "b", a=2.5))))
+        self.assertEqual(kept.zones, update(9, "b", a=2.5))
 
     def test_a_file_of_an_earlier_version_tells_nothing_of_them(self) -> None:
         earlier = wire.CatalogReply(document_version=0, has_runners=True, runners_at=4)
-        self.assertEqual(decode_kept(earlier.SerializeToString()).zones, ZoneUpdate())
+        self.assertEqual(decode_stored(earlier.SerializeToString()).zones, ZoneUpdate())
 
 
 class NamesOfAKindTest(unittest.TestCase):
@@ -195,7 +201,7 @@
         self.handler = KindHandler.of_names(self.take)
 
     def take(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self.record.take(word_of_listing(names, at, gone), 30.0)
+        self.record.take(update_of_listing(names, at, gone), 30.0)
 
     def list(self, at: int, *names: str) -> None:
         self.handler.on_list(ObjectList([StoredObject(name, at, {}, None) for name in names], at))
@@ -238,7 +244,7 @@
     def test_a_watch_that_others_overtook_does_not_go_back(self) -> None:
         """Others told revision 10 meanwhile; the own watch still tells what led there."""
         self.list(3)
-        self.record.take(word(10, "a"), 30.0)
+        self.record.take(update(10, "a"), 30.0)
         self.watch(6, ("a", 5, False), ("a", 5, True))
         self.assertEqual(self.closed, {"a"})
         self.watch(12, ("a", 9, False))
