--- a/src/bendshed/configuration/service.py
+++ b/src/bendshed/configuration/service.py
@@ -151,13 +151,13 @@
                 return Refusal(
                     ErrorKind.STORE_UNAVAILABLE,
                     f"the store does not answer ({error}); "
-                    f"SHOW CONFIGURATION shows later whether operation {operation_id} took effect",
+                    f"SHOW CONFIGURATION tells later whether operation {operation_id} took effect",
                 )
             except UnknownName as error:
                 return Refusal(ErrorKind.NOT_FOUND, str(error))
             if outcome is not None:
                 return outcome
-        return Refusal(ErrorKind.CONFLICT, "other operators' changes won each try; submit it again")
+        return Refusal(ErrorKind.CONFLICT, "other operators' changes kept winning; ask again")
 
     async def _try_accept(self, body: AnyChange, author: str, operation_id: str) -> Accepted | None:
         """Create the next revision's object; ``None``: another change won this revision."""
--- a/src/bendshed/dispatch/executor.py
+++ b/src/bendshed/dispatch/executor.py
@@ -113,9 +113,7 @@
             outcome = Refusal(ErrorKind.GROUP_UNAVAILABLE, str(error))
         except Exception as error:
             log.say("call failed: internal error", error=repr(error), call=request.call_number)
-            outcome = Refusal(
-                ErrorKind.INTERNAL, "internal error; repeat the call with the same key"
-            )
+            outcome = Refusal(ErrorKind.INTERNAL, "internal error; ask again with the same key")
         self._requests.pop(request.request_id, None)
         live.finish(outcome)
         asyncio.get_running_loop().call_later(FINISHED_READABLE_S, self._forget, live)
@@ -151,7 +149,7 @@
             return outcome
         streamed = summarize(b"".join(run.live.chunks)).text
         if not outcome.result.answer.startswith(streamed):
-            detail = "another attempt answered; repeat it with the same key for its answer"
+            detail = "another attempt answered; ask again with the same key for its answer"
             return Refusal(ErrorKind.SUPERSEDED, detail)
         created_s = self._clock.wall_ms() // 1000
         rest = text_events(run.request, outcome.result, len(streamed), created_s)
@@ -188,6 +186,6 @@
         if self._steps.left_s(run) <= 0:
             if result.status == wire.CALL_STATUS_QUEUED:
                 return None, await self._steps.give_up(run, ErrorKind.DEADLINE_EXCEEDED)
-            detail = "another node still runs this call; repeat it with the same key"
+            detail = "another node still runs this call; ask again with the same key"
             return Refusal(ErrorKind.GROUP_UNAVAILABLE, detail), result
         return None, await self._steps.submit(run)
--- a/src/bendshed/gateway/application.py
+++ b/src/bendshed/gateway/application.py
@@ -75,13 +75,13 @@
 
     def _tenant(self, request: Request) -> str:
         if self._node.configuration.snapshot.revision == 0:
-            detail = "this node has no configuration yet; try again, or try another node"
+            detail = "this node has no configuration yet; ask again or ask another node"
             raise BendshedError(Refusal(ErrorKind.NOT_READY, detail))
         token = _bearer_token(request)
         tenant = self._node.configuration.document.tenant_of_token(token) if token else None
         if tenant is None:
             raise BendshedError(
-                Refusal(ErrorKind.UNAUTHORIZED, "no known bearer token; your operators issue them")
+                Refusal(ErrorKind.UNAUTHORIZED, "no known bearer token; ask your operators for one")
             )
         return tenant
 
--- a/src/bendshed/gateway/service_protocol.py
+++ b/src/bendshed/gateway/service_protocol.py
@@ -42,7 +42,7 @@
         """Read the headers; refuse an unknown tenant or a number that is none."""
         fields = dict(reversed(received.headers))  # the first of a name counts
         if self._configuration().tenant_of_token(_bearer_token(fields)) is None:
-            detail = "no known bearer token; your operators issue them"
+            detail = "no known bearer token; ask your operators for one"
             return Refusal(ErrorKind.UNAUTHORIZED, detail)
         wait_text = _text(fields, DEADLINE_MS)
         if wait_text and not wait_text.isdigit():
--- a/tests/region_defects.py
+++ b/tests/region_defects.py
@@ -148,12 +148,12 @@
     return wire.TurnReply(released_tokens=program.released.get(ask.to_group, 0) + max(0, spare))
 
 
-_REAL_COMMIT = GroupSearch._commit
+_REAL_GROUP_COMMIT = GroupSearch._commit
 
 
 async def _silence_is_no(search: GroupSearch, group: int) -> wire.TurnReply | None:
     """A group that does not answer counts as one that does not know the turn."""
-    reply = await _REAL_COMMIT(search, group)
+    reply = await _REAL_GROUP_COMMIT(search, group)
     return reply or wire.TurnReply(answer=wire.TURN_ANSWER_UNKNOWN_TURN)
 
 
