--- a/src/bendshed/services/events.py
+++ b/src/bendshed/services/events.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-END_MARKS = (b"\n\n", b"\r\n\r\n")
+EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,25 +25,29 @@
     """Collects bytes until events are whole."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether part of an event is held."""
-        return bool(self._rest)
+        return bool(self._buffer)
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
         """Take bytes; return the events that are whole now."""
-        self._rest += chunk
+        self._buffer += chunk
         events = []
         while (end := self._next_end()) > 0:
-            raw, self._rest = self._rest[:end], self._rest[end:]
+            raw, self._buffer = self._buffer[:end], self._buffer[end:]
             events.append(read_event(raw))
         return events
 
     def _next_end(self) -> int:
         """Position behind the first event's end; 0: none is whole."""
-        ends = [self._rest.find(mark) + len(mark) for mark in END_MARKS if mark in self._rest]
+        ends = [
+            self._buffer.find(terminator) + len(terminator)
+            for terminator in EVENT_TERMINATORS
+            if terminator in self._buffer
+        ]
         return min(ends, default=0)
 
 
--- a/src/bendshed/services/stream_exchange.py
+++ b/src/bendshed/services/stream_exchange.py
@@ -103,7 +103,7 @@
                 last_id = self._check_order(event, last_id)
                 self._count(event)
             await self.caller.send(b"".join(event.raw for event in events))
-        if splitter.has_rest:
+        if splitter.has_partial_event:
             raise StreamBroken("the stream ended within an event")
         if is_stream and self.record is not None and not await self.record.finish_whole():
             raise StreamBroken("the turn's end could not be kept")
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -211,7 +211,7 @@
         events = splitter.feed(self.STREAM)
         self.assertEqual([event.event_id for event in events], [1, None, 2])
         self.assertEqual([event.data for event in events], [b"one", None, b"two\nmore"])
-        self.assertTrue(splitter.has_rest)
+        self.assertTrue(splitter.has_partial_event)
 
     @settings(max_examples=100)
     @given(st.lists(st.integers(0, len(STREAM)), max_size=6))
