--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -33,7 +33,7 @@
     unless_maybe_run,
 )
 from bendshed.retries.history import AttemptHistory
-from bendshed.services.metrics import AttemptEnd
+from bendshed.services.metrics import AttemptResult
 from bendshed.services.runner_placement import RunnerPlacement, RunnerPorts
 from bendshed.services.runners import RunnerRecord
 
@@ -176,7 +176,7 @@
         match self.ports.protocol.verdict(answer.head):
             case Verdict.ANSWERED:
                 self.answered_by = runner.runner_id
-                self._count(AttemptEnd.ANSWERED)
+                self._count(AttemptResult.ANSWERED)
                 return answer
             case Verdict.NOT_RUN:
                 record.note_full(asyncio.get_running_loop().time())
@@ -194,7 +194,7 @@
             connection = await self.ports.pool.acquire(runner.address)
         except ConnectFailed as error:
             self.history.record_unreachable(runner.runner_id)
-            self._count(AttemptEnd.UNREACHABLE)
+            self._count(AttemptResult.UNREACHABLE)
             record.note_unreachable(loop.time())
             self._say("attempt failed: runner unreachable", choice, reason=str(error))
             return None
@@ -220,7 +220,7 @@
         except ResponseBroken as error:
             connection.abort()
             self.history.record_no_answer(record.listed.runner_id)
-            self._count(AttemptEnd.NO_ANSWER)
+            self._count(AttemptResult.NO_ANSWER)
             record.note_broken(loop.time())
             self._say("attempt failed: no answer", choice, reason=str(error))
             return None
@@ -267,7 +267,7 @@
     async def _drop_not_run(self, answer: OpenAnswer, reason: str) -> None:
         """Read the rest of an answer that proves that the request was not run."""
         self.history.record_proof_of_not_run()
-        self._count(AttemptEnd.NOT_RUN)
+        self._count(AttemptResult.NOT_RUN)
         log.say(
             "attempt failed: runner did not run it",
             request=self.request.request_id,
@@ -285,8 +285,8 @@
         finally:
             answer.close(whole)
 
-    def _count(self, end: AttemptEnd) -> None:
-        self.ports.metrics.attempts.labels(end.value).inc()
+    def _count(self, result: AttemptResult) -> None:
+        self.ports.metrics.attempts.labels(result.value).inc()
 
     def _log_dispatch(self, choice: Choice, was_connected: bool, left_ms: int) -> None:
         runner_id = choice.record.listed.runner_id
--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -23,7 +23,7 @@
 )
 from bendshed.retries.history import AttemptHistory
 from bendshed.services.attempts import Attempts, OpenAnswer, RunnerPorts
-from bendshed.services.metrics import CALLER_LEFT, NO_ROUTE, Served
+from bendshed.services.metrics import CALLER_LEFT, NO_ROUTE, ServedOutcome
 from bendshed.services.runner_placement import RunnerPlacement
 from bendshed.services.stream_exchange import StreamExchange
 from bendshed.services.turn_ports import TurnPorts
@@ -117,7 +117,7 @@
         index: RouteIndex | None,
     ) -> str:
         """Serve or refuse; return the outcome for the metrics."""
-        outcome: Refusal | Served
+        outcome: Refusal | ServedOutcome
         principal = self._access.principal(route, request.credential) if route is not None else None
         if index is None:
             outcome = Refusal(ErrorKind.NOT_READY, "this node knows no configuration yet")
@@ -127,7 +127,7 @@
             outcome = self._refuse_unknown(ErrorKind.UNAUTHORIZED, "no tenant has this credential")
         else:
             outcome = await self._serve_route(request, caller, route, index, principal)
-        if isinstance(outcome, Served):
+        if isinstance(outcome, ServedOutcome):
             return outcome.value
         version = index.document.version if index is not None else 0
         await self._refuse(request, caller, outcome, version, principal.name if principal else "")
@@ -146,7 +146,7 @@
         route: Route,
         index: RouteIndex,
         principal: Principal,
-    ) -> Refusal | Served:
+    ) -> Refusal | ServedOutcome:
         wait_ms = route.timeout_ms
         if request.wait_ms is not None:
             wait_ms = min(wait_ms, request.wait_ms)
@@ -175,7 +175,7 @@
         attempts: Attempts,
         index: RouteIndex,
         admit: Callable[[], Awaitable[Refusal | None]],
-    ) -> Refusal | Served:
+    ) -> Refusal | ServedOutcome:
         """Serve a turn, which its reservation admits, or admit and serve another request."""
         is_stream = attempts.route.kind is RouteKind.STREAM
         if is_stream:
@@ -216,7 +216,7 @@
             return None
         return await self._turns.quotas.admit_call(principal, request, deadline_s)
 
-    async def _serve_plain(self, attempts: Attempts, caller: Caller) -> Refusal | Served:
+    async def _serve_plain(self, attempts: Attempts, caller: Caller) -> Refusal | ServedOutcome:
         while True:
             opened = await attempts.open(attempts.request.body)
             if isinstance(opened, Refusal):
@@ -242,7 +242,7 @@
                 status=opened.head.status,
                 attempts=attempts.history.num_maybe_run,
             )
-            return Served.WHOLE if whole else Served.CUT
+            return ServedOutcome.ANSWERED if whole else ServedOutcome.BROKEN_OFF
 
     async def _refuse(
         self,
--- a/src/bendshed/services/metrics.py
+++ b/src/bendshed/services/metrics.py
@@ -7,14 +7,14 @@
 LATENCY_BUCKETS_S = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
 
 
-class Served(StrEnum):
+class ServedOutcome(StrEnum):
     """How a request ended that was not refused."""
 
-    WHOLE = "answered"
-    CUT = "broken_off"
+    ANSWERED = "answered"
+    BROKEN_OFF = "broken_off"
 
 
-class AttemptEnd(StrEnum):
+class AttemptResult(StrEnum):
     """How one attempt at a runner ended."""
 
     ANSWERED = "answered"
@@ -23,16 +23,16 @@
     UNREACHABLE = "unreachable"
 
 
-class QuotaEnd(StrEnum):
+class QuotaResult(StrEnum):
     """How a request that is no turn was admitted, or not."""
 
-    ALLOWED = "by_allowance"
-    REQUESTED = "asked_for"
+    BY_ALLOWANCE = "by_allowance"
+    BY_REQUEST = "asked_for"
     REFUSED = "refused"
     UNANSWERED = "unanswered"
 
 
-class PermitEnd(StrEnum):
+class PermitResult(StrEnum):
     """What became of a request for a permit for a cold runner."""
 
     PERMITTED = "permitted"
@@ -55,7 +55,7 @@
         request_s: from arrival to the end, in seconds.
         attempts: attempts at runners by how they ended.
         quota_calls: requests of limited tenants that are no turns, by how they were admitted.
-        cold_asks: requests without a warm runner, by what the leader of the turn log answered.
+        permit_requests: requests without a warm runner, by the answer of the turn log's leader.
         turn_begin_s, turn_end_s: time that a turn waited for the turn log, in seconds.
         first_event_s: from a turn's arrival to its first event, in seconds.
 
--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -15,7 +15,7 @@
 from bendshed.logs import PartLog
 from bendshed.model.permit import TimedPermit
 from bendshed.ports.runner import ServiceRequest
-from bendshed.services.metrics import PermitEnd, ServiceMetrics
+from bendshed.services.metrics import PermitResult, ServiceMetrics
 from bendshed.turns.client import TurnClient
 from bendshed.turns.codec import (
     NoRoom,
@@ -103,20 +103,20 @@
         requested_s = asyncio.get_running_loop().time()
         decision = await self._request(request, demand)
         if decision is None:
-            self._count(PermitEnd.UNANSWERED)
+            self._count(PermitResult.UNANSWERED)
             return Refusal(
                 ErrorKind.TURN_LOG_UNAVAILABLE, "all runners are cold, and nobody permits a sending"
             )
         match decision:
             case PermitGiven():
-                self._count(PermitEnd.PERMITTED)
+                self._count(PermitResult.PERMITTED)
                 expiry = TimedPermit(requested_s + decision.valid_ms / 1000)
                 return Permit(decision.runner_id, expiry)
             case NoRoom():
-                self._count(PermitEnd.REFUSED)
+                self._count(PermitResult.REFUSED)
                 return _no_room(decision.retry_after_ms)
             case NoRunner():
-                self._count(PermitEnd.REFUSED)
+                self._count(PermitResult.REFUSED)
                 return Refusal(ErrorKind.NO_RUNNER, "the leader knows no runner either")
             case _:
                 assert_never(decision)
@@ -152,8 +152,8 @@
         timeout_s += FAR_TRIPS * self._client.expected_round_trip_home_s
         return min(timeout_s, left_s)
 
-    def _count(self, end: PermitEnd) -> None:
-        self._metrics.permit_requests.labels(end.value).inc()
+    def _count(self, result: PermitResult) -> None:
+        self._metrics.permit_requests.labels(result.value).inc()
 
 
 def no_room(reply: wire.TurnReply) -> Refusal:
--- a/src/bendshed/services/quota_client.py
+++ b/src/bendshed/services/quota_client.py
@@ -15,7 +15,7 @@
 from bendshed.model.principal import Principal
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.ports.runner import ServiceRequest
-from bendshed.services.metrics import QuotaEnd, ServiceMetrics
+from bendshed.services.metrics import QuotaResult, ServiceMetrics
 from bendshed.turns.client import TurnClient
 from bendshed.turns.codec import (
     CallDecision,
@@ -72,18 +72,18 @@
             return None
         loop = asyncio.get_running_loop()
         if self._allowances.try_spend(principal.name, loop.time()):
-            self._count(QuotaEnd.ALLOWED)
+            self._count(QuotaResult.BY_ALLOWANCE)
             return None
         decision = await self._request(principal.name, request, deadline_s)
         if decision is None:
-            self._count(QuotaEnd.UNANSWERED)
+            self._count(QuotaResult.UNANSWERED)
             return Refusal(
                 ErrorKind.TURN_LOG_UNAVAILABLE, "nobody tells whether the quota holds it"
             )
         if isinstance(decision, CallRejected):
-            self._count(QuotaEnd.REFUSED)
+            self._count(QuotaResult.REFUSED)
             return _quota_refusal(decision.retry_after_ms)
-        self._count(QuotaEnd.REQUESTED)
+        self._count(QuotaResult.BY_REQUEST)
         self._allowances.spend_granted(principal.name, decision.counted_total, loop.time())
         self._allowances.note_committed(principal.name, decision.counted_total, loop.time())
         return None
@@ -146,8 +146,8 @@
             return
         note_reported()
 
-    def _count(self, end: QuotaEnd) -> None:
-        self._metrics.quota_calls.labels(end.value).inc()
+    def _count(self, result: QuotaResult) -> None:
+        self._metrics.quota_calls.labels(result.value).inc()
 
 
 def refusal_of(reply: wire.TurnReply) -> Refusal:
--- a/src/bendshed/services/stream_exchange.py
+++ b/src/bendshed/services/stream_exchange.py
@@ -14,7 +14,7 @@
 from bendshed.retries.decisions import GiveUp, GiveUpReason, refusal_of
 from bendshed.services.attempts import Attempts, OpenAnswer
 from bendshed.services.events import EventSplitter, StreamEvent
-from bendshed.services.metrics import Served
+from bendshed.services.metrics import ServedOutcome
 from bendshed.services.turn_record import TurnRecord
 
 SUCCESS = 200
@@ -42,7 +42,7 @@
     record: TurnRecord | None
     num_events: int = 0
 
-    async def run(self) -> Refusal | Served:
+    async def run(self) -> Refusal | ServedOutcome:
         """Serve the request; a refusal that is returned has not been sent to the caller yet."""
         if self.record is None:
             return await self._run_begun(self.request.body)
@@ -56,7 +56,7 @@
             # only its end takes the reservation off the program's budget.
             self.record.finish_broken()
 
-    async def _run_begun(self, body: bytes) -> Refusal | Served:
+    async def _run_begun(self, body: bytes) -> Refusal | ServedOutcome:
         opened = await self.attempts.open(body)
         if isinstance(opened, Refusal):
             return opened
@@ -78,7 +78,7 @@
             self.caller.break_off()
         finally:
             opened.close(whole)
-        return Served.WHOLE if whole else Served.CUT
+        return ServedOutcome.ANSWERED if whole else ServedOutcome.BROKEN_OFF
 
     async def _relay(self, opened: OpenAnswer) -> bool:
         """Pass the stream on event by event; raise when it is not whole."""
