--- a/src/bendshed/services/group_search.py
+++ b/src/bendshed/services/group_search.py
@@ -35,20 +35,20 @@
     group: int
     commit: Callable[[int], Awaitable[Reply]]
 
-    async def settle(self, reply: Reply) -> Reply:
+    async def resolve(self, reply: Reply) -> Reply:
         """Go from the first group's reply to the final one, over further groups if need be."""
-        reply = await self._find_chain(reply)
-        if _is_short(reply) and reply is not None and reply.owner_group != self.group:
+        reply = await self._find_previous_turn(reply)
+        if _is_share_too_small(reply) and reply is not None and reply.owner_group != self.group:
             self.begin.is_sent_on = True
             reply = await self._commit(reply.owner_group)
-        if _is_short(reply):
+        if _is_share_too_small(reply):
             gathered = await self.shares.gather(self.group, self.begin)
             reply = await self._commit(self.group)
-            if reply is not None and _is_short(reply):
+            if reply is not None and _is_share_too_small(reply):
                 apply_verdict(reply, gathered.judge(self.begin, reply))
         return reply
 
-    async def _find_chain(self, reply: Reply) -> Reply:
+    async def _find_previous_turn(self, reply: Reply) -> Reply:
         """Look for the previous turn; "no such turn" holds once each group has answered so."""
         for other in self.group_locator.others(self.begin.tenant, self.group):
             if reply is None or reply.answer != wire.TURN_ANSWER_UNKNOWN_TURN:
@@ -69,6 +69,6 @@
         return await self.commit(group)
 
 
-def _is_short(reply: Reply) -> bool:
+def _is_share_too_small(reply: Reply) -> bool:
     """Whether a group's share of the budget was too small, and others may hold more."""
     return reply is not None and reply.answer == wire.TURN_ANSWER_OTHER_GROUP
--- a/src/bendshed/services/turn_record.py
+++ b/src/bendshed/services/turn_record.py
@@ -107,7 +107,7 @@
 
     def finish_broken(self) -> None:
         """Charge a turn that did not end well; no caller waits for that."""
-        if not self._reservation.needs_end or self._is_finished:
+        if not self._reservation.needs_finish or self._is_finished:
             return
         self._is_finished = True
         self.ports.ends.add(self._finish_command(is_whole=False))
--- a/src/bendshed/services/turn_reservation.py
+++ b/src/bendshed/services/turn_reservation.py
@@ -23,7 +23,7 @@
 from bendshed.services.turn_ports import BEGIN_TIMEOUT_S, TurnPorts, commit_begin
 from bendshed.wire import turns_pb2 as wire
 
-UNCOMMITTED = (wire.TURN_ANSWER_QUOTA_EXCEEDED, wire.TURN_ANSWER_NO_ROOM)
+UNCOMMITTED_ANSWERS = (wire.TURN_ANSWER_QUOTA_EXCEEDED, wire.TURN_ANSWER_NO_ROOM)
 """Refusals of a command that nothing was written for."""
 
 log = PartLog("turns")
@@ -37,7 +37,7 @@
         attempts: follow the placement of the preview.
         deadline_s: loop time after which the turn is not begun any more.
         group: of the turn log, that commits the turn.
-        needs_end: the turn's end must be committed, since a reservation may exist or a runner may
+        needs_finish: the turn's end must be committed: a reservation may exist, or a runner may
             have run it without one.
         transcript: the chain that goes before the turn's own input.
 
@@ -48,12 +48,12 @@
     attempts: Attempts
     deadline_s: float
     group: int = field(init=False)
-    needs_end: bool = False
+    needs_finish: bool = False
     transcript: bytes = b""
     _begin: wire.BeginTurn = field(init=False)
     _search: GroupSearch = field(init=False)
-    _committing: "asyncio.Task[wire.TurnReply | None] | None" = None
-    _is_settled: bool = False
+    _commit_task: "asyncio.Task[wire.TurnReply | None] | None" = None
+    _is_resolved: bool = False
     _is_reserved: bool = False
 
     def __post_init__(self) -> None:
@@ -67,31 +67,31 @@
         if self.ports.client.is_isolated:
             return Refusal(ErrorKind.TURN_LOG_UNAVAILABLE, "no other node answers this one")
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
+        started_s = loop.time()
         cached = self._cached_transcript()
         self._begin.held_turn = self._begin.previous_turn if cached is not None else ""
-        self.needs_end = True  # from here on the reservation may exist
+        self.needs_finish = True  # from here on the reservation may exist
         previewing = loop.create_task(self._preview())
         await asyncio.sleep(0)  # the preview is sent before the begin
-        self._committing = self._start_commit()
+        self._commit_task = self._start_commit()
         preview = await previewing
         refusal = None
         is_previewed = preview is not None and is_granted(preview)
         if is_previewed and preview is not None:
-            self._take_chain(preview, cached)
+            self._set_transcript(preview, cached)
         else:
-            refusal = await self._begin_committed(cached)
-        took_s = loop.time() - began_s
+            refusal = await self._begin_without_preview(cached)
+        took_s = loop.time() - started_s
         self.ports.metrics.turn_begin_s.labels(str(is_previewed).lower()).observe(took_s)
         self._log_begin(refusal, is_previewed, took_s)
         return refusal
 
     async def confirm(self) -> Refusal | None:
         """Wait until the reservation is committed; return why it is not."""
-        reply = await self._committed()
-        if not self._is_settled:
-            self._is_settled = True
-            reply = await self._search.settle(reply)
+        reply = await self._await_commit()
+        if not self._is_resolved:
+            self._is_resolved = True
+            reply = await self._search.resolve(reply)
         if reply is None:
             return Refusal(ErrorKind.TURN_LOG_UNAVAILABLE, "the turn log does not answer")
         tenant = self.codec.tenant
@@ -101,7 +101,7 @@
             return None
         # Nothing is reserved; a turn that was dispatched all the same is counted by its end.
         is_counted = bool(tenant) and self.attempts.may_have_run
-        self.needs_end = self._is_reserved or is_counted
+        self.needs_finish = self._is_reserved or is_counted
         refusal = refusal_of_begin(reply)
         if refusal.kind in (ErrorKind.BUDGET_EXHAUSTED, ErrorKind.BUDGET_RESERVED):
             self._log_budget(reply)
@@ -118,7 +118,7 @@
             return None
         preview = wire.TurnPreview(begin=self._begin, group=self.group)
         if self.ports.policy.shared_load:
-            preview.demand.CopyFrom(self._demand())
+            preview.demand.CopyFrom(self._placement_demand())
         requested_s = asyncio.get_running_loop().time()
         reply = await self.ports.client.preview(preview)
         if reply is not None:
@@ -126,7 +126,7 @@
             self.attempts.placement.prefer(reply.runner_id, permit)
         return reply
 
-    def _demand(self) -> wire.TurnDemand:
+    def _placement_demand(self) -> wire.TurnDemand:
         """What the leader needs to know to place the turn."""
         left_s = self.deadline_s - asyncio.get_running_loop().time()
         placement = self.attempts.placement
@@ -149,18 +149,18 @@
         note_reported = self.ports.report_calls(self.attempts.principal, command)
         loop = asyncio.get_running_loop()
         timeout_s = min(BEGIN_TIMEOUT_S, self.deadline_s - loop.time())
-        mark_dispatched = partial(self._mark_dispatched, command.begin)
-        work = commit_begin(self.ports.client, command, timeout_s, mark_dispatched)
-        task = loop.create_task(work)
+        report_dispatch = partial(self._report_dispatch, command.begin)
+        commit = commit_begin(self.ports.client, command, timeout_s, report_dispatch)
+        task = loop.create_task(commit)
         task.add_done_callback(lambda done: note_reported() if _is_committed(done) else None)
         self.ports.run_late(task)
         return task
 
-    def _mark_dispatched(self, begin: wire.BeginTurn) -> None:
+    def _report_dispatch(self, begin: wire.BeginTurn) -> None:
         """Report that the turn went to its runner on another leader's preview."""
         begin.has_left = self.attempts.may_have_run
 
-    async def _begin_committed(self, cached: bytes | None) -> Refusal | None:
+    async def _begin_without_preview(self, cached: bytes | None) -> Refusal | None:
         """Without a preview: wait for the commit, then request what the preview would have said."""
         refusal = await self.confirm()
         if refusal is not None:
@@ -170,36 +170,36 @@
             # best, and the leader would not know of them.
             preview = await self._preview()
             if preview is not None and is_granted(preview):
-                self._take_chain(preview, cached)
+                self._set_transcript(preview, cached)
                 return None
         if self._begin.previous_turn and cached is None:
-            self._committing = self._request_chain()
+            self._commit_task = self._request_chain()
             refusal = await self.confirm()
-        reply = await self._committed()
+        reply = await self._await_commit()
         if refusal is None and reply is not None:
-            self._take_chain(reply, cached)
+            self._set_transcript(reply, cached)
         return refusal
 
     async def _commit_in(self, group: int) -> wire.TurnReply | None:
         """Commit the begin in a further group."""
         self.group = group
-        self._committing = self._start_commit()
-        return await self._committed()
+        self._commit_task = self._start_commit()
+        return await self._await_commit()
 
     def _request_chain(self) -> "asyncio.Task[wire.TurnReply | None]":
         """Send the same begin again, which changes nothing, for the chain in its reply."""
         command = wire.TurnCommand(begin=self._begin, group=self.group)
         command.begin.held_turn = ""
-        work = commit_begin(self.ports.client, command, BEGIN_TIMEOUT_S)
-        return asyncio.get_running_loop().create_task(work)
+        commit = commit_begin(self.ports.client, command, BEGIN_TIMEOUT_S)
+        return asyncio.get_running_loop().create_task(commit)
 
-    async def _committed(self) -> wire.TurnReply | None:
+    async def _await_commit(self) -> wire.TurnReply | None:
         """The reply to the begin; the commit goes on if the caller disconnects."""
-        if self._committing is None:
+        if self._commit_task is None:
             return None
-        return await asyncio.shield(self._committing)
+        return await asyncio.shield(self._commit_task)
 
-    def _take_chain(self, reply: wire.TurnReply, cached: bytes | None) -> None:
+    def _set_transcript(self, reply: wire.TurnReply, cached: bytes | None) -> None:
         if not self.codec.route.keeps_turns:
             return
         self.transcript = cached if cached is not None else transcript_of(reply)
@@ -237,4 +237,4 @@
     if done.cancelled() or done.exception() is not None:
         return False
     reply = done.result()
-    return reply is not None and reply.answer not in UNCOMMITTED
+    return reply is not None and reply.answer not in UNCOMMITTED_ANSWERS
