--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -326,7 +326,7 @@
 
     def close(self) -> None:
         """Close idle connections to runners; log what is left of turns."""
-        self._turns.ends.log_left()
+        self._turns.ends.log_uncommitted()
         self._pool.close()
 
 
--- a/src/bendshed/services/turn_ends.py
+++ b/src/bendshed/services/turn_ends.py
@@ -12,17 +12,17 @@
 from bendshed.turns.client import TurnClient
 from bendshed.wire import turns_pb2 as wire
 
-ENDS_AT_ONCE = 4
+MAX_CONCURRENT_COMMITS = 4
 """Ends of one group that are committed side by side: after an outage all nodes have some, while
 callers come back to the same leader."""
-FIRST_TIMEOUT_S = 0.5
+INITIAL_TIMEOUT_S = 0.5
 """How long an end is tried before the pause: time for one try and a second one elsewhere."""
-LAST_TIMEOUT_S = 2.0
+MAX_TIMEOUT_S = 2.0
 """The same once commits have failed before: a leader that is slow takes up to a second for one."""
-FIRST_PAUSE_S = 0.1
-LAST_PAUSE_S = 1.0
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 1.0
 """Pauses while no leader answers; then one end goes at a time."""
-GROWTH = 2.0
+BACKOFF_FACTOR = 2.0
 """Each pause and time-out is longer than the last by this factor."""
 MAX_PENDING = 10_000
 """Ends of one node that wait, some 300 bytes each. One that finds no place is dropped: its
@@ -31,7 +31,7 @@
 log = PartLog("turns")
 
 
-class PendingEnds:
+class PendingTurnEnds:
     """Ends that wait for their commit.
 
     Invariant: an end that was added is tried until it is committed, as long as this process runs.
@@ -39,13 +39,13 @@
 
     def __init__(self, client: TurnClient) -> None:
         self._client = client
-        self._waiting: dict[int, deque[wire.TurnCommand]] = {}
-        self._committing: dict[int, asyncio.Task[None]] = {}
+        self._queues: dict[int, deque[wire.TurnCommand]] = {}
+        self._tasks: dict[int, asyncio.Task[None]] = {}
 
     @property
     def num_pending(self) -> int:
         """Ends that are not known to be committed."""
-        return sum(len(waiting) for waiting in self._waiting.values())
+        return sum(len(queue) for queue in self._queues.values())
 
     def add(self, command: wire.TurnCommand) -> None:
         """Commit the end of a turn; no caller waits for it."""
@@ -57,16 +57,16 @@
             )
             return
         group = command.group
-        self._waiting.setdefault(group, deque()).append(command)
-        if group not in self._committing:
-            self._committing[group] = start_loop(self._commit_all(group), "turns")
+        self._queues.setdefault(group, deque()).append(command)
+        if group not in self._tasks:
+            self._tasks[group] = start_loop(self._commit_queue(group), "turns")
 
-    async def finish(self) -> None:
+    async def wait_until_committed(self) -> None:
         """Wait until all are committed."""
-        while self._committing:
-            await asyncio.wait(self._committing.values())
+        while self._tasks:
+            await asyncio.wait(self._tasks.values())
 
-    def log_left(self) -> None:
+    def log_uncommitted(self) -> None:
         """The process ends: name the ends that it leaves behind."""
         if self.num_pending:
             log.say(
@@ -74,34 +74,36 @@
                 ends=self.num_pending,
             )
 
-    async def _commit_all(self, group: int) -> None:
+    async def _commit_queue(self, group: int) -> None:
         """Commit what waits for a group; an end leaves the queue once it is committed."""
-        waiting = self._waiting[group]
-        pause_s, timeout_s = 0.0, FIRST_TIMEOUT_S
-        while waiting:
-            failed = await self._commit_some(waiting, 1 if pause_s else ENDS_AT_ONCE, timeout_s)
+        queue = self._queues[group]
+        backoff_s, timeout_s = 0.0, INITIAL_TIMEOUT_S
+        while queue:
+            failed = await self._commit_batch(
+                queue, 1 if backoff_s else MAX_CONCURRENT_COMMITS, timeout_s
+            )
             if not failed:
-                pause_s, timeout_s = 0.0, FIRST_TIMEOUT_S
+                backoff_s, timeout_s = 0.0, INITIAL_TIMEOUT_S
                 continue
-            if not pause_s:
-                log.say("turn ends wait: no leader answered", group=group, ends=len(waiting))
-            pause_s = min(LAST_PAUSE_S, GROWTH * pause_s or FIRST_PAUSE_S)
-            timeout_s = min(LAST_TIMEOUT_S, GROWTH * timeout_s)
-            await asyncio.sleep(pause_s)
+            if not backoff_s:
+                log.say("turn ends wait: no leader answered", group=group, ends=len(queue))
+            backoff_s = min(MAX_BACKOFF_S, BACKOFF_FACTOR * backoff_s or INITIAL_BACKOFF_S)
+            timeout_s = min(MAX_TIMEOUT_S, BACKOFF_FACTOR * timeout_s)
+            await asyncio.sleep(backoff_s)
         # Not in a callback of the task: an end that is added before it runs would start nothing.
-        del self._committing[group]
+        del self._tasks[group]
 
-    async def _commit_some(
-        self, waiting: deque[wire.TurnCommand], most: int, timeout_s: float
+    async def _commit_batch(
+        self, queue: deque[wire.TurnCommand], max_count: int, timeout_s: float
     ) -> bool:
         """Try the oldest ends; those that fail go behind the others. Return whether any failed."""
-        tried = [waiting[number] for number in range(min(most, len(waiting)))]
-        done = await asyncio.gather(*(self._commit(command, timeout_s) for command in tried))
-        for command, is_committed in zip(tried, done, strict=True):
-            waiting.popleft()
+        tried = [queue[number] for number in range(min(max_count, len(queue)))]
+        results = await asyncio.gather(*(self._commit(command, timeout_s) for command in tried))
+        for command, is_committed in zip(tried, results, strict=True):
+            queue.popleft()
             if not is_committed:
-                waiting.append(command)
-        return not all(done)
+                queue.append(command)
+        return not all(results)
 
     async def _commit(self, command: wire.TurnCommand, timeout_s: float) -> bool:
         """Commit one end; ``False``: not known to be committed."""
--- a/src/bendshed/services/turn_ports.py
+++ b/src/bendshed/services/turn_ports.py
@@ -11,7 +11,7 @@
 from bendshed.policy import EVERYTHING, Policy
 from bendshed.services.metrics import ServiceMetrics
 from bendshed.services.quota_client import QuotaClient
-from bendshed.services.turn_ends import PendingEnds
+from bendshed.services.turn_ends import PendingTurnEnds
 from bendshed.turns.client import TranscriptCache, TurnClient
 from bendshed.turns.group_locator import GroupLocator
 from bendshed.turns.shares import ShareGatherer
@@ -48,11 +48,11 @@
     policy: Policy = EVERYTHING
     group_locator: GroupLocator = field(default_factory=GroupLocator)
     late: "set[asyncio.Task[Any]]" = field(default_factory=set)
-    ends: PendingEnds = field(init=False)
+    ends: PendingTurnEnds = field(init=False)
     shares: ShareGatherer = field(init=False)
 
     def __post_init__(self) -> None:
-        self.ends = PendingEnds(self.client)
+        self.ends = PendingTurnEnds(self.client)
         self.shares = ShareGatherer(self.group_locator.groups, self._commit_share)
 
     def run_late(self, task: "asyncio.Task[Any]") -> None:
@@ -73,7 +73,7 @@
     async def finish_late(self) -> None:
         """Wait for all that goes on without a caller: begins under way, then ends."""
         await asyncio.gather(*self.late, return_exceptions=True)
-        await self.ends.finish()
+        await self.ends.wait_until_committed()
 
     async def _commit_share(self, _group: int, command: wire.TurnCommand) -> wire.TurnReply | None:
         """Commit a command in its group; ``None``: no leader answered in time."""
--- a/tests/test_turn_ends.py
+++ b/tests/test_turn_ends.py
@@ -9,7 +9,7 @@
 from bendshed.consensus.group_client import GroupUnavailable
 from bendshed.rehearsal.simulator.loop import VirtualTimeLoop
 from bendshed.services import turn_ends
-from bendshed.services.turn_ends import ENDS_AT_ONCE, LAST_PAUSE_S, PendingEnds
+from bendshed.services.turn_ends import MAX_BACKOFF_S, MAX_CONCURRENT_COMMITS, PendingTurnEnds
 from bendshed.turns.client import TurnClient
 from bendshed.wire import turns_pb2 as wire
 
@@ -54,12 +54,12 @@
     return wire.TurnCommand(finish=finish, group=group)
 
 
-class PendingEndsTest(unittest.TestCase):
+class PendingTurnEndsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.loop = VirtualTimeLoop()
         self.addCleanup(self.loop.close)
         self.leaders = Leaders()
-        self.ends = PendingEnds(cast(TurnClient, self.leaders))
+        self.ends = PendingTurnEnds(cast(TurnClient, self.leaders))
         patch = mock.patch.object(turn_ends, "log")
         self.log = patch.start()
         self.addCleanup(patch.stop)
@@ -75,14 +75,14 @@
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
     def finish(self) -> None:
-        self.loop.run_until_complete(self.ends.finish())
+        self.loop.run_until_complete(self.ends.wait_until_committed())
 
     def test_all_are_committed_a_few_at_once(self) -> None:
         self.add(*(end_of(number) for number in range(10)))
         self.assertEqual(self.ends.num_pending, 10)
         self.finish()
         self.assertCountEqual(self.leaders.ended, [f"turn-{number}" for number in range(10)])
-        self.assertEqual(self.leaders.most_at_once, ENDS_AT_ONCE)
+        self.assertEqual(self.leaders.most_at_once, MAX_CONCURRENT_COMMITS)
         self.assertEqual(self.ends.num_pending, 0)
 
     def test_they_outlast_an_outage_of_any_length(self) -> None:
@@ -90,10 +90,10 @@
         self.add(*(end_of(number) for number in range(10)))
         self.run_for(AWAY_S)
         self.assertEqual(self.ends.num_pending, 10)
-        self.assertLess(self.leaders.num_tries, AWAY_S / LAST_PAUSE_S + 10)
+        self.assertLess(self.leaders.num_tries, AWAY_S / MAX_BACKOFF_S + 10)
         self.assertEqual(self.log.say.call_count, 1)
         self.leaders.away = set()
-        self.run_for(2 * LAST_PAUSE_S)
+        self.run_for(2 * MAX_BACKOFF_S)
         self.assertEqual(len(self.leaders.ended), 10)
 
     def test_a_group_that_is_away_holds_no_other_up(self) -> None:
@@ -105,7 +105,7 @@
     def test_one_that_is_added_as_the_queue_runs_empty_is_committed(self) -> None:
         async def add_both() -> None:
             self.ends.add(end_of(0))
-            (committing,) = self.ends._committing.values()
+            (committing,) = self.ends._tasks.values()
             await self.leaders.has_answered.wait()
             for _ in range(MOST_PASSES):
                 if committing.done():
@@ -138,7 +138,7 @@
         self.leaders.away = {0}
         self.add(end_of(0))
         self.log.say.reset_mock()
-        self.ends.log_left()
+        self.ends.log_uncommitted()
         self.log.say.assert_called_once()
         self.leaders.away = set()
         self.finish()
