--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -143,7 +143,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(until_s):
                 await asyncio.shield(serving)
-                await self._node.finish_late_turns()
+                await self._node.finish_background_work()
 
     # --- pages ---------------------------------------------------------------------------
 
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -320,9 +320,9 @@
         self.is_draining = True
         log.say("draining", open=self.forwarder.num_open)
 
-    async def finish_late_turns(self) -> None:
+    async def finish_background_work(self) -> None:
         """Wait for the ends of turns that no caller waits for."""
-        await self._turns.finish_late()
+        await self._turns.finish_background_work()
 
     def close(self) -> None:
         """Close idle connections to runners; log what is left of turns."""
--- a/src/bendshed/services/quota_client.py
+++ b/src/bendshed/services/quota_client.py
@@ -136,7 +136,7 @@
     async def _report_to(self, group: int) -> None:
         """Report to one group what it counts."""
         command = wire.TurnCommand(group=group)
-        note_reported = self.report(command)
+        mark_reported = self.report(command)
         try:
             await self._client.command(command, REPORT_TIMEOUT_S)
         except GroupUnavailable as error:
@@ -144,7 +144,7 @@
                 "admitted calls not reported: no leader answered", group=group, reason=str(error)
             )
             return
-        note_reported()
+        mark_reported()
 
     def _count(self, result: QuotaResult) -> None:
         self._metrics.quota_calls.labels(result.value).inc()
--- a/src/bendshed/services/stream_exchange.py
+++ b/src/bendshed/services/stream_exchange.py
@@ -54,7 +54,7 @@
         finally:
             # Also after a refusal, or when the caller left: the begin may be committed later, and
             # only its end takes the reservation off the program's budget.
-            self.record.finish_broken()
+            self.record.finish_incomplete()
 
     async def _run_begun(self, body: bytes) -> Refusal | ServedOutcome:
         opened = await self.attempts.open(body)
@@ -105,7 +105,7 @@
             await self.caller.send(b"".join(event.raw for event in events))
         if splitter.has_partial_event:
             raise StreamBroken("the stream ended within an event")
-        if is_stream and self.record is not None and not await self.record.finish_whole():
+        if is_stream and self.record is not None and not await self.record.finish_complete():
             raise StreamBroken("the turn's end could not be kept")
         await self.caller.end()
         log.say(
--- a/src/bendshed/services/turn_codec.py
+++ b/src/bendshed/services/turn_codec.py
@@ -17,14 +17,14 @@
     """How a turn ended at its runner.
 
     Attributes:
-        is_whole: its stream came to a proper end.
+        is_complete: its stream came to a proper end.
         runner_id: whose answer was taken; empty: none.
         failed: ids of runners that were unreachable or gave no answer.
         may_have_run: a runner may have begun work on it.
 
     """
 
-    is_whole: bool
+    is_complete: bool
     runner_id: str
     failed: list[str]
     may_have_run: bool
@@ -43,7 +43,7 @@
     route: Route
     tenant: str
 
-    def begin(self, num_groups: int) -> wire.BeginTurn:
+    def encode_begin(self, num_groups: int) -> wire.BeginTurn:
         """Write the reservation of the turn's worst case; its budget is shared by the groups."""
         turn = self._turn
         return wire.BeginTurn(
@@ -58,9 +58,9 @@
             num_groups=num_groups,
         )
 
-    def finish(self, group: int, output: TurnOutput, end: TurnEnd) -> wire.TurnCommand:
+    def encode_finish(self, group: int, output: TurnOutput, end: TurnEnd) -> wire.TurnCommand:
         """Write the turn's end: what it used, what is stored of it, and what it saw of runners."""
-        keep = end.is_whole and self.route.keeps_turns
+        keep = end.is_complete and self.route.keeps_turns
         finish = wire.FinishTurn(
             program_id=self.request.program_id,
             turn_id=self.request.request_id,
@@ -87,7 +87,7 @@
 
 
 def _outcome(output: TurnOutput, end: TurnEnd) -> "wire.TurnOutcome.ValueType":
-    if end.is_whole:
+    if end.is_complete:
         return wire.TURN_OUTCOME_WHOLE
     if output.num_events == 0:
         return wire.TURN_OUTCOME_NOTHING_HANDED_ON
--- a/src/bendshed/services/turn_ports.py
+++ b/src/bendshed/services/turn_ports.py
@@ -35,7 +35,7 @@
 
     Attributes:
         group_locator: which group of the turn log is requested first.
-        late: begins under way that outlive their request.
+        background_begins: begins under way that outlive their request.
         ends: of turns that no caller waits for.
         shares: takes shares between groups whose leaders do not reach each other.
 
@@ -47,7 +47,7 @@
     quotas: QuotaClient
     policy: Policy = EVERYTHING
     group_locator: GroupLocator = field(default_factory=GroupLocator)
-    late: "set[asyncio.Task[Any]]" = field(default_factory=set)
+    background_begins: "set[asyncio.Task[Any]]" = field(default_factory=set)
     ends: PendingTurnEnds = field(init=False)
     shares: ShareGatherer = field(init=False)
 
@@ -55,24 +55,26 @@
         self.ends = PendingTurnEnds(self.client)
         self.shares = ShareGatherer(self.group_locator.groups, self._commit_share)
 
-    def run_late(self, task: "asyncio.Task[Any]") -> None:
+    def run_in_background(self, task: "asyncio.Task[Any]") -> None:
         """Hold a task until it ends; a node that stops waits for it."""
-        self.late.add(task)
-        task.add_done_callback(self.late.discard)
+        self.background_begins.add(task)
+        task.add_done_callback(self.background_begins.discard)
 
-    def report_calls(self, principal: Principal, command: wire.TurnCommand) -> Callable[[], None]:
+    def add_call_report(
+        self, principal: Principal, command: wire.TurnCommand
+    ) -> Callable[[], None]:
         """Add to a command the calls of limited tenants that this node admitted.
 
         Call what is returned once the command is committed. Nothing is added for a principal
         without a limit.
         """
         if not principal.is_limited:
-            return _nothing_reported
+            return _no_calls_reported
         return self.quotas.report(command)
 
-    async def finish_late(self) -> None:
+    async def finish_background_work(self) -> None:
         """Wait for all that goes on without a caller: begins under way, then ends."""
-        await asyncio.gather(*self.late, return_exceptions=True)
+        await asyncio.gather(*self.background_begins, return_exceptions=True)
         await self.ends.wait_until_committed()
 
     async def _commit_share(self, _group: int, command: wire.TurnCommand) -> wire.TurnReply | None:
@@ -102,5 +104,5 @@
         return None
 
 
-def _nothing_reported() -> None:
+def _no_calls_reported() -> None:
     """No call was reported, so none is noted as reported."""
--- a/src/bendshed/services/turn_record.py
+++ b/src/bendshed/services/turn_record.py
@@ -75,12 +75,12 @@
         """Count an event before it is handed on."""
         self._output.count(event)
 
-    async def finish_whole(self) -> bool:
+    async def finish_complete(self) -> bool:
         """Commit the turn's end; ``False``: not known to be committed in time."""
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
-        command = self._finish_command(is_whole=True)
-        note_reported = self.ports.report_calls(self.attempts.principal, command)
+        started_s = loop.time()
+        command = self._finish_command(is_complete=True)
+        mark_reported = self.ports.add_call_report(self.attempts.principal, command)
         try:
             reply = await self.ports.client.command(command, FINISH_TIMEOUT_S)
         except GroupUnavailable as error:
@@ -91,11 +91,11 @@
             )
             return False
         self._is_finished = True
-        note_reported()
+        mark_reported()
         self.ports.quotas.take_allowance(self.attempts.principal, reply.spend_ceiling)
         if self.route.keeps_turns:
             self._cache_transcript()
-        took_s = loop.time() - began_s
+        took_s = loop.time() - started_s
         self.ports.metrics.turn_end_s.observe(took_s)
         log.say(
             "turn ended",
@@ -105,19 +105,19 @@
         )
         return True
 
-    def finish_broken(self) -> None:
+    def finish_incomplete(self) -> None:
         """Charge a turn that did not end well; no caller waits for that."""
         if not self._reservation.needs_finish or self._is_finished:
             return
         self._is_finished = True
-        self.ports.ends.add(self._finish_command(is_whole=False))
+        self.ports.ends.add(self._finish_command(is_complete=False))
 
-    def _finish_command(self, is_whole: bool) -> wire.TurnCommand:
+    def _finish_command(self, is_complete: bool) -> wire.TurnCommand:
         attempts = self.attempts
         end = TurnEnd(
-            is_whole, attempts.answered_by, attempts.history.failed, attempts.may_have_run
+            is_complete, attempts.answered_by, attempts.history.failed, attempts.may_have_run
         )
-        return self._codec.finish(self._reservation.group, self._output, end)
+        return self._codec.encode_finish(self._reservation.group, self._output, end)
 
     def _cache_transcript(self) -> None:
         """Turns that continue this one through the same node find its chain here."""
--- a/src/bendshed/services/turn_reservation.py
+++ b/src/bendshed/services/turn_reservation.py
@@ -58,7 +58,7 @@
 
     def __post_init__(self) -> None:
         locator, tenant = self.ports.group_locator, self.codec.tenant
-        begin = self._begin = self.codec.begin(locator.num_groups(tenant))
+        begin = self._begin = self.codec.encode_begin(locator.num_groups(tenant))
         self.group = locator.group_of(tenant, begin.program_id, begin.previous_turn)
         self._search = GroupSearch(locator, self.ports.shares, begin, self.group, self._commit_in)
 
@@ -146,14 +146,14 @@
         """Start to commit the reservation; the chain comes with the preview."""
         command = wire.TurnCommand(begin=self._begin, group=self.group)
         command.begin.held_turn = self._begin.previous_turn
-        note_reported = self.ports.report_calls(self.attempts.principal, command)
+        mark_reported = self.ports.add_call_report(self.attempts.principal, command)
         loop = asyncio.get_running_loop()
         timeout_s = min(BEGIN_TIMEOUT_S, self.deadline_s - loop.time())
         report_dispatch = partial(self._report_dispatch, command.begin)
         commit = commit_begin(self.ports.client, command, timeout_s, report_dispatch)
         task = loop.create_task(commit)
-        task.add_done_callback(lambda done: note_reported() if _is_committed(done) else None)
-        self.ports.run_late(task)
+        task.add_done_callback(lambda done: mark_reported() if _is_committed(done) else None)
+        self.ports.run_in_background(task)
         return task
 
     def _report_dispatch(self, begin: wire.BeginTurn) -> None:
--- a/tests/site_budget_defects.py
+++ b/tests/site_budget_defects.py
@@ -244,7 +244,7 @@
 def drop_ends() -> contextlib.AbstractContextManager[object]:
     """Neither a front nor a store ends a turn that was not served."""
     stack = contextlib.ExitStack()
-    stack.enter_context(mock.patch.object(TurnRecord, "finish_broken", lambda _record: None))
+    stack.enter_context(mock.patch.object(TurnRecord, "finish_incomplete", lambda _record: None))
     stack.enter_context(
         mock.patch.object(UnansweredBegins, "note", lambda _unanswered, _begin, _index: None)
     )
@@ -324,7 +324,7 @@
     "the end of a turn that was not served is dropped": Defect(
         Rule.RELEASED,
         answers_to_begins_are_lost,
-        patch(TurnRecord, "finish_broken", lambda _record: None),
+        patch(TurnRecord, "finish_incomplete", lambda _record: None),
     ),
     "the end of a turn that was not served is dropped, and its begin is not withdrawn": Defect(
         Rule.RELEASED, begins_are_committed_too_late, drop_ends
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -345,7 +345,7 @@
         Rule.LEAVE, clients_leave, patch(SimConnection, "abort", lambda self: None)
     ),
     "an answer is held back at its end": Defect(
-        Rule.STOP, a_front_stops, patch(TurnRecord, "finish_whole", _finish_never)
+        Rule.STOP, a_front_stops, patch(TurnRecord, "finish_complete", _finish_never)
     ),
     "any configuration is taken": Defect(
         Rule.CONFIGURATION,
--- a/tests/test_begins_are_ended.py
+++ b/tests/test_begins_are_ended.py
@@ -86,7 +86,7 @@
         return StreamExchange(request, attempts, MagicMock(), record)
 
     async def all_ended(self) -> list[str]:
-        await self.ports.finish_late()
+        await self.ports.finish_background_work()
         return self.log.ended
 
     async def refuse(self) -> None:
--- a/tests/test_promised_turns.py
+++ b/tests/test_promised_turns.py
@@ -59,7 +59,7 @@
         deadline_s = asyncio.get_running_loop().time() + 60
         record = TurnRecord(ports, request, route, attempts, None, deadline_s)
         outcome = await StreamExchange(request, attempts, MagicMock(), record).run()
-        await ports.finish_late()
+        await ports.finish_background_work()
         assert isinstance(outcome, Refusal)
         return outcome
 
