--- a/src/bendshed/services/quota_client.py
+++ b/src/bendshed/services/quota_client.py
@@ -29,9 +29,9 @@
 ADMISSION_TIMEOUT_S = 0.6
 """A call waits this long for the leader: longer than a change of leaders, which takes under 0.5 s.
 Without one the answer takes some 7 ms."""
-REPORT_AFTER_S = 0.15
+REPORT_DELAY_S = 0.15
 """Admitted calls are reported with the node's next command; without one, after this long."""
-REPORT_CHECK_S = 0.1
+REPORT_CHECK_INTERVAL_S = 0.1
 """Pause between two checks for calls to report."""
 REPORT_TIMEOUT_S = 1.0
 """A report is given up after this long; the next one repeats its totals."""
@@ -105,13 +105,13 @@
         reply = await self._client.admit_call(encode_call_request(call), timeout_s)
         return decode_call_decision(reply) if reply is not None else None
 
-    def take_allowance(self, principal: Principal, ceiling: int) -> None:
+    def store_allowance(self, principal: Principal, ceiling: int) -> None:
         """Take the allowance that came with a turn's end; 0: there was none."""
         if ceiling:
             now_s = asyncio.get_running_loop().time()
             self._allowances.take_allowance(principal.name, ceiling, now_s)
 
-    def report(self, command: wire.TurnCommand) -> Callable[[], None]:
+    def add_report(self, command: wire.TurnCommand) -> Callable[[], None]:
         """Add a report of admitted calls to a command, of tenants that its group counts.
 
         Call what is returned once the command is committed.
@@ -126,8 +126,8 @@
         """Report calls that no command took along; runs until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(REPORT_CHECK_S)
-            if not self._allowances.must_report(loop.time(), REPORT_AFTER_S):
+            await asyncio.sleep(REPORT_CHECK_INTERVAL_S)
+            if not self._allowances.must_report(loop.time(), REPORT_DELAY_S):
                 continue
             unreported = self._allowances.unreported(loop.time())
             for group in sorted({self._groups.of_tenant(row.tenant) for row in unreported}):
@@ -136,7 +136,7 @@
     async def _report_to(self, group: int) -> None:
         """Report to one group what it counts."""
         command = wire.TurnCommand(group=group)
-        mark_reported = self.report(command)
+        mark_reported = self.add_report(command)
         try:
             await self._client.command(command, REPORT_TIMEOUT_S)
         except GroupUnavailable as error:
@@ -150,7 +150,7 @@
         self._metrics.quota_calls.labels(result.value).inc()
 
 
-def refusal_of(reply: wire.TurnReply) -> Refusal:
+def quota_refusal_of(reply: wire.TurnReply) -> Refusal:
     """Refusal of a turn whose tenant's quota has no room."""
     return _quota_refusal(reply.retry_after_ms)
 
--- a/src/bendshed/services/turn_codec.py
+++ b/src/bendshed/services/turn_codec.py
@@ -7,7 +7,7 @@
 from bendshed.model.service_document import Route
 from bendshed.ports.runner import ServiceRequest, TurnDetails
 from bendshed.services.permit_client import no_room
-from bendshed.services.quota_client import refusal_of
+from bendshed.services.quota_client import quota_refusal_of
 from bendshed.services.turn_output import TurnOutput
 from bendshed.wire import turns_pb2 as wire
 
@@ -107,7 +107,7 @@
 def refusal_of_begin(reply: wire.TurnReply) -> Refusal:
     """Read why a begin reserved nothing."""
     if reply.answer == wire.TURN_ANSWER_QUOTA_EXCEEDED:
-        return refusal_of(reply)
+        return quota_refusal_of(reply)
     if reply.answer == wire.TURN_ANSWER_NO_ROOM:
         return no_room(reply)
     if reply.answer == wire.TURN_ANSWER_UNKNOWN_TURN:
--- a/src/bendshed/services/turn_ports.py
+++ b/src/bendshed/services/turn_ports.py
@@ -70,7 +70,7 @@
         """
         if not principal.is_limited:
             return _no_calls_reported
-        return self.quotas.report(command)
+        return self.quotas.add_report(command)
 
     async def finish_background_work(self) -> None:
         """Wait for all that goes on without a caller: begins under way, then ends."""
--- a/src/bendshed/services/turn_record.py
+++ b/src/bendshed/services/turn_record.py
@@ -92,7 +92,7 @@
             return False
         self._is_finished = True
         mark_reported()
-        self.ports.quotas.take_allowance(self.attempts.principal, reply.spend_ceiling)
+        self.ports.quotas.store_allowance(self.attempts.principal, reply.spend_ceiling)
         if self.route.keeps_turns:
             self._cache_transcript()
         took_s = loop.time() - started_s
