--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -29,7 +29,7 @@
 PERMIT_TIMEOUT_S = 0.25
 """A request that only a cold runner can take waits this long for a leader near by. A change of
 leaders takes longer; the request is rejected then, since its caller can come back."""
-LOST_PERMIT_TIMEOUT_S = 0.1
+PERMIT_TIMEOUT_AFTER_FAILURE_S = 0.1
 """The same while the turn log did not answer this node's last try. An answer takes some ms, through
 a relay up to 80 ms; one that comes shows that the leader is back."""
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunnerState:
+class RunnerReport:
     """What this node knows of a service's runners.
 
     Attributes:
@@ -51,18 +51,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Permit:
+class RunnerPermit:
     """Permit for one dispatch; ``leave`` is its expiry on this node's clock."""
 
     runner_id: str
     permit: TimedPermit
 
 
-def demand_of(
+def build_turn_demand(
     request: ServiceRequest,
     service: str,
     left_s: float,
-    state: RunnerState,
+    report: RunnerReport,
     zone: str,
     tried: Collection[str] = (),
     regions: Collection[str] | None = None,
@@ -77,8 +77,8 @@
         service=service,
         parts=[wire.PromptPart(part_id=p.part_id, tokens=p.tokens) for p in parts],
         left_ms=max(1, int(left_s * 1000)),
-        connected=state.connected,
-        avoided=state.avoided,
+        connected=report.connected,
+        avoided=report.avoided,
         zone=zone,
         line=(turn.line if turn is not None else "") or request.session,
         tried=tried,
@@ -93,7 +93,9 @@
         self._client = client
         self._metrics = metrics
 
-    async def ask(self, request: ServiceRequest, demand: wire.TurnDemand) -> Permit | Refusal:
+    async def request_permit(
+        self, request: ServiceRequest, demand: wire.TurnDemand
+    ) -> RunnerPermit | Refusal:
         """Return a permit to dispatch a request, or why there is none.
 
         Kinds: ``NO_ROOM``; ``NO_RUNNER``; ``TURN_LOG_UNAVAILABLE`` when no leader answered in time.
@@ -111,10 +113,10 @@
             case PermitGiven():
                 self._count(PermitResult.PERMITTED)
                 expiry = TimedPermit(requested_s + decision.valid_ms / 1000)
-                return Permit(decision.runner_id, expiry)
+                return RunnerPermit(decision.runner_id, expiry)
             case NoRoom():
                 self._count(PermitResult.REFUSED)
-                return _no_room(decision.retry_after_ms)
+                return _build_no_room_refusal(decision.retry_after_ms)
             case NoRunner():
                 self._count(PermitResult.REFUSED)
                 return Refusal(ErrorKind.NO_RUNNER, "the leader knows no runner either")
@@ -148,7 +150,7 @@
 
     def _timeout_s(self, left_s: float) -> float:
         is_lost = self._client.lost_since_s is not None
-        timeout_s = LOST_PERMIT_TIMEOUT_S if is_lost else PERMIT_TIMEOUT_S
+        timeout_s = PERMIT_TIMEOUT_AFTER_FAILURE_S if is_lost else PERMIT_TIMEOUT_S
         timeout_s += FAR_TRIPS * self._client.expected_round_trip_home_s
         return min(timeout_s, left_s)
 
@@ -156,12 +158,12 @@
         self._metrics.permit_requests.labels(result.value).inc()
 
 
-def no_room(reply: wire.TurnReply) -> Refusal:
+def no_room_refusal(reply: wire.TurnReply) -> Refusal:
     """Refusal of a turn whose eligible runners are all cold and full."""
-    return _no_room(reply.retry_after_ms)
+    return _build_no_room_refusal(reply.retry_after_ms)
 
 
-def _no_room(retry_after_ms: int) -> Refusal:
+def _build_no_room_refusal(retry_after_ms: int) -> Refusal:
     return Refusal(
         ErrorKind.NO_ROOM,
         "all runners are cold and have got what they bear for now",
--- a/src/bendshed/services/runner_placement.py
+++ b/src/bendshed/services/runner_placement.py
@@ -19,7 +19,7 @@
 from bendshed.retries.decisions import GiveUp, GiveUpReason, may_choose_runner
 from bendshed.retries.history import AttemptHistory
 from bendshed.services.metrics import ServiceMetrics
-from bendshed.services.permit_client import PermitClient, RunnerState, demand_of
+from bendshed.services.permit_client import PermitClient, RunnerReport, build_turn_demand
 from bendshed.services.runners import RunnerRecord, RunnerTable
 
 
@@ -92,14 +92,16 @@
             detail += f", allowed regions: {', '.join(sorted(self.regions))}"
         return detail
 
-    def runner_state(self) -> RunnerState:
+    def runner_report(self) -> RunnerReport:
         """What this node reports of the service's runners to a leader that places the request."""
         now_s = asyncio.get_running_loop().time()
         eligible = self._usable(now_s)
         connected: list[str] = []
         if self.ports.policy.kept_connections:
             connected = [r.listed.runner_id for r in eligible if self.ports.is_connected(r)]
-        return RunnerState(connected, [r.listed.runner_id for r in eligible if r.is_avoided(now_s)])
+        return RunnerReport(
+            connected, [r.listed.runner_id for r in eligible if r.is_avoided(now_s)]
+        )
 
     async def find(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
         """Find the runner of the next attempt; a refusal is the leader's, which gave no permit."""
@@ -170,16 +172,16 @@
             detail = f"all runners of {self.service} are cold"
             return GiveUp(GiveUpReason.NO_PERMIT, detail)
         loop = asyncio.get_running_loop()
-        demand = demand_of(
+        demand = build_turn_demand(
             self.request,
             self.service,
             history.deadline_s - loop.time(),
-            self.runner_state(),
+            self.runner_report(),
             self.ports.zone,
             history.tried,
             self.regions,
         )
-        permit = await self.ports.permits.ask(self.request, demand)
+        permit = await self.ports.permits.request_permit(self.request, demand)
         if isinstance(permit, Refusal):
             return permit
         for record in self._usable(loop.time()):
--- a/src/bendshed/services/turn_codec.py
+++ b/src/bendshed/services/turn_codec.py
@@ -6,7 +6,7 @@
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.model.service_document import Route
 from bendshed.ports.runner import ServiceRequest, TurnDetails
-from bendshed.services.permit_client import no_room
+from bendshed.services.permit_client import no_room_refusal
 from bendshed.services.quota_client import quota_refusal_of
 from bendshed.services.turn_output import TurnOutput
 from bendshed.wire import turns_pb2 as wire
@@ -109,7 +109,7 @@
     if reply.answer == wire.TURN_ANSWER_QUOTA_EXCEEDED:
         return quota_refusal_of(reply)
     if reply.answer == wire.TURN_ANSWER_NO_ROOM:
-        return no_room(reply)
+        return no_room_refusal(reply)
     if reply.answer == wire.TURN_ANSWER_UNKNOWN_TURN:
         return Refusal(ErrorKind.NOT_FOUND, "no such turn is kept")
     if reply.answer == wire.TURN_ANSWER_BUDGET_RESERVED:
--- a/src/bendshed/services/turn_reservation.py
+++ b/src/bendshed/services/turn_reservation.py
@@ -13,7 +13,7 @@
 from bendshed.model.permit import TimedPermit
 from bendshed.services.attempts import Attempts
 from bendshed.services.group_search import GroupSearch
-from bendshed.services.permit_client import demand_of
+from bendshed.services.permit_client import build_turn_demand
 from bendshed.services.turn_codec import (
     TurnCodec,
     is_granted,
@@ -131,11 +131,11 @@
         left_s = self.deadline_s - asyncio.get_running_loop().time()
         placement = self.attempts.placement
         request = self.attempts.request
-        demand = demand_of(
+        demand = build_turn_demand(
             request,
             placement.service,
             left_s,
-            placement.runner_state(),
+            placement.runner_report(),
             placement.ports.zone,
             regions=placement.regions,
         )
--- a/tests/site_cold_defects.py
+++ b/tests/site_cold_defects.py
@@ -9,7 +9,7 @@
 from bendshed.rehearsal.site.oracle import Rule, Violation
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.sim_world import SiteWorld
-from bendshed.services.permit_client import Permit, PermitClient
+from bendshed.services.permit_client import PermitClient, RunnerPermit
 from tests.site_defects import Defect, patch, world
 
 LONG_S = 60.0
@@ -84,8 +84,8 @@
     return 1.0
 
 
-async def _request_no_one(permits: PermitClient, request: object, demand: object) -> Permit:
-    return Permit("tool-1", TimedPermit(float("inf")))
+async def _request_no_one(permits: PermitClient, request: object, demand: object) -> RunnerPermit:
+    return RunnerPermit("tool-1", TimedPermit(float("inf")))
 
 
 def _note_by_another_clock(
@@ -106,7 +106,9 @@
         Rule.COLD, all_cold_while_leaders_change, patch(LeaderTouch, "share", _whole_share)
     ),
     "a front without a word goes on": Defect(
-        Rule.COLD, all_cold_while_fronts_are_cut, patch(PermitClient, "ask", _request_no_one)
+        Rule.COLD,
+        all_cold_while_fronts_are_cut,
+        patch(PermitClient, "request_permit", _request_no_one),
     ),
     "the time left is counted from another clock": Defect(
         Rule.COLD, all_cold_after_a_while, patch(ColdRunners, "_note", _note_by_another_clock)
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -33,7 +33,7 @@
 from bendshed.retries.history import AttemptHistory
 from bendshed.services.attempts import Attempts, OpenAnswer, RunnerPorts
 from bendshed.services.metrics import ServiceMetrics
-from bendshed.services.permit_client import Permit, PermitClient
+from bendshed.services.permit_client import PermitClient, RunnerPermit
 from bendshed.services.runner_placement import RunnerPlacement
 from bendshed.services.runners import RunnerTable
 from bendshed.turns.client import TurnClient
@@ -367,11 +367,13 @@
 class FakeAsks(PermitClient):
     """Answers in order; remembers which runners were named as tried."""
 
-    def __init__(self, *answers: Permit | Refusal) -> None:
+    def __init__(self, *answers: RunnerPermit | Refusal) -> None:
         self.answers = list(answers)
         self.tried: list[list[str]] = []
 
-    async def ask(self, request: ServiceRequest, demand: wire.TurnDemand) -> Permit | Refusal:
+    async def request_permit(
+        self, request: ServiceRequest, demand: wire.TurnDemand
+    ) -> RunnerPermit | Refusal:
         self.tried.append(sorted(demand.tried))
         return self.answers.pop(0)
 
@@ -406,15 +408,19 @@
 
 
 class AsksTest(unittest.IsolatedAsyncioTestCase):
-    async def ask(self, reply: wire.TurnReply | None, program_id: str = "") -> Permit | Refusal:
+    async def ask(
+        self, reply: wire.TurnReply | None, program_id: str = ""
+    ) -> RunnerPermit | Refusal:
         self.client = FakeClient(reply)
         permits = PermitClient(self.client, ServiceMetrics(CollectorRegistry()))
-        return await permits.ask(call(program_id), wire.TurnDemand(service="s", left_ms=2_000))
+        return await permits.request_permit(
+            call(program_id), wire.TurnDemand(service="s", left_ms=2_000)
+        )
 
     async def test_leave_runs_from_the_question(self) -> None:
         asked_s = asyncio.get_running_loop().time()
         permit = await self.ask(wire.TurnReply(runner_id="a", permit_ms=250))
-        assert isinstance(permit, Permit)
+        assert isinstance(permit, RunnerPermit)
         self.assertEqual(permit.runner_id, "a")
         answered_s = asyncio.get_running_loop().time()
         self.assertTrue(asked_s + 0.25 <= permit.permit.until_s <= answered_s + 0.25)
@@ -452,7 +458,7 @@
         for name in ("a", "b"):
             self.table.put(runner(name, 60_000))
 
-    def attempts(self, *answers: Permit | Refusal) -> Attempts:
+    def attempts(self, *answers: RunnerPermit | Refusal) -> Attempts:
         self.permits = FakeAsks(*answers)
         metrics = ServiceMetrics(CollectorRegistry())
         ports = RunnerPorts(
@@ -480,7 +486,7 @@
         self.assertEqual(self.permits.tried, [])
 
     async def test_a_cold_one_only_with_leave(self) -> None:
-        self.assertEqual(await self.open(self.attempts(Permit("a", VALID))), "a")
+        self.assertEqual(await self.open(self.attempts(RunnerPermit("a", VALID))), "a")
         refusal = Refusal(ErrorKind.NO_ROOM, "later", 0.3)
         outcome = await self.attempts(refusal).open(b"")
         self.assertEqual(outcome, refusal)
@@ -495,7 +501,7 @@
         self.assertEqual(await self.open(attempts), "a")
 
     async def test_leave_that_ran_out_on_the_way_is_not_used(self) -> None:
-        attempts = self.attempts(Permit("a", NO_PERMIT), Permit("a", VALID))
+        attempts = self.attempts(RunnerPermit("a", NO_PERMIT), RunnerPermit("a", VALID))
         self.assertEqual(await self.open(attempts), "a")
         self.assertEqual(self.permits.tried, [[], []])
         self.assertEqual(attempts.history.num_maybe_run, 1)
@@ -511,7 +517,7 @@
 
     async def test_each_try_needs_its_own_leave(self) -> None:
         self.pool.unreachable = {Address("a", 80)}
-        attempts = self.attempts(Permit("a", VALID), Permit("b", VALID))
+        attempts = self.attempts(RunnerPermit("a", VALID), RunnerPermit("b", VALID))
         self.assertEqual(await self.open(attempts), "b")
         self.assertEqual(self.permits.tried, [[], ["a"]])
 
@@ -521,7 +527,7 @@
         self.assertEqual(await self.open(attempts), "no_runner")
 
     async def test_leave_is_asked_for_a_bounded_number_of_times(self) -> None:
-        attempts = self.attempts(*[Permit("a", NO_PERMIT)] * 9)
+        attempts = self.attempts(*[RunnerPermit("a", NO_PERMIT)] * 9)
         self.assertEqual(await self.open(attempts), "overloaded")
         self.assertEqual(len(self.permits.tried), 4)
 
