--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -127,7 +127,7 @@
                     pass
                 case _:
                     assert_never(decision)
-            choice = await self.placement.find(self.history)
+            choice = await self.placement.find_runner(self.history)
             if isinstance(choice, GiveUp):
                 return refusal_of(choice, self.history)
             if isinstance(choice, Refusal):
@@ -198,7 +198,7 @@
             record.note_unreachable(loop.time())
             self._say("attempt failed: runner unreachable", choice, reason=str(error))
             return None
-        if not self.placement.may_get(record, choice.permit, loop.time()):
+        if not self.placement.may_dispatch_to(record, choice.permit, loop.time()):
             self._withdraw(choice, connection)
             return None
         left_ms = max(1, int((self.history.deadline_s - loop.time()) * 1000))
--- a/src/bendshed/services/runner_placement.py
+++ b/src/bendshed/services/runner_placement.py
@@ -29,7 +29,7 @@
 
     Attributes:
         zone, node: the node's zone and a name that other nodes do not have.
-        asks: requests permits for cold runners; ``None``: no leader gives any.
+        permit_client: requests permits for cold runners; ``None``: no leader gives any.
 
     """
 
@@ -41,7 +41,7 @@
     rng: random.Random
     metrics: ServiceMetrics
     policy: Policy = EVERYTHING
-    permits: PermitClient | None = None
+    permit_client: PermitClient | None = None
     places: Places = field(default_factory=Places)
 
     def is_connected(self, record: RunnerRecord) -> bool:
@@ -95,7 +95,7 @@
     def runner_report(self) -> RunnerReport:
         """What this node reports of the service's runners to a leader that places the request."""
         now_s = asyncio.get_running_loop().time()
-        eligible = self._usable(now_s)
+        eligible = self._eligible(now_s)
         connected: list[str] = []
         if self.ports.policy.kept_connections:
             connected = [r.listed.runner_id for r in eligible if self.ports.is_connected(r)]
@@ -103,7 +103,7 @@
             connected, [r.listed.runner_id for r in eligible if r.is_avoided(now_s)]
         )
 
-    async def find(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
+    async def find_runner(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
         """Find the runner of the next attempt; a refusal is the leader's, which gave no permit."""
         now_s = asyncio.get_running_loop().time()
         if may_choose_runner(history):
@@ -116,7 +116,7 @@
 
     def choose(self, tried: Collection[str], now_s: float) -> Choice | None:
         """Choose the preferred runner if it may get the request, else a warm one from here."""
-        eligible = self._usable(now_s)
+        eligible = self._eligible(now_s)
         preferred = self._choose_preferred(eligible, tried, now_s)
         if preferred is not None:
             return preferred
@@ -135,7 +135,7 @@
             self.request.affinity_key if self.sticky_key else "",
         )
 
-    def may_get(self, record: RunnerRecord, permit: TimedPermit, now_s: float) -> bool:
+    def may_dispatch_to(self, record: RunnerRecord, permit: TimedPermit, now_s: float) -> bool:
         """Whether a runner may get the request now: in an open zone and an allowed region, and
         warm or permitted.
         """
@@ -143,7 +143,7 @@
             return False
         return permit.is_valid(now_s) or not self.ports.table.cold.is_cold(record.listed.runner_id)
 
-    def _usable(self, now_s: float) -> list[RunnerRecord]:
+    def _eligible(self, now_s: float) -> list[RunnerRecord]:
         return self.ports.table.eligible(self.service, now_s, self.regions)
 
     def _choose_preferred(
@@ -152,9 +152,9 @@
         permit = self._preferred_permit
         for record in eligible:
             runner_id = record.listed.runner_id
-            is_fit = runner_id not in tried and not record.is_avoided(now_s)
-            is_preferred = runner_id == self._preferred_runner and is_fit
-            if is_preferred and self.may_get(record, permit, now_s):
+            is_usable = runner_id not in tried and not record.is_avoided(now_s)
+            is_preferred = runner_id == self._preferred_runner and is_usable
+            if is_preferred and self.may_dispatch_to(record, permit, now_s):
                 return Choice(record, "advised", permit)
         return None
 
@@ -162,13 +162,13 @@
         """Whether a permit could open a runner that was not tried yet."""
         return any(
             self.ports.table.cold.is_cold(record.listed.runner_id)
-            for record in self._usable(now_s)
+            for record in self._eligible(now_s)
             if record.listed.runner_id not in tried
         )
 
     async def _request_permit(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
         """Request a permit for one dispatch to a runner that was not tried yet."""
-        if self.ports.permits is None:
+        if self.ports.permit_client is None:
             detail = f"all runners of {self.service} are cold"
             return GiveUp(GiveUpReason.NO_PERMIT, detail)
         loop = asyncio.get_running_loop()
@@ -181,10 +181,10 @@
             history.tried,
             self.regions,
         )
-        permit = await self.ports.permits.request_permit(self.request, demand)
+        permit = await self.ports.permit_client.request_permit(self.request, demand)
         if isinstance(permit, Refusal):
             return permit
-        for record in self._usable(loop.time()):
+        for record in self._eligible(loop.time()):
             if record.listed.runner_id == permit.runner_id:
                 return Choice(record, "permitted", permit.permit)
         return GiveUp(GiveUpReason.NO_PERMIT, "this node does not know the permitted runner")
--- a/tests/site_zone_defects.py
+++ b/tests/site_zone_defects.py
@@ -91,7 +91,7 @@
 
 def _retries_go_anywhere() -> contextlib.AbstractContextManager[object]:
     return mock.patch.multiple(
-        RunnerPlacement, choose=_choose_anywhere_again, may_get=lambda *_args: True
+        RunnerPlacement, choose=_choose_anywhere_again, may_dispatch_to=lambda *_args: True
     )
 
 
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -464,7 +464,7 @@
         ports = RunnerPorts(
             self.table, self.pool, FakeProtocol(), "z", "n", random.Random(1), metrics
         )
-        ports = replace(ports, permits=self.permits)
+        ports = replace(ports, permit_client=self.permits)
         now_s = asyncio.get_running_loop().time()
         request = ServiceRequest(
             "r1", b"POST", b"/", "h", "/", [], b"", None, "", "", "", None, now_s
@@ -523,7 +523,7 @@
 
     async def test_without_anybody_to_ask_it_is_refused(self) -> None:
         attempts = self.attempts()
-        attempts.placement.ports = replace(attempts.ports, permits=None)
+        attempts.placement.ports = replace(attempts.ports, permit_client=None)
         self.assertEqual(await self.open(attempts), "no_runner")
 
     async def test_leave_is_asked_for_a_bounded_number_of_times(self) -> None:
