--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -37,14 +37,14 @@
 from bendshed.services.runner_placement import RunnerPlacement, RunnerPorts
 from bendshed.services.runners import RunnerRecord
 
-__all__ = ["Attempts", "OpenAnswer", "RunnerPorts"]
+__all__ = ["Attempts", "OpenResponse", "RunnerPorts"]
 
 log = PartLog("forward")
 
 
 @dataclass(slots=True)
-class OpenAnswer:
-    """An answer whose head has come.
+class OpenResponse:
+    """A response whose headers have arrived.
 
     ``close`` must be called once, whatever happens.
 
@@ -65,13 +65,13 @@
         async for chunk in self.connection.body():
             yield chunk
 
-    def close(self, whole: bool) -> None:
-        """Return the connection to the pool if the answer was read whole, or end it."""
+    def close(self, is_complete: bool) -> None:
+        """Return the connection to the pool if the response was read completely, else close it."""
         if self._closed:
             return
         self._closed = True
         self.record.in_flight -= 1
-        if whole:
+        if is_complete:
             self.record.note_success()
             self.connection.finish()
         else:
@@ -87,9 +87,9 @@
         principal: on whose behalf the request runs.
         placement: finds the runner of each attempt.
         history: what the attempts came to so far.
-        admit_again: charges the principal's quota for another run of a request that may have run;
-            returns why it does not hold one. ``None``: no quota is counted.
-        answered_by: id of the runner whose answer was taken; empty: none yet.
+        admit_second_run: charges the principal's quota for another run of a request that may have
+            run; returns the refusal if the quota is used up. ``None``: no quota applies.
+        answered_by: id of the runner whose response was taken; empty: none yet.
 
     """
 
@@ -98,7 +98,7 @@
     principal: Principal
     placement: RunnerPlacement
     history: AttemptHistory
-    admit_again: Callable[[], Awaitable[Refusal | None]] | None = None
+    admit_second_run: Callable[[], Awaitable[Refusal | None]] | None = None
     answered_by: str = ""
 
     @property
@@ -111,7 +111,7 @@
         """Whether any runner may have begun work on the request."""
         return self.history.may_have_run
 
-    async def open(self, body: bytes) -> OpenAnswer | Refusal:
+    async def open(self, body: bytes) -> OpenResponse | Refusal:
         """Send the request with this body until a runner answers; return why none does."""
         loop = asyncio.get_running_loop()
         while True:
@@ -120,7 +120,7 @@
                 case GiveUp():
                     return refusal_of(decision, self.history)
                 case RequestSecondRun():
-                    if not await self._is_admitted_again():
+                    if not await self._admit_second_run():
                         no_quota = GiveUp(GiveUpReason.NO_QUOTA, "the quota holds no second run")
                         return refusal_of(no_quota, self.history)
                 case TryRunner():
@@ -132,13 +132,13 @@
                 return refusal_of(choice, self.history)
             if isinstance(choice, Refusal):
                 return unless_maybe_run(choice, self.history)
-            answer = await self._try(choice, body)
-            if answer is not None:
-                return answer
+            response = await self._attempt_runner(choice, body)
+            if response is not None:
+                return response
 
-    async def _is_admitted_again(self) -> bool:
+    async def _admit_second_run(self) -> bool:
         """Every run is charged to the principal's quota, the second one of a request too."""
-        if self.admit_again is not None and await self.admit_again() is not None:
+        if self.admit_second_run is not None and await self.admit_second_run() is not None:
             return False
         self.history.record_admitted_run()
         return True
@@ -153,40 +153,40 @@
             return Refusal(ErrorKind.NO_RUNNER, self.placement.describe_no_runner())
         return None
 
-    def note_work_time(self, answer: OpenAnswer) -> None:
-        """A plain request was answered whole: update the measured pace of its runner."""
+    def record_work_time(self, response: OpenResponse) -> None:
+        """A plain request was answered completely: update the measured pace of its runner."""
         now_s = asyncio.get_running_loop().time()
-        pace = self.ports.table.work_times.in_typical(self.route.name, now_s - answer.sent_s)
-        answer.record.health.note_pace(pace, now_s)
+        pace = self.ports.table.work_times.in_typical(self.route.name, now_s - response.sent_s)
+        response.record.health.note_pace(pace, now_s)
 
-    async def _try(self, choice: Choice, body: bytes) -> OpenAnswer | None:
-        """Try one runner once; ``None``: no answer, the history says what may have happened."""
+    async def _attempt_runner(self, choice: Choice, body: bytes) -> OpenResponse | None:
+        """Try one runner once; ``None``: no response, the history says what may have happened."""
         record = choice.record
         runner = record.listed
         self.history.record_choice(runner.runner_id)
         record.in_flight += 1
-        answer: OpenAnswer | None = None
+        response: OpenResponse | None = None
         try:
-            answer = await self._connect_and_dispatch(choice, body)
+            response = await self._connect_and_dispatch(choice, body)
         finally:
-            if answer is None:
+            if response is None:
                 record.in_flight -= 1
-        if answer is None:
+        if response is None:
             return None
-        match self.ports.protocol.verdict(answer.head):
+        match self.ports.protocol.verdict(response.head):
             case Verdict.ANSWERED:
                 self.answered_by = runner.runner_id
-                self._count(AttemptResult.ANSWERED)
-                return answer
+                self._count_result(AttemptResult.ANSWERED)
+                return response
             case Verdict.NOT_RUN:
                 record.note_full(asyncio.get_running_loop().time())
-                await self._drop_not_run(answer, "turned it away unrun")
+                await self._drain_not_run_response(response, "turned it away unrun")
             case Verdict.OTHER_RUNNER:
                 record.note_unreachable(asyncio.get_running_loop().time())
-                await self._drop_not_run(answer, "another runner has the address")
+                await self._drain_not_run_response(response, "another runner has the address")
         return None
 
-    async def _connect_and_dispatch(self, choice: Choice, body: bytes) -> OpenAnswer | None:
+    async def _connect_and_dispatch(self, choice: Choice, body: bytes) -> OpenResponse | None:
         loop = asyncio.get_running_loop()
         record, runner = choice.record, choice.record.listed
         was_connected = self.ports.is_connected(record)
@@ -194,12 +194,12 @@
             connection = await self.ports.pool.acquire(runner.address)
         except ConnectFailed as error:
             self.history.record_unreachable(runner.runner_id)
-            self._count(AttemptResult.UNREACHABLE)
+            self._count_result(AttemptResult.UNREACHABLE)
             record.note_unreachable(loop.time())
-            self._say("attempt failed: runner unreachable", choice, reason=str(error))
+            self._log_failure("attempt failed: runner unreachable", choice, reason=str(error))
             return None
         if not self.placement.may_dispatch_to(record, choice.permit, loop.time()):
-            self._withdraw(choice, connection)
+            self._withdraw_dispatch(choice, connection)
             return None
         left_ms = max(1, int((self.history.deadline_s - loop.time()) * 1000))
         message = self.ports.protocol.request(
@@ -211,7 +211,7 @@
 
     async def _dispatch(
         self, choice: Choice, connection: RunnerConnection, message: ClientRequest
-    ) -> OpenAnswer | None:
+    ) -> OpenResponse | None:
         loop = asyncio.get_running_loop()
         record = choice.record
         sent_s = loop.time()
@@ -220,15 +220,15 @@
         except ResponseBroken as error:
             connection.abort()
             self.history.record_no_answer(record.listed.runner_id)
-            self._count(AttemptResult.NO_ANSWER)
+            self._count_result(AttemptResult.NO_ANSWER)
             record.note_broken(loop.time())
-            self._say("attempt failed: no answer", choice, reason=str(error))
+            self._log_failure("attempt failed: no answer", choice, reason=str(error))
             return None
         except BaseException:
-            # Also a cancelled request: its answer may still come, so the connection is not reused.
+            # Includes cancellation: the response may still arrive, so do not reuse the connection.
             connection.abort()
             raise
-        return OpenAnswer(head, record, connection, self.ports.pool, sent_s)
+        return OpenResponse(head, record, connection, self.ports.pool, sent_s)
 
     def _runner_dispatch(self, choice: Choice, left_ms: int) -> RunnerDispatch:
         principal = self.principal
@@ -241,7 +241,7 @@
             left_ms,
         )
 
-    def _withdraw(self, choice: Choice, connection: RunnerConnection) -> None:
+    def _withdraw_dispatch(self, choice: Choice, connection: RunnerConnection) -> None:
         """Do not dispatch: what held at the choice does not hold once the connection is there.
 
         The runner's zone was closed meanwhile, connecting took longer than the permit for a cold
@@ -251,41 +251,41 @@
         if not self.ports.table.filter.may_get(runner, self.placement.regions):
             connection.finish()
             self.ports.pool.release(runner.address, connection)
-            self._say(
+            self._log_failure(
                 "dispatch withdrawn: zone closed", choice, reason="its zone was closed meanwhile"
             )
             return
         self.history.record_expired_permit(runner.runner_id)
         connection.abort()
         self.ports.pool.release(runner.address, connection)
-        self._say(
+        self._log_failure(
             "dispatch withdrawn: no valid permit",
             choice,
             reason="there is no leave for a cold runner any more",
         )
 
-    async def _drop_not_run(self, answer: OpenAnswer, reason: str) -> None:
-        """Read the rest of an answer that proves that the request was not run."""
+    async def _drain_not_run_response(self, response: OpenResponse, reason: str) -> None:
+        """Read the rest of a response that proves that the request was not run."""
         self.history.record_proof_of_not_run()
-        self._count(AttemptResult.NOT_RUN)
+        self._count_result(AttemptResult.NOT_RUN)
         log.say(
             "attempt failed: runner did not run it",
             request=self.request.request_id,
-            runner=answer.record.listed.runner_id,
+            runner=response.record.listed.runner_id,
             reason=reason,
-            status=answer.head.status,
+            status=response.head.status,
         )
-        whole = False
+        is_complete = False
         try:
-            async for _chunk in answer.body():
+            async for _chunk in response.body():
                 pass
-            whole = True
+            is_complete = True
         except ResponseBroken:
             pass  # the head proves it already; only the connection is lost, and ``close`` ends it
         finally:
-            answer.close(whole)
+            response.close(is_complete)
 
-    def _count(self, result: AttemptResult) -> None:
+    def _count_result(self, result: AttemptResult) -> None:
         self.ports.metrics.attempts.labels(result.value).inc()
 
     def _log_dispatch(self, choice: Choice, was_connected: bool, left_ms: int) -> None:
@@ -303,9 +303,9 @@
             is_cold=self.ports.table.cold.is_cold(runner_id),
         )
 
-    def _say(self, sentence: str, choice: Choice, reason: str) -> None:
+    def _log_failure(self, message: str, choice: Choice, reason: str) -> None:
         log.say(
-            sentence,
+            message,
             request=self.request.request_id,
             runner=choice.record.listed.runner_id,
             chosen_by=choice.reason,
--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -22,7 +22,7 @@
     refusal_of,
 )
 from bendshed.retries.history import AttemptHistory
-from bendshed.services.attempts import Attempts, OpenAnswer, RunnerPorts
+from bendshed.services.attempts import Attempts, OpenResponse, RunnerPorts
 from bendshed.services.metrics import CALLER_LEFT, NO_ROUTE, ServedOutcome
 from bendshed.services.runner_placement import RunnerPlacement
 from bendshed.services.stream_exchange import StreamExchange
@@ -233,7 +233,7 @@
             finally:
                 opened.close(whole)
             if whole:
-                attempts.note_work_time(opened)
+                attempts.record_work_time(opened)
             log.say(
                 "request answered" if whole else "answer broken off: runner's answer broke",
                 request=attempts.request.request_id,
@@ -265,7 +265,7 @@
         await caller.refuse(refusal)
 
 
-async def _pass_on(opened: OpenAnswer, caller: Caller) -> bool:
+async def _pass_on(opened: OpenResponse, caller: Caller) -> bool:
     """Pass an answer on, a small one only when it is whole; raise ``ResponseBroken``.
 
     Once part of a large one was passed on, a break ends the caller's connection visibly.
--- a/src/bendshed/services/stream_exchange.py
+++ b/src/bendshed/services/stream_exchange.py
@@ -12,7 +12,7 @@
 from bendshed.ports.http_messages import ResponseBroken
 from bendshed.ports.runner import Caller, ServiceRequest
 from bendshed.retries.decisions import GiveUp, GiveUpReason, refusal_of
-from bendshed.services.attempts import Attempts, OpenAnswer
+from bendshed.services.attempts import Attempts, OpenResponse
 from bendshed.services.events import EventSplitter, StreamEvent
 from bendshed.services.metrics import ServedOutcome
 from bendshed.services.turn_record import TurnRecord
@@ -80,7 +80,7 @@
             opened.close(whole)
         return ServedOutcome.ANSWERED if whole else ServedOutcome.BROKEN_OFF
 
-    async def _relay(self, opened: OpenAnswer) -> bool:
+    async def _relay(self, opened: OpenResponse) -> bool:
         """Pass the stream on event by event; raise when it is not whole."""
         loop = asyncio.get_running_loop()
         is_stream = opened.head.status == SUCCESS
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -21,7 +21,7 @@
 from bendshed.rehearsal.site.sim_runners import SimConnection
 from bendshed.rehearsal.site.sim_world import SiteWorld
 from bendshed.retries import decisions
-from bendshed.services.attempts import Attempts, OpenAnswer
+from bendshed.services.attempts import Attempts, OpenResponse
 from bendshed.services.node import ServiceNode
 from bendshed.services.runners import RunnerTable
 from bendshed.services.turn_record import TurnRecord
@@ -268,7 +268,7 @@
     seed: int = 1
 
 
-async def _open_and_promise(attempts: Attempts, body: bytes) -> OpenAnswer | Refusal:
+async def _open_and_promise(attempts: Attempts, body: bytes) -> OpenResponse | Refusal:
     outcome = await _REAL_OPEN(attempts, body)
     if isinstance(outcome, Refusal):
         return Refusal(ErrorKind.OVERLOADED, outcome.detail)
@@ -276,10 +276,10 @@
 
 
 _REAL_OPEN = Attempts.open
-_REAL_BODY = OpenAnswer.body
+_REAL_BODY = OpenResponse.body
 
 
-async def _body_without_complaint(answer: OpenAnswer) -> AsyncIterator[bytes]:
+async def _body_without_complaint(answer: OpenResponse) -> AsyncIterator[bytes]:
     with contextlib.suppress(ResponseBroken):
         async for chunk in _REAL_BODY(answer):
             yield chunk
@@ -322,7 +322,7 @@
         Rule.REFUSAL, runners_lose_answers, patch(Attempts, "open", _open_and_promise)
     ),
     "a cut stream ends like a whole one": Defect(
-        Rule.WHOLE, runners_cut_answers, patch(OpenAnswer, "body", _body_without_complaint)
+        Rule.WHOLE, runners_cut_answers, patch(OpenResponse, "body", _body_without_complaint)
     ),
     "a held transcript is not checked": Defect(
         Rule.CHAIN, calm, patch(TranscriptCache, "get", _any_transcript)
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -31,7 +31,7 @@
 from bendshed.rehearsal.site.records import Kind
 from bendshed.rehearsal.site.sim_world import SiteWorld
 from bendshed.retries.history import AttemptHistory
-from bendshed.services.attempts import Attempts, OpenAnswer, RunnerPorts
+from bendshed.services.attempts import Attempts, OpenResponse, RunnerPorts
 from bendshed.services.metrics import ServiceMetrics
 from bendshed.services.permit_client import PermitClient, RunnerPermit
 from bendshed.services.runner_placement import RunnerPlacement
@@ -476,7 +476,7 @@
     async def open(self, attempts: Attempts) -> str:
         """Runner that got it, or the kind of the refusal."""
         outcome = await attempts.open(b"")
-        if isinstance(outcome, OpenAnswer):
+        if isinstance(outcome, OpenResponse):
             return outcome.record.listed.runner_id
         return outcome.kind.value
 
