--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -29,9 +29,10 @@
 from bendshed.services.turn_ports import TurnPorts
 from bendshed.services.turn_record import TurnRecord
 
-MAX_HELD_BODY_BYTES = 64 * 1024
-"""A plain answer up to this size is buffered until it is whole, so that the request can be repeated
-if the answer breaks; a larger one is passed on as it comes. Bounds memory per open request."""
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
+"""A plain response up to this size is buffered until it is complete, so that the request can be
+retried if the response breaks; a larger one is relayed as it arrives. Bounds memory per open
+request."""
 FIRST_DOCUMENT_WAIT_S = 0.5
 """How long requests wait for routes and runners at a node that has just started. Bounds the wait
 where no configuration comes: then the request is refused as ``not_ready``."""
@@ -55,7 +56,7 @@
         self._index: RouteIndex | None = None
         self._access = AccessIndex(ServiceDocument())
         self._has_index = asyncio.Event()
-        self._refuse_unknown_from_s: float | None = None
+        self._startup_wait_until_s: float | None = None
         self._runners = runners
         self._metrics = runners.metrics
         self._turns = turns
@@ -72,16 +73,16 @@
         self._access = AccessIndex(index.document)
         self._has_index.set()
 
-    async def _index_or_wait(self) -> RouteIndex | None:
+    async def _wait_for_index(self) -> RouteIndex | None:
         """Routes; a node that has just started waits for them and for runners, bounded."""
-        if self._index is None or not self._runners.table.has_any.is_set():
+        if self._index is None or not self._runners.table.has_runners.is_set():
             now_s = asyncio.get_running_loop().time()
-            if self._refuse_unknown_from_s is None:
-                self._refuse_unknown_from_s = now_s + FIRST_DOCUMENT_WAIT_S
+            if self._startup_wait_until_s is None:
+                self._startup_wait_until_s = now_s + FIRST_DOCUMENT_WAIT_S
             with contextlib.suppress(TimeoutError):  # then the request is refused, which is logged
-                async with asyncio.timeout_at(self._refuse_unknown_from_s):
+                async with asyncio.timeout_at(self._startup_wait_until_s):
                     await self._has_index.wait()
-                    await self._runners.table.has_any.wait()
+                    await self._runners.table.has_runners.wait()
         return self._index
 
     async def serve(self, request: ServiceRequest, caller: Caller) -> None:
@@ -91,7 +92,7 @@
         route_kind = NO_ROUTE
         outcome = CALLER_LEFT
         try:
-            index = await self._index_or_wait()
+            index = await self._wait_for_index()
             route = index.match(request.host, request.path) if index is not None else None
             route_kind = route.kind.value if route is not None else NO_ROUTE
             outcome = await self._serve(request, caller, route, index)
@@ -181,7 +182,7 @@
         if is_stream:
             known = index.document.services.get(attempts.placement.service)
             engine = known.engine if known is not None else None
-            record = self._record_of(request, attempts, engine)
+            record = self._build_turn_record(request, attempts, engine)
             if record is not None:
                 return await StreamExchange(request, attempts, caller, record).run()
         refusal = await admit()
@@ -191,7 +192,7 @@
             return await StreamExchange(request, attempts, caller, None).run()
         return await self._serve_plain(attempts, caller)
 
-    def _record_of(
+    def _build_turn_record(
         self,
         request: ServiceRequest,
         attempts: Attempts,
@@ -218,12 +219,12 @@
 
     async def _serve_plain(self, attempts: Attempts, caller: Caller) -> Refusal | ServedOutcome:
         while True:
-            opened = await attempts.open(attempts.request.body)
-            if isinstance(opened, Refusal):
-                return opened
-            whole = False
+            response = await attempts.open(attempts.request.body)
+            if isinstance(response, Refusal):
+                return response
+            is_complete = False
             try:
-                whole = await _pass_on(opened, caller)
+                is_complete = await _relay_response(response, caller)
             except ResponseBroken as error:
                 history, route = attempts.history, attempts.route
                 decision = decide_after_broken_answer(history, route, str(error))
@@ -231,18 +232,18 @@
                     return refusal_of(decision, history)
                 continue
             finally:
-                opened.close(whole)
-            if whole:
-                attempts.record_work_time(opened)
+                response.close(is_complete)
+            if is_complete:
+                attempts.record_work_time(response)
             log.say(
-                "request answered" if whole else "answer broken off: runner's answer broke",
+                "request answered" if is_complete else "answer broken off: runner's answer broke",
                 request=attempts.request.request_id,
                 route=attempts.route.name,
-                runner=opened.record.listed.runner_id,
-                status=opened.head.status,
+                runner=response.record.listed.runner_id,
+                status=response.head.status,
                 attempts=attempts.history.num_maybe_run,
             )
-            return ServedOutcome.ANSWERED if whole else ServedOutcome.BROKEN_OFF
+            return ServedOutcome.ANSWERED if is_complete else ServedOutcome.BROKEN_OFF
 
     async def _refuse(
         self,
@@ -265,32 +266,32 @@
         await caller.refuse(refusal)
 
 
-async def _pass_on(opened: OpenResponse, caller: Caller) -> bool:
-    """Pass an answer on, a small one only when it is whole; raise ``ResponseBroken``.
+async def _relay_response(response: OpenResponse, caller: Caller) -> bool:
+    """Pass an answer on, a small one only when it is complete; raise ``ResponseBroken``.
 
     Once part of a large one was passed on, a break ends the caller's connection visibly.
     """
-    held: list[bytes] = []
-    num_held = 0
-    begun = False
+    buffered: list[bytes] = []
+    num_buffered_bytes = 0
+    has_begun = False
     try:
-        async for chunk in opened.body():
-            if begun:
+        async for chunk in response.body():
+            if has_begun:
                 await caller.send(chunk)
                 continue
-            held.append(chunk)
-            num_held += len(chunk)
-            if num_held > MAX_HELD_BODY_BYTES:
-                begun = True
-                await caller.begin(opened.head)
-                await caller.send(b"".join(held))
+            buffered.append(chunk)
+            num_buffered_bytes += len(chunk)
+            if num_buffered_bytes > MAX_BUFFERED_BODY_BYTES:
+                has_begun = True
+                await caller.begin(response.head)
+                await caller.send(b"".join(buffered))
     except ResponseBroken:
-        if begun:
+        if has_begun:
             caller.break_off()
             return False
         raise
-    if not begun:
-        await caller.begin(opened.head)
-        await caller.send(b"".join(held))
+    if not has_begun:
+        await caller.begin(response.head)
+        await caller.send(b"".join(buffered))
     await caller.end()
     return True
--- a/src/bendshed/services/runners.py
+++ b/src/bendshed/services/runners.py
@@ -42,7 +42,7 @@
     """All runners by id and by service.
 
     Attributes:
-        has_any: set once a runner has been listed.
+        has_runners: set once a runner has been listed.
         work_times: of each route, over all runners.
         filter: places where requests may run.
         cold: runners that get nothing from this node without a permit.
@@ -50,7 +50,7 @@
     """
 
     by_id: dict[str, RunnerRecord] = field(default_factory=dict)
-    has_any: asyncio.Event = field(default_factory=asyncio.Event)
+    has_runners: asyncio.Event = field(default_factory=asyncio.Event)
     by_service: dict[str, dict[str, RunnerRecord]] = field(default_factory=dict)
     work_times: WorkTimes = field(default_factory=WorkTimes)
     filter: RunnerFilter = field(default_factory=RunnerFilter)
@@ -63,7 +63,7 @@
             return
         if record is None:
             record = _LoggedRecord(runner)
-            self.has_any.set()
+            self.has_runners.set()
             self.by_id[runner.runner_id] = record
         elif record.listed.service != runner.service:
             self._by_service(record.listed.service).pop(runner.runner_id, None)
@@ -79,22 +79,22 @@
             state=runner.state.value,
         )
 
-    def remove(self, runner_id: str, now_s: float, trusted: bool) -> None:
+    def remove(self, runner_id: str, now_s: float, is_trusted: bool) -> None:
         """A runner vanished from the list.
 
         Args:
             runner_id: which.
             now_s: loop time.
-            trusted: the registry was well; otherwise the runner may still be there and is a last
+            is_trusted: the registry was well; otherwise the runner may still be there and is a last
                 resort for ``UNLISTED_VALID_S``.
 
         """
         record = self.by_id.get(runner_id)
         if record is None:
             return
-        log.say("runner is not listed any more", runner=runner_id, trusted=trusted)
+        log.say("runner is not listed any more", runner=runner_id, trusted=is_trusted)
         self.cold.vanish(runner_id)
-        if trusted:
+        if is_trusted:
             self._drop(record)
         elif record.unlisted_at_s is None:
             record.unlisted_at_s = now_s
--- a/src/bendshed/services/stream_exchange.py
+++ b/src/bendshed/services/stream_exchange.py
@@ -17,7 +17,7 @@
 from bendshed.services.metrics import ServedOutcome
 from bendshed.services.turn_record import TurnRecord
 
-SUCCESS = 200
+HTTP_OK = 200
 
 log = PartLog("stream")
 
@@ -45,50 +45,53 @@
     async def run(self) -> Refusal | ServedOutcome:
         """Serve the request; a refusal that is returned has not been sent to the caller yet."""
         if self.record is None:
-            return await self._run_begun(self.request.body)
+            return await self._run_attempts(self.request.body)
         try:
             refusal = await self.record.begin()
             if refusal is not None:
                 return refusal
-            return await self._run_begun(self.record.body)
+            return await self._run_attempts(self.record.body)
         finally:
             # Also after a refusal, or when the caller left: the begin may be committed later, and
             # only its end takes the reservation off the program's budget.
             self.record.finish_incomplete()
 
-    async def _run_begun(self, body: bytes) -> Refusal | ServedOutcome:
-        opened = await self.attempts.open(body)
-        if isinstance(opened, Refusal):
-            return opened
-        whole = False
+    async def _run_attempts(self, body: bytes) -> Refusal | ServedOutcome:
+        response = await self.attempts.open(body)
+        if isinstance(response, Refusal):
+            return response
+        is_complete = False
         try:
-            if self.record is not None and (unconfirmed := await self.record.confirm()) is not None:
-                detail = f"the turn ran, but its reservation failed: {unconfirmed.detail}"
+            if (
+                self.record is not None
+                and (reservation_refusal := await self.record.confirm()) is not None
+            ):
+                detail = f"the turn ran, but its reservation failed: {reservation_refusal.detail}"
                 failed = GiveUp(GiveUpReason.RESERVATION_FAILED, detail)
                 return refusal_of(failed, self.attempts.history)
-            whole = await self._relay(opened)
+            is_complete = await self._relay(response)
         except (ResponseBroken, StreamBroken) as error:
             log.say(
                 "stream broken off: not whole",
                 request=self.request.request_id,
-                runner=opened.record.listed.runner_id,
+                runner=response.record.listed.runner_id,
                 events=self.num_events,
                 reason=str(error),
             )
             self.caller.break_off()
         finally:
-            opened.close(whole)
-        return ServedOutcome.ANSWERED if whole else ServedOutcome.BROKEN_OFF
+            response.close(is_complete)
+        return ServedOutcome.ANSWERED if is_complete else ServedOutcome.BROKEN_OFF
 
-    async def _relay(self, opened: OpenResponse) -> bool:
+    async def _relay(self, response: OpenResponse) -> bool:
         """Pass the stream on event by event; raise when it is not whole."""
         loop = asyncio.get_running_loop()
-        is_stream = opened.head.status == SUCCESS
+        is_stream = response.head.status == HTTP_OK
         splitter = EventSplitter()
         last_id: int | None = None
         first_ms: int | None = None
-        await self.caller.begin(opened.head)
-        async for chunk in opened.body():
+        await self.caller.begin(response.head)
+        async for chunk in response.body():
             if not is_stream:
                 await self.caller.send(chunk)
                 continue
@@ -111,8 +114,8 @@
         log.say(
             "stream answered",
             request=self.request.request_id,
-            runner=opened.record.listed.runner_id,
-            status=opened.head.status,
+            runner=response.record.listed.runner_id,
+            status=response.head.status,
             events=self.num_events,
             first_ms=first_ms,
             total_ms=int((loop.time() - self.request.arrived_s) * 1000),
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -81,28 +81,28 @@
         self.assertEqual(self.eligible(), ["b"])
 
     def test_a_gone_runner_gets_nothing_new(self) -> None:
-        self.table.remove("a", 0.0, trusted=True)
-        self.table.remove("b", 0.0, trusted=True)
+        self.table.remove("a", 0.0, is_trusted=True)
+        self.table.remove("b", 0.0, is_trusted=True)
         self.assertEqual(self.eligible(), [])
 
     def test_runners_that_vanish_while_the_store_fails_are_a_last_resort(self) -> None:
-        self.table.remove("a", 0.0, trusted=False)
+        self.table.remove("a", 0.0, is_trusted=False)
         self.assertEqual(self.eligible(), ["b"])
-        self.table.remove("b", 0.0, trusted=False)
+        self.table.remove("b", 0.0, is_trusted=False)
         self.assertEqual(self.eligible(), ["a", "b"])
         self.table.put(runner("b"))
         self.assertEqual(self.eligible(), ["b"])
-        self.table.remove("b", 0.0, trusted=True)
+        self.table.remove("b", 0.0, is_trusted=True)
         self.assertEqual(self.eligible(UNLISTED_VALID_S + 1), [])
 
     def test_a_runner_that_does_not_come_back_with_the_store_is_gone(self) -> None:
         """Entries that lapsed with the store are back 2 s after its return, or gone."""
-        self.table.remove("a", 10.0, trusted=False)
-        self.table.remove("b", 10.0, trusted=False)
+        self.table.remove("a", 10.0, is_trusted=False)
+        self.table.remove("b", 10.0, is_trusted=False)
         self.assertEqual(self.eligible(12.0), ["a", "b"])
         self.table.put(runner("b"))
         self.assertEqual(self.eligible(12.2), ["b"])
-        self.table.remove("b", 12.3, trusted=True)
+        self.table.remove("b", 12.3, is_trusted=True)
         self.assertEqual(self.eligible(13.0), [])
 
     def test_a_runner_of_another_service_is_not_used(self) -> None:
--- a/tests/test_zone_ways.py
+++ b/tests/test_zone_ways.py
@@ -276,7 +276,7 @@
     """All vanished from a list that cannot be trusted."""
     now_s = asyncio.get_running_loop().time()
     for runner_id in (*OPEN, *SHUT):
-        front.table.remove(runner_id, now_s, trusted=False)
+        front.table.remove(runner_id, now_s, is_trusted=False)
     return await front.send(number)
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -132,7 +132,7 @@
         table = RunnerTable(filter=self.filter)
         for zone in "ab":
             table.put(runner(zone, zone))
-        table.remove("b", 0.0, trusted=False)
+        table.remove("b", 0.0, is_trusted=False)
         self.assertEqual([one.listed.runner_id for one in table.eligible("s", 0.0, None)], ["b"])
 
     def test_a_service_is_shut_only_where_closed_zones_or_regions_are_the_cause(self) -> None:
