--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -26,7 +26,7 @@
 from bendshed.ports.objects import ObjectEvent, ObjectList, StoredObject
 from bendshed.ports.store import StoreUnavailable
 from bendshed.services.metrics import ServiceMetrics
-from bendshed.services.node import NodePlace, ServiceNode
+from bendshed.services.node import NodeLocation, ServiceNode
 from bendshed.tasks import start_loop
 
 RUNNER_CONNECT_TIMEOUT_S = 0.6
@@ -62,7 +62,7 @@
             self._transport,
             self._connections,
             PlatformRunnerProtocol(),
-            NodePlace(settings.zone, settings.peer_address, settings.places),
+            NodeLocation(settings.zone, settings.peer_address, settings.places),
             times,
             self._rng,
             self._make_metrics(registry),
@@ -188,7 +188,7 @@
 
     def _list_runners(self, listed: ObjectList) -> None:
         runners = [read_runner(item) for item in listed.items]
-        self._node.list_runners(runners, trusted=not self._runners.is_in_doubt)
+        self._node.replace_runners(runners, is_trusted=not self._runners.is_in_doubt)
 
     def _on_runner(self, event: ObjectEvent) -> None:
         if event.is_gone:
@@ -199,10 +199,10 @@
 
     def _take_configuration(self, item: StoredObject) -> None:
         if item.name == names.CONFIGURATION_NAME:
-            self._node.take_document(read_document(item.spec))
+            self._node.apply_document(read_document(item.spec))
 
     def _take_zones(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self._node.take_zones(update_of_listing(names, at, gone))
+        self._node.apply_zones(update_of_listing(names, at, gone))
         self._node.zones.confirm(0.0)
 
     def _take_replica(self, item: StoredObject) -> None:
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -38,7 +38,7 @@
 from bendshed.rehearsal.site.sim_runners import SimConnections, SimRunnerNet, SimRunnerProtocol
 from bendshed.rehearsal.site.sim_zones import RUNNER_ZONES, ZONE_CLOSE_S, SimZones
 from bendshed.services.metrics import ServiceMetrics
-from bendshed.services.node import NodePlace, ServiceNode
+from bendshed.services.node import NodeLocation, ServiceNode
 from bendshed.turns.metrics import TurnLogMetrics
 from bendshed.turns.node import ReplicaPlace, ReplicaPorts, ReplicaTerms, TurnLogNode
 
@@ -227,7 +227,7 @@
         connections = SimConnections(self.net, machine.process, machine.host)
         metrics = ServiceMetrics(CollectorRegistry())
         self.metrics[machine.process.name] = metrics
-        place = NodePlace(machine.zone, transport.address, self.layout.places)
+        place = NodeLocation(machine.zone, transport.address, self.layout.places)
         front = ServiceNode(
             transport,
             connections,
@@ -289,10 +289,10 @@
         if machine.front.catalog.is_fresh:
             return
         if self.registry.answer_loss:
-            machine.front.take_document(self.older_document)
-        machine.front.take_document(self.document)
-        machine.front.take_zones(self._zone_update(machine.front.zones.record.zones.at))
-        machine.front.list_runners(list(self.listed.values()), trusted=True)
+            machine.front.apply_document(self.older_document)
+        machine.front.apply_document(self.document)
+        machine.front.apply_zones(self._zone_update(machine.front.zones.record.zones.at))
+        machine.front.replace_runners(list(self.listed.values()), is_trusted=True)
         self._note_runners()
         machine.front.catalog.note_registry(self._revision)
         for node in self.registry.announced.values():
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -41,7 +41,7 @@
 from bendshed.turns.methods import PREVIEW_METHOD, QUOTA_METHOD, RUNNER_METHOD, TURN_METHOD
 
 TRANSCRIPT_BYTES = 16 * 1024 * 1024
-TURNS_LOST_S = 1.5
+TURN_LOG_LOST_AFTER_S = 1.5
 """A node that no replica of the turn log answered for this long sends its clients elsewhere."""
 PROBE_INTERVAL_S = 0.4
 RELAYED_METHODS = frozenset(
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodePlace:
+class NodeLocation:
     """Where a node is, and where other nodes reach it.
 
     Attributes:
@@ -88,7 +88,7 @@
         transport: Transport,
         connections: RunnerConnections,
         protocol: RunnerProtocol,
-        place: NodePlace,
+        location: NodeLocation,
         times: CatalogTimes,
         rng: random.Random,
         metrics: ServiceMetrics,
@@ -96,7 +96,7 @@
         groups: TurnGroups = ONE_GROUP,
     ) -> None:
         self.directory = ReplicaDirectory()
-        self.neighbours = Neighbours(place.zone, place.places)
+        self.neighbours = Neighbours(location.zone, location.places)
         self.directory.on_change.append(self._note_replicas)
         self._knows_replicas = asyncio.Event()
         self.directory.on_change.append(self._knows_replicas.set)
@@ -104,29 +104,33 @@
         self.is_draining = False
         self._policy = policy
         self._groups = groups
-        self._places = place.places
+        self._places = location.places
         self._zones_lag_s = times.zones_lag_s
         self._pool = connections
-        self.zones = ZoneKeeper(place.places)
+        self.zones = ZoneKeeper(location.places)
         self._table = self._build_table()
-        self._requests = RelayedRequests(
+        self._relayed_requests = RelayedRequests(
             transport, rng, self._other_nodes, RELAYED_METHODS, self.neighbours
         )
-        self.catalog = self._build_follower(transport, place, times, rng)
-        self._turns = self._build_turns(place, rng, metrics)
+        self.catalog = self._build_follower(transport, location, times, rng)
+        self._turns = self._build_turns(location, rng, metrics)
         self.quotas = self._turns.quotas
-        self.forwarder = Forwarder(self._build_runners(protocol, place, rng, metrics), self._turns)
+        self.forwarder = Forwarder(
+            self._build_runners(protocol, location, rng, metrics), self._turns
+        )
         self._add_gauges(metrics)
         self.zones.add_gauges(metrics)
 
     def _build_follower(
-        self, transport: Transport, place: NodePlace, times: CatalogTimes, rng: random.Random
+        self, transport: Transport, location: NodeLocation, times: CatalogTimes, rng: random.Random
     ) -> CatalogFollower:
         return CatalogFollower(
-            FollowerPaths(transport, self._requests, self.neighbours, self._requests.is_cut),
+            FollowerPaths(
+                transport, self._relayed_requests, self.neighbours, self._relayed_requests.is_cut
+            ),
             self.directory,
-            _CatalogTaker(self),
-            place.address,
+            _CatalogReceiver(self),
+            location.address,
             times,
             rng,
             self._policy.shared_reading,
@@ -138,21 +142,21 @@
         return table
 
     def _build_turns(
-        self, place: NodePlace, rng: random.Random, metrics: ServiceMetrics
+        self, location: NodeLocation, rng: random.Random, metrics: ServiceMetrics
     ) -> TurnPorts:
         """What a request needs of the turn log; each start draws a new incarnation."""
         leaders = GroupClient(
-            self._requests,
+            self._relayed_requests,
             rng,
             self._groups.count,
             self.directory.resolve,
             self.directory.node_ids,
             lambda group: self.directory.node_ids_in(self._groups.home_zones(group)),
-            self._requests.expected_round_trip_s,
+            self._relayed_requests.expected_round_trip_s,
         )
-        home_group = self._groups.at_home_in(place.zone)
-        client = TurnClient(rng, leaders, self._refuses_alone, home_group)
-        incarnation = f"{place.address}/{rng.getrandbits(48):012x}"
+        home_group = self._groups.at_home_in(location.zone)
+        client = TurnClient(rng, leaders, self._refuses_when_isolated, home_group)
+        incarnation = f"{location.address}/{rng.getrandbits(48):012x}"
         quotas = QuotaClient(incarnation, client, metrics, self._groups)
         transcripts = TranscriptCache(TRANSCRIPT_BYTES)
         locator = GroupLocator(self._groups, home_group)
@@ -161,7 +165,7 @@
     def _build_runners(
         self,
         protocol: RunnerProtocol,
-        place: NodePlace,
+        location: NodeLocation,
         rng: random.Random,
         metrics: ServiceMetrics,
     ) -> RunnerPorts:
@@ -170,13 +174,13 @@
             self._table,
             self._pool,
             protocol,
-            place.zone,
-            str(place.address),
+            location.zone,
+            str(location.address),
             rng,
             metrics,
             self._policy,
             PermitClient(self._turns.client, metrics),
-            place.places,
+            location.places,
         )
 
     def _note_replicas(self) -> None:
@@ -187,21 +191,21 @@
     def _other_nodes(self) -> list[Address]:
         return self.catalog.fronts if self._policy.relays else []
 
-    def _refuses_alone(self) -> bool:
-        return self._policy.refusal_when_isolated and self._requests.is_isolated
+    def _refuses_when_isolated(self) -> bool:
+        return self._policy.refusal_when_isolated and self._relayed_requests.is_isolated
 
     def _add_gauges(self, metrics: ServiceMetrics) -> None:
         """Add gauges that are read when metrics are scraped."""
-        opened = metrics.gauge("bendshed_open_requests", "Requests under way")
-        opened.set_function(lambda: self.forwarder.num_open)
+        open_requests = metrics.gauge("bendshed_open_requests", "Requests under way")
+        open_requests.set_function(lambda: self.forwarder.num_open)
         ready = metrics.gauge("bendshed_ready", "1 while new clients may be sent here")
         ready.set_function(lambda: float(self.is_ready))
         relayed = metrics.gauge("bendshed_requests_relayed", "Answers that came through others")
-        relayed.set_function(lambda: float(self._requests.num_relayed))
+        relayed.set_function(lambda: float(self._relayed_requests.num_relayed))
         doubled = metrics.gauge(
             "bendshed_requests_doubled", "Requests that went directly and through others"
         )
-        doubled.set_function(lambda: float(self._requests.num_doubled))
+        doubled.set_function(lambda: float(self._relayed_requests.num_doubled))
         ends = metrics.gauge("bendshed_turn_ends_pending", "Ends of turns to be committed")
         ends.set_function(lambda: float(self._turns.ends.num_pending))
         fresh = metrics.gauge(
@@ -224,15 +228,15 @@
     def is_ready(self) -> bool:
         """Whether new clients may be sent here."""
         knows = self.forwarder.index is not None
-        return knows and not self.is_draining and not self._has_lost_turns()
+        return knows and not self.is_draining and not self._has_lost_turn_log()
 
-    def _has_lost_turns(self) -> bool:
+    def _has_lost_turn_log(self) -> bool:
         if self._turns.client.is_isolated:
             return True
         lost_since_s = self._turns.client.lost_since_s
         if lost_since_s is None:
             return False
-        return asyncio.get_running_loop().time() - lost_since_s > TURNS_LOST_S
+        return asyncio.get_running_loop().time() - lost_since_s > TURN_LOG_LOST_AFTER_S
 
     async def watch_turn_log(self) -> None:
         """Find the leaders at the start; probe while no replica answers.
@@ -243,7 +247,7 @@
         client = self._turns.client
         loop = asyncio.get_running_loop()
         others = self._groups.others(client.home_group)
-        looking = [loop.create_task(client.find_leader(group)) for group in others]
+        searches = [loop.create_task(client.find_leader(group)) for group in others]
         try:
             await client.find_leader(client.home_group)
             while True:
@@ -253,10 +257,10 @@
                 if client.lost_since_s is not None or client.is_isolated:
                     await client.probe()
         finally:
-            for task in looking:
+            for task in searches:
                 task.cancel()
 
-    def take_document(self, document: ServiceDocument) -> bool:
+    def apply_document(self, document: ServiceDocument) -> bool:
         """Apply a newer document; an older one changes nothing."""
         index = self.forwarder.index
         before = index.document.version if index is not None else None
@@ -281,11 +285,11 @@
         """Whether no other node has answered for a while, on any path."""
         return self._turns.client.is_isolated
 
-    def list_runners(self, runners: Collection[ServiceRunner], trusted: bool) -> None:
-        """Take the whole list of runners; see ``remove_runner`` for ``trusted``."""
+    def replace_runners(self, runners: Collection[ServiceRunner], is_trusted: bool) -> None:
+        """Take the whole list of runners; see ``remove_runner`` for ``is_trusted``."""
         listed = {runner.runner_id for runner in runners}
         for runner_id in [name for name in self._table.by_id if name not in listed]:
-            self.remove_runner(runner_id, trusted)
+            self.remove_runner(runner_id, is_trusted)
         for runner in runners:
             self.put_runner(runner)
 
@@ -294,14 +298,14 @@
         self.neighbours.put(runner.address.host, runner.zone)
         self._table.put(runner)
 
-    def remove_runner(self, runner_id: str, trusted: bool) -> None:
-        """A runner is not listed any more; ``trusted``: the list's keeper is well."""
+    def remove_runner(self, runner_id: str, is_trusted: bool) -> None:
+        """A runner is not listed any more; ``is_trusted``: the list's keeper is well."""
         record = self._table.by_id.get(runner_id)
-        self._table.remove(runner_id, asyncio.get_running_loop().time(), trusted)
-        if record is not None and trusted:
+        self._table.remove(runner_id, asyncio.get_running_loop().time(), is_trusted)
+        if record is not None and is_trusted:
             self._pool.forget(record.listed.address)
 
-    def take_zones(self, update: ZoneUpdate) -> None:
+    def apply_zones(self, update: ZoneUpdate) -> None:
         """Take which zones are closed; an older update changes nothing.
 
         Requests under way there end; nothing new is dispatched there from here on.
@@ -330,7 +334,7 @@
         self._pool.close()
 
 
-class _CatalogTaker:
+class _CatalogReceiver:
     """Passes updates on to the node; revisions are the follower's matter."""
 
     def __init__(self, node: ServiceNode) -> None:
@@ -338,7 +342,7 @@
 
     def take_document(self, document: ServiceDocument) -> bool:
         """Take a configuration; an older one changes nothing."""
-        return self._node.take_document(document)
+        return self._node.apply_document(document)
 
     def put_runner(self, known: KnownRunner) -> None:
         """Take one runner's state."""
@@ -350,11 +354,11 @@
 
     def list_runners(self, runners: list[KnownRunner], _at: int, is_trusted: bool) -> None:
         """Take the whole list."""
-        self._node.list_runners([known.runner for known in runners], is_trusted)
+        self._node.replace_runners([known.runner for known in runners], is_trusted)
 
     def take_zones(self, update: ZoneUpdate) -> None:
         """Take which zones are closed."""
-        self._node.take_zones(update)
+        self._node.apply_zones(update)
 
     def confirm_all(self, age_s: float, _runners_at: int) -> None:
         """Only the age of closed zones is used here."""
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -350,7 +350,7 @@
     "any configuration is taken": Defect(
         Rule.CONFIGURATION,
         configurations_come_stale,
-        patch(ServiceNode, "take_document", _take_any_document),
+        patch(ServiceNode, "apply_document", _take_any_document),
     ),
     "what was let through is not counted": Defect(
         Rule.QUOTA, a_tenant_floods, patch(UsageWindows, "charge", lambda *_: None)
