--- a/tests/test_begins_are_ended.py
+++ b/tests/test_budget_after_refused_begins.py
@@ -39,18 +39,18 @@
     the_next_try_meets_the_new_leader,
 )
 
-EVENTS = 3
+MAX_EVENTS = 3
 
 
-class SilentLog:
+class SilentTurnClient:
     """Takes begins and answers none; answers ends."""
 
     is_isolated = False
 
     def __init__(self) -> None:
-        self.ended: list[str] = []
+        self.finished: list[str] = []
         self.has_begun = asyncio.Event()
-        self.gives_up = asyncio.Event()
+        self.may_fail = asyncio.Event()
 
     async def preview(self, _asked: wire.TurnPreview) -> None:
         return None
@@ -59,10 +59,10 @@
         self, command: wire.TurnCommand, _timeout_s: float, *_watch: object
     ) -> wire.TurnReply:
         if command.HasField("finish"):
-            self.ended.append(command.finish.turn_id)
+            self.finished.append(command.finish.turn_id)
             return wire.TurnReply()
         self.has_begun.set()
-        await self.gives_up.wait()
+        await self.may_fail.wait()
         raise GroupUnavailable("no leader answered")
 
 
@@ -71,7 +71,7 @@
 
     def exchange(self) -> StreamExchange:
         policy = replace(EVERYTHING, shared_load=False)
-        client = cast(TurnClient, self.log)
+        client = cast(TurnClient, self.client)
         self.ports = TurnPorts(client, MagicMock(), MagicMock(), MagicMock(), policy)
         attempts = MagicMock(may_have_run=False, answered_by="")
         attempts.history.failed = []
@@ -85,52 +85,52 @@
         record = TurnRecord(self.ports, request, route, attempts, None, deadline_s)
         return StreamExchange(request, attempts, MagicMock(), record)
 
-    async def all_ended(self) -> list[str]:
+    async def finished_turns(self) -> list[str]:
         await self.ports.finish_background_work()
-        return self.log.ended
+        return self.client.finished
 
-    async def refuse(self) -> None:
+    async def time_out_begin(self) -> None:
         """The log stays silent until the turn may wait no longer."""
-        self.log.gives_up.set()
+        self.client.may_fail.set()
         outcome = await self.exchange().run()
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.kind, ErrorKind.TURN_LOG_UNAVAILABLE)
 
-    async def leave(self) -> None:
+    async def cancel_request(self) -> None:
         """The caller closes its connection while the log is silent."""
         running = asyncio.create_task(self.exchange().run())
-        await self.log.has_begun.wait()
+        await self.client.has_begun.wait()
         running.cancel()
-        self.log.gives_up.set()
+        self.client.may_fail.set()
         await asyncio.gather(running, return_exceptions=True)
 
-    async def test_it_is_ended_however_the_caller_goes(self) -> None:
-        for go in (self.refuse, self.leave):
-            self.log = SilentLog()
-            await go()
-            self.assertEqual(await self.all_ended(), ["q"], go.__name__)
+    async def test_begin_is_finished_after_timeout_or_cancellation(self) -> None:
+        for end_request in (self.time_out_begin, self.cancel_request):
+            self.client = SilentTurnClient()
+            await end_request()
+            self.assertEqual(await self.finished_turns(), ["q"], end_request.__name__)
 
 
 class SpentBudgetTest(unittest.TestCase):
     """The same in a simulated site: begins reach the voters' logs and are committed too late."""
 
-    def test_turns_that_never_ran_do_not_spend_it(self) -> None:
+    def test_late_commits_do_not_spend_the_budget(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         self.assertEqual([begins_are_committed_too_late(seed) for seed in (1, 2, 3)], [[], [], []])
 
-    def test_nor_while_the_turn_log_is_away_for_long(self) -> None:
+    def test_long_turn_log_outage_does_not_spend_the_budget(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         self.assertEqual([no_begin_is_committed_for_long(seed) for seed in (1, 2)], [[], []])
 
-    def test_nor_when_the_next_try_meets_the_new_leader(self) -> None:
+    def test_retry_at_a_new_leader_does_not_spend_the_budget(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         played = [the_next_try_meets_the_new_leader(1, after_s) for after_s in (0.0, 0.2, 0.5)]
         self.assertEqual(played, [[], [], []])
 
-    def test_nor_where_all_fronts_lost_power_before_their_ends(self) -> None:
+    def test_power_loss_before_the_finish_does_not_spend_the_budget(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         self.assertEqual(fronts_stop_before_their_ends(1), [])
@@ -143,7 +143,7 @@
         self.world = SiteWorld.started(1)
         self.addCleanup(self.world.close)
 
-    def refused(self, budget_tokens: int) -> SiteRequest:
+    def add_refused_request(self, budget_tokens: int) -> SiteRequest:
         request = SiteRequest(
             "refused",
             Kind.TURN,
@@ -151,7 +151,7 @@
             sent_s=9.0,
             node="front-1",
             budget_tokens=budget_tokens,
-            most_events=EVENTS,
+            most_events=MAX_EVENTS,
             status=402,
             is_over=True,
             ended_s=9.1,
@@ -159,11 +159,11 @@
         self.world.seen.requests.append(request)
         return request
 
-    def test_a_program_that_used_nothing_is_not_spent(self) -> None:
-        self.refused(EVENTS * EVENT_TOKENS)
+    def test_reports_a_refusal_as_spent_of_an_unused_budget(self) -> None:
+        self.add_refused_request(MAX_EVENTS * EVENT_TOKENS)
         (violation,) = check_spent(self.world.seen)
         self.assertIs(violation.rule, Rule.SPENT)
 
-    def test_a_budget_below_one_turn_is_spent(self) -> None:
-        self.refused(EVENTS * EVENT_TOKENS - 1)
+    def test_accepts_a_refusal_as_spent_of_a_budget_below_one_turn(self) -> None:
+        self.add_refused_request(MAX_EVENTS * EVENT_TOKENS - 1)
         self.assertEqual(list(check_spent(self.world.seen)), [])
--- a/tests/test_zone_ways.py
+++ b/tests/test_dispatch_restrictions.py
@@ -1,4 +1,4 @@
-"""Every way by which a request can reach a runner, against a closed zone and against homes."""
+"""Every path by which a request can reach a runner, against a closed zone and against homes."""
 
 import ast
 import asyncio
@@ -50,10 +50,10 @@
 
 SOURCES = Path(__file__).resolve().parent.parent / "src" / "bendshed"
 PLACES = Places({"a": "west", "b": "east"})
-OPEN, SHUT = ("open-1", "open-2"), ("shut-1", "shut-2")
-CLOSED = RunnerFilter(ClosedZones(5, frozenset("b")), PLACES)
-NO_BARRIER = RunnerFilter(places=PLACES)
-HOMES = ("west",)
+OPEN_RUNNERS, CLOSED_RUNNERS = ("open-1", "open-2"), ("shut-1", "shut-2")
+ZONE_B_CLOSED = RunnerFilter(ClosedZones(5, frozenset("b")), PLACES)
+NO_ZONE_CLOSED = RunnerFilter(places=PLACES)
+ALLOWED_REGIONS = ("west",)
 ROUTE = Route(
     name="r",
     host="h",
@@ -67,8 +67,8 @@
 )
 STREAM = replace(ROUTE, kind=RouteKind.STREAM, max_attempts=1)
 TURN = TurnDetails("", None, 9)
-MANY = 12
-"""Requests of each way; without a barrier some of them reach runners behind it."""
+NUM_REQUESTS = 12
+"""Requests of each path; without a filter some of them reach runners behind it."""
 
 
 def address(runner_id: str) -> Address:
@@ -76,14 +76,14 @@
 
 
 def listed(runner_id: str) -> ServiceRunner:
-    zone = "a" if runner_id in OPEN else "b"
+    zone = "a" if runner_id in OPEN_RUNNERS else "b"
     return ServiceRunner(runner_id, "s", address(runner_id), zone, 6, RunnerState.READY)
 
 
-class Connection(RunnerConnection):
+class FakeConnection(RunnerConnection):
     """Answers as its runner is told to."""
 
-    def __init__(self, runners: "Runners", runner_id: str) -> None:
+    def __init__(self, runners: "FakeRunnerConnections", runner_id: str) -> None:
         self._runners = runners
         self._runner_id = runner_id
 
@@ -107,7 +107,7 @@
         pass
 
 
-class Runners(RunnerConnections):
+class FakeRunnerConnections(RunnerConnections):
     """All runners; remembers what each was sent."""
 
     def __init__(self) -> None:
@@ -120,7 +120,7 @@
         self.before_connecting(address.host)
         if self.behaviour.get(address.host) == "refuses":
             raise ConnectFailed("refused")
-        return Connection(self, address.host)
+        return FakeConnection(self, address.host)
 
     def has_idle(self, address: Address) -> bool:
         return False
@@ -135,23 +135,25 @@
         pass
 
 
-class Front:
+class FrontFixture:
     """A front before some open and some shut runners.
 
     Attributes:
-        advised: runner that the leader of the turn log advises.
+        preferred_runner: runner that the leader of the turn log advises.
         before_preview, before_quota: called while a request waits for the turn log.
 
     """
 
-    def __init__(self, barrier: RunnerFilter, homes: tuple[str, ...], has_turns: bool) -> None:
-        self.table = RunnerTable(filter=barrier)
-        for runner_id in (*OPEN, *SHUT):
+    def __init__(
+        self, runner_filter: RunnerFilter, allowed_regions: tuple[str, ...], has_turns: bool
+    ) -> None:
+        self.table = RunnerTable(filter=runner_filter)
+        for runner_id in (*OPEN_RUNNERS, *CLOSED_RUNNERS):
             self.table.put(listed(runner_id))
-        self.runners = Runners()
-        self.homes = homes
-        self.advised = ""
-        self.asked: list[wire.TurnDemand] = []
+        self.runners = FakeRunnerConnections()
+        self.allowed_regions = allowed_regions
+        self.preferred_runner = ""
+        self.demands: list[wire.TurnDemand] = []
         self.before_preview: Callable[[], None] = lambda: None
         self.before_quota: Callable[[], None] = lambda: None
         metrics = ServiceMetrics(CollectorRegistry())
@@ -170,17 +172,17 @@
         self.put(ROUTE)
 
     def put(self, route: Route) -> None:
-        document = ServiceDocument(1, (replace(route, allowed_regions=self.homes),))
+        document = ServiceDocument(1, (replace(route, allowed_regions=self.allowed_regions),))
         self.forwarder.index = RouteIndex(document)
 
     def behave(self, behaviour: str) -> None:
-        self.runners.behaviour = dict.fromkeys(OPEN, behaviour)
+        self.runners.behaviour = dict.fromkeys(OPEN_RUNNERS, behaviour)
 
     async def _preview(self, preview: wire.TurnPreview) -> wire.TurnReply | None:
         await asyncio.sleep(0)
-        self.asked.append(preview.demand)
+        self.demands.append(preview.demand)
         self.before_preview()
-        return wire.TurnReply(answer=wire.TURN_ANSWER_GRANTED, runner_id=self.advised)
+        return wire.TurnReply(answer=wire.TURN_ANSWER_GRANTED, runner_id=self.preferred_runner)
 
     async def _admit_call(self, *_arguments: object) -> None:
         await asyncio.sleep(0)
@@ -215,132 +217,138 @@
         return caller
 
 
-Way = Callable[[Front, int], Awaitable[RecordingCaller]]
+DispatchPath = Callable[[FrontFixture, int], Awaitable[RecordingCaller]]
 
 
-async def plain(front: Front, number: int) -> RecordingCaller:
+async def plain_request(front: FrontFixture, number: int) -> RecordingCaller:
     return await front.send(number)
 
 
-async def by_session(front: Front, number: int) -> RecordingCaller:
+async def session_request(front: FrontFixture, number: int) -> RecordingCaller:
     front.put(replace(ROUTE, is_sticky=True))
     return await front.send(number)
 
 
-async def second_try_after(front: Front, number: int, behaviour: str) -> RecordingCaller:
+async def send_with_fault(front: FrontFixture, number: int, behaviour: str) -> RecordingCaller:
     front.behave(behaviour)
     return await front.send(number)
 
 
-async def after_a_shed(front: Front, number: int) -> RecordingCaller:
-    return await second_try_after(front, number, "sheds")
+async def retry_after_not_run(front: FrontFixture, number: int) -> RecordingCaller:
+    return await send_with_fault(front, number, "sheds")
 
 
-async def after_a_lost_answer(front: Front, number: int) -> RecordingCaller:
-    return await second_try_after(front, number, "loses")
+async def retry_after_lost_response(front: FrontFixture, number: int) -> RecordingCaller:
+    return await send_with_fault(front, number, "loses")
 
 
-async def after_a_refused_connection(front: Front, number: int) -> RecordingCaller:
-    return await second_try_after(front, number, "refuses")
+async def retry_after_refused_connection(front: FrontFixture, number: int) -> RecordingCaller:
+    return await send_with_fault(front, number, "refuses")
 
 
-async def a_stream(front: Front, number: int) -> RecordingCaller:
+async def stream(front: FrontFixture, number: int) -> RecordingCaller:
     front.put(STREAM)
     return await front.send(number)
 
 
-async def a_resumed_stream(front: Front, number: int) -> RecordingCaller:
+async def resumed_stream(front: FrontFixture, number: int) -> RecordingCaller:
     front.put(replace(STREAM, is_resumable=True, max_attempts=4))
     front.behave("loses")
     return await front.send(number, resumes="3")
 
 
-async def an_advised_turn(front: Front, number: int) -> RecordingCaller:
+async def placed_turn(front: FrontFixture, number: int) -> RecordingCaller:
     front.put(STREAM)
-    front.advised = SHUT[number % 2]
+    front.preferred_runner = CLOSED_RUNNERS[number % 2]
     return await front.send(number, TURN)
 
 
-async def a_turn_without_advice(front: Front, number: int) -> RecordingCaller:
+async def turn_without_placement(front: FrontFixture, number: int) -> RecordingCaller:
     front.put(STREAM)
     return await front.send(number, TURN)
 
 
-async def a_turn_after_a_shed(front: Front, number: int) -> RecordingCaller:
+async def turn_retried_after_not_run(front: FrontFixture, number: int) -> RecordingCaller:
     front.put(STREAM)
     front.behave("sheds")
     return await front.send(number, TURN)
 
 
-async def last_resorts(front: Front, number: int) -> RecordingCaller:
+async def unlisted_runners(front: FrontFixture, number: int) -> RecordingCaller:
     """All vanished from a list that cannot be trusted."""
     now_s = asyncio.get_running_loop().time()
-    for runner_id in (*OPEN, *SHUT):
+    for runner_id in (*OPEN_RUNNERS, *CLOSED_RUNNERS):
         front.table.remove(runner_id, now_s, is_trusted=False)
     return await front.send(number)
 
 
-WAYS: tuple[Way, ...] = (
-    plain,
-    by_session,
-    after_a_shed,
-    after_a_lost_answer,
-    after_a_refused_connection,
-    a_stream,
-    a_resumed_stream,
-    an_advised_turn,
-    a_turn_without_advice,
-    a_turn_after_a_shed,
-    last_resorts,
+DISPATCH_PATHS: tuple[DispatchPath, ...] = (
+    plain_request,
+    session_request,
+    retry_after_not_run,
+    retry_after_lost_response,
+    retry_after_refused_connection,
+    stream,
+    resumed_stream,
+    placed_turn,
+    turn_without_placement,
+    turn_retried_after_not_run,
+    unlisted_runners,
 )
 
 
-class EveryWayTest(unittest.IsolatedAsyncioTestCase):
-    async def sent(self, way: Way, barrier: RunnerFilter, homes: tuple[str, ...]) -> set[str]:
+class DispatchPathsTest(unittest.IsolatedAsyncioTestCase):
+    async def sent(
+        self, path: DispatchPath, runner_filter: RunnerFilter, allowed_regions: tuple[str, ...]
+    ) -> set[str]:
         reached: set[str] = set()
-        for number in range(MANY):
-            front = Front(barrier, homes, has_turns=True)
-            await way(front, number)
+        for number in range(NUM_REQUESTS):
+            front = FrontFixture(runner_filter, allowed_regions, has_turns=True)
+            await path(front, number)
             reached.update(front.runners.sent)
         return reached
 
-    async def test_no_way_leads_into_a_closed_zone(self) -> None:
-        for way in WAYS:
-            with self.subTest(way=way.__name__):
-                self.assertLessEqual(await self.sent(way, CLOSED, ()), set(OPEN))
-
-    async def test_no_way_leads_out_of_the_homes(self) -> None:
-        for way in WAYS:
-            with self.subTest(way=way.__name__):
-                self.assertLessEqual(await self.sent(way, NO_BARRIER, HOMES), set(OPEN))
-
-    async def test_each_way_leads_there_without_a_barrier(self) -> None:
-        for way in WAYS:
-            with self.subTest(way=way.__name__):
-                self.assertTrue(await self.sent(way, NO_BARRIER, ()) & set(SHUT))
-
-    def test_the_leaders_advice_leads_nowhere_else(self) -> None:
-        for regions, filter_ in (([], CLOSED), (list(HOMES), NO_BARRIER)):
+    async def test_no_dispatch_into_a_closed_zone(self) -> None:
+        for path in DISPATCH_PATHS:
+            with self.subTest(path=path.__name__):
+                self.assertLessEqual(await self.sent(path, ZONE_B_CLOSED, ()), set(OPEN_RUNNERS))
+
+    async def test_no_dispatch_outside_the_allowed_regions(self) -> None:
+        for path in DISPATCH_PATHS:
+            with self.subTest(path=path.__name__):
+                self.assertLessEqual(
+                    await self.sent(path, NO_ZONE_CLOSED, ALLOWED_REGIONS), set(OPEN_RUNNERS)
+                )
+
+    async def test_each_path_reaches_all_zones_without_restrictions(self) -> None:
+        for path in DISPATCH_PATHS:
+            with self.subTest(path=path.__name__):
+                self.assertTrue(await self.sent(path, NO_ZONE_CLOSED, ()) & set(CLOSED_RUNNERS))
+
+    def test_leader_placement_obeys_the_restrictions(self) -> None:
+        for regions, filter_ in (([], ZONE_B_CLOSED), (list(ALLOWED_REGIONS), NO_ZONE_CLOSED)):
             catalog = Catalog(filter=filter_)
-            runners = [KnownRunner(listed(name), 3) for name in (*SHUT, *OPEN)]
+            runners = [KnownRunner(listed(name), 3) for name in (*CLOSED_RUNNERS, *OPEN_RUNNERS)]
             catalog.list_runners(runners, 4, is_trusted=True)
             metrics = TurnLogMetrics(CollectorRegistry())
             cold = ColdAdmission(catalog.cold, ColdTerms(), metrics)
-            advice = TurnPlacement(catalog, cold, random.Random(1))
-            for number in range(MANY):
+            placement_service = TurnPlacement(catalog, cold, random.Random(1))
+            for number in range(NUM_REQUESTS):
                 demand = wire.TurnDemand(service="s", left_ms=4000, zone="b", regions=regions)
                 begin = wire.BeginTurn(turn_id=f"t{number}", most_tokens=9)
                 preview = wire.TurnPreview(begin=begin, demand=demand)
-                placement = advice.place_turn(preview, SHUT[0], False, 1.0)
-                self.assertIn(placement.runner_id, OPEN)
-
-    async def test_the_leader_is_told_the_homes(self) -> None:
-        front = Front(NO_BARRIER, HOMES, has_turns=True)
-        await a_turn_without_advice(front, 1)
-        self.assertEqual([list(demand.regions) for demand in front.asked], [list(HOMES)])
+                placement = placement_service.place_turn(preview, CLOSED_RUNNERS[0], False, 1.0)
+                self.assertIn(placement.runner_id, OPEN_RUNNERS)
+
+    async def test_leader_receives_the_allowed_regions(self) -> None:
+        front = FrontFixture(NO_ZONE_CLOSED, ALLOWED_REGIONS, has_turns=True)
+        await turn_without_placement(front, 1)
+        self.assertEqual(
+            [list(demand.regions) for demand in front.demands], [list(ALLOWED_REGIONS)]
+        )
 
-    def test_connections_to_runners_are_taken_at_one_place(self) -> None:
-        """A second place would be a way that this test does not walk."""
+    def test_only_known_modules_acquire_runner_connections(self) -> None:
+        """A second place would be a path that this test does not walk."""
         found = []
         for folder in ("services", "turns", "gateway", "platform", "catalog", "placement"):
             for path in (SOURCES / folder).rglob("*.py"):
@@ -350,48 +358,48 @@
         self.assertEqual(sorted(found), ["attempts.py", "objects.py"])
 
 
-class WaitingTest(unittest.IsolatedAsyncioTestCase):
+class ZoneClosedWhileWaitingTest(unittest.IsolatedAsyncioTestCase):
     """The zone is closed while the request waits for something."""
 
-    def front(self, route: Route) -> Front:
-        front = Front(NO_BARRIER, (), has_turns=True)
+    def front(self, route: Route) -> FrontFixture:
+        front = FrontFixture(NO_ZONE_CLOSED, (), has_turns=True)
         front.put(route)
         return front
 
-    def close(self, front: Front) -> None:
-        front.table.filter = CLOSED
+    def close(self, front: FrontFixture) -> None:
+        front.table.filter = ZONE_B_CLOSED
 
     async def test_for_a_connection(self) -> None:
-        for number in range(MANY):
+        for number in range(NUM_REQUESTS):
             front = self.front(ROUTE)
             front.runners.before_connecting = lambda _runner, front=front: self.close(front)
             caller = await front.send(number)
-            self.assertTrue(caller.is_whole)
-            self.assertEqual(set(front.runners.sent) - set(OPEN), set())
+            self.assertTrue(caller.is_complete)
+            self.assertEqual(set(front.runners.sent) - set(OPEN_RUNNERS), set())
 
     async def test_for_the_turn_log(self) -> None:
-        for number in range(MANY):
+        for number in range(NUM_REQUESTS):
             front = self.front(STREAM)
-            front.advised = SHUT[0]
+            front.preferred_runner = CLOSED_RUNNERS[0]
             front.before_preview = lambda front=front: self.close(front)
             caller = await front.send(number, TURN)
-            self.assertTrue(caller.is_whole)
-            self.assertEqual(set(front.runners.sent) - set(OPEN), set())
+            self.assertTrue(caller.is_complete)
+            self.assertEqual(set(front.runners.sent) - set(OPEN_RUNNERS), set())
 
     async def test_for_the_quota(self) -> None:
-        for number in range(MANY):
+        for number in range(NUM_REQUESTS):
             front = self.front(ROUTE)
             front.before_quota = lambda front=front: self.close(front)
             caller = await front.send(number)
-            self.assertTrue(caller.is_whole)
-            self.assertEqual(set(front.runners.sent) - set(OPEN), set())
+            self.assertTrue(caller.is_complete)
+            self.assertEqual(set(front.runners.sent) - set(OPEN_RUNNERS), set())
 
-    async def test_nothing_is_left_open_meanwhile(self) -> None:
-        everything = RunnerFilter(ClosedZones(5, frozenset("ab")), PLACES)
+    async def test_all_zones_closed_while_connecting(self) -> None:
+        all_zones_closed = RunnerFilter(ClosedZones(5, frozenset("ab")), PLACES)
         front = self.front(ROUTE)
 
         def close(_runner: str) -> None:
-            front.table.filter = everything
+            front.table.filter = all_zones_closed
 
         front.runners.before_connecting = close
         caller = await front.send()
@@ -401,10 +409,12 @@
         self.assertEqual(front.runners.sent, [])
 
 
-class NothingUsableTest(unittest.IsolatedAsyncioTestCase):
+class NoEligibleRunnerTest(unittest.IsolatedAsyncioTestCase):
     """Refused before the turn log and the quota are asked, and truthfully."""
 
-    async def refused(self, front: Front, turn: TurnDetails | None, credential: str = "") -> str:
+    async def refusal_detail(
+        self, front: FrontFixture, turn: TurnDetails | None, credential: str = ""
+    ) -> str:
         front.before_quota = front.before_preview = lambda: self.fail("it was asked")
         caller = await front.send(turn=turn, credential=credential)
         assert caller.refusal is not None
@@ -415,27 +425,27 @@
         return caller.refusal.detail
 
     async def test_all_zones_are_closed(self) -> None:
-        everything = RunnerFilter(ClosedZones(5, frozenset("ab")), PLACES)
+        all_zones_closed = RunnerFilter(ClosedZones(5, frozenset("ab")), PLACES)
         for route, turn in ((ROUTE, None), (STREAM, TURN)):
-            front = Front(everything, (), has_turns=True)
+            front = FrontFixture(all_zones_closed, (), has_turns=True)
             front.put(route)
-            self.assertIn("closed zones: a, b", await self.refused(front, turn))
+            self.assertIn("closed zones: a, b", await self.refusal_detail(front, turn))
 
-    async def test_no_runner_stands_in_the_homes(self) -> None:
-        front = Front(NO_BARRIER, ("north",), has_turns=True)
-        self.assertIn("allowed regions: north", await self.refused(front, None))
+    async def test_no_runner_in_the_allowed_regions(self) -> None:
+        front = FrontFixture(NO_ZONE_CLOSED, ("north",), has_turns=True)
+        self.assertIn("allowed regions: north", await self.refusal_detail(front, None))
 
-    async def test_the_homes_left_are_closed(self) -> None:
-        front = Front(CLOSED, ("east",), has_turns=True)
-        detail = await self.refused(front, None)
+    async def test_allowed_regions_are_closed(self) -> None:
+        front = FrontFixture(ZONE_B_CLOSED, ("east",), has_turns=True)
+        detail = await self.refusal_detail(front, None)
         self.assertIn("closed zones: b, allowed regions: east", detail)
 
-    async def test_route_and_tenant_contradict_each_other(self) -> None:
-        front = Front(NO_BARRIER, HOMES, has_turns=True)
+    async def test_route_and_tenant_share_no_allowed_region(self) -> None:
+        front = FrontFixture(NO_ZONE_CLOSED, ALLOWED_REGIONS, has_turns=True)
         tenant = Tenant("t", ("credential",), allowed_regions=("east",))
-        route = replace(STREAM, allowed_regions=HOMES)
+        route = replace(STREAM, allowed_regions=ALLOWED_REGIONS)
         front.forwarder.index = RouteIndex(ServiceDocument(1, (route,), tenants=(tenant,)))
-        detail = await self.refused(front, TURN, "credential")
+        detail = await self.refusal_detail(front, TURN, "credential")
         self.assertIn("the route allows west, the tenant east", detail)
 
 
--- a/tests/test_promised_turns.py
+++ b/tests/test_previewed_turns.py
@@ -14,7 +14,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 
-class Client:
+class FakeTurnClient:
     """Grants the preview, and answers the begin once the turn has left."""
 
     is_isolated = False
@@ -22,7 +22,7 @@
     def __init__(self, answer: "wire.TurnAnswer.ValueType") -> None:
         self.answer = answer
         self.finishes: list[wire.FinishTurn] = []
-        self.has_left = asyncio.Event()
+        self.has_dispatched = asyncio.Event()
 
     async def preview(self, _asked: wire.TurnPreview) -> wire.TurnReply:
         return wire.TurnReply(answer=wire.TURN_ANSWER_GRANTED)
@@ -33,12 +33,12 @@
         if command.HasField("finish"):
             self.finishes.append(command.finish)
             return wire.TurnReply()
-        await self.has_left.wait()
+        await self.has_dispatched.wait()
         return wire.TurnReply(answer=self.answer)
 
 
-class PromisedTurnTest(unittest.IsolatedAsyncioTestCase):
-    async def play(self, client: Client, tenant: str) -> Refusal:
+class PreviewedTurnTest(unittest.IsolatedAsyncioTestCase):
+    async def run_turn(self, client: FakeTurnClient, tenant: str) -> Refusal:
         policy = replace(EVERYTHING, shared_load=False)
         ports = TurnPorts(cast(TurnClient, client), MagicMock(), MagicMock(), MagicMock(), policy)
         attempts = MagicMock(may_have_run=False, answered_by="r")
@@ -49,7 +49,7 @@
 
         async def open_answer(_body: bytes) -> MagicMock:
             attempts.may_have_run = True
-            client.has_left.set()
+            client.has_dispatched.set()
             return MagicMock()
 
         attempts.open = open_answer
@@ -63,17 +63,17 @@
         assert isinstance(outcome, Refusal)
         return outcome
 
-    async def test_its_end_counts_it_and_nothing_is_promised(self) -> None:
+    async def test_finish_charges_a_dispatched_turn_whose_begin_is_refused(self) -> None:
         for answer in (wire.TURN_ANSWER_QUOTA_EXCEEDED, wire.TURN_ANSWER_BUDGET_SPENT):
             with self.subTest(answer=answer):
-                client = Client(answer)
-                refusal = await self.play(client, "a tenant")
+                client = FakeTurnClient(answer)
+                refusal = await self.run_turn(client, "a tenant")
                 self.assertEqual(refusal.kind, ErrorKind.ENGINE_LOST)
                 (finish,) = client.finishes
                 self.assertTrue(finish.was_sent)
                 self.assertEqual(finish.outcome, wire.TURN_OUTCOME_NOTHING_HANDED_ON)
 
-    async def test_where_nobody_counts_nothing_is_told(self) -> None:
-        client = Client(wire.TURN_ANSWER_BUDGET_SPENT)
-        await self.play(client, "")
+    async def test_no_finish_where_no_tenant_is_charged(self) -> None:
+        client = FakeTurnClient(wire.TURN_ANSWER_BUDGET_SPENT)
+        await self.run_turn(client, "")
         self.assertEqual(client.finishes, [])
--- a/tests/test_runner_answers.py
+++ b/tests/test_runner_answers.py
@@ -49,7 +49,7 @@
         self.refusal: Refusal | None = None
         self.head: ResponseHead | None = None
         self.body = b""
-        self.is_whole = False
+        self.is_complete = False
         self.is_broken = False
 
     async def refuse(self, refusal: Refusal) -> None:
@@ -62,13 +62,13 @@
         self.body += chunk
 
     async def end(self) -> None:
-        self.is_whole = True
+        self.is_complete = True
 
     def break_off(self) -> None:
         self.is_broken = True
 
 
-class SpoiledAnswersTest(unittest.IsolatedAsyncioTestCase):
+class CorruptedResponsesTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.runs: list[RunRecord] = []
         self.table = RunnerTable()
@@ -94,9 +94,9 @@
     def put_route(self, route: Route) -> None:
         self.forwarder.index = RouteIndex(ServiceDocument(1, (route,)))
 
-    def spoil(self, how: Spoil) -> None:
+    def set_fault(self, fault: Spoil) -> None:
         for server in self.servers:
-            server.spoil = how
+            server.spoil = fault
 
     async def send(
         self, request_id: str, body: bytes = b"", num_events: int = 0
@@ -112,37 +112,37 @@
         await self.forwarder.serve(request, caller)
         return caller
 
-    async def test_a_surplus_answer_reaches_nobody(self) -> None:
-        self.spoil(Spoil.SURPLUS)
+    async def test_surplus_response_is_discarded(self) -> None:
+        self.set_fault(Spoil.SURPLUS)
         for number in range(6):
             caller = await self.send(f"r{number}")
-            self.assertTrue(caller.is_whole)
+            self.assertTrue(caller.is_complete)
             self.assertEqual(caller.body, plain_answer(f"r{number}"))
             assert caller.head is not None
             self.assertNotEqual(caller.head.get(b"x-request-id"), SURPLUS_ID)
         self.assertEqual(len(self.runs), 6)
 
-    async def test_an_unframed_answer_is_whole_when_its_connection_ends_properly(self) -> None:
-        self.spoil(Spoil.UNFRAMED)
+    async def test_unframed_response_is_complete_after_a_clean_close(self) -> None:
+        self.set_fault(Spoil.UNFRAMED)
         for number in range(3):
             caller = await self.send(f"r{number}")
             self.assertEqual(caller.body, plain_answer(f"r{number}"))
-            self.assertTrue(caller.is_whole)
+            self.assertTrue(caller.is_complete)
 
-    async def test_an_unframed_answer_that_is_reset_is_not_whole(self) -> None:
-        self.spoil(Spoil.UNFRAMED)
+    async def test_unframed_response_is_incomplete_after_a_reset(self) -> None:
+        self.set_fault(Spoil.UNFRAMED)
         self.put_route(replace(ROUTE, kind=RouteKind.NON_IDEMPOTENT, max_attempts=1))
         for server in self.servers:
             server.runner.troubles.cut = 1.0
         caller = await self.send("r")
-        self.assertFalse(caller.is_whole)
+        self.assertFalse(caller.is_complete)
         assert caller.refusal is not None
         self.assertEqual(caller.refusal.answer.ran.value, "yes")
         self.assertEqual(len(self.runs), 1)
 
-    async def test_an_early_answer_leaves_no_stray_bytes_behind(self) -> None:
+    async def test_early_response_leaves_no_stray_bytes(self) -> None:
         """The rest of a long body is not taken for the next request, nor the other way round."""
-        self.spoil(Spoil.EARLY)
+        self.set_fault(Spoil.EARLY)
         body = b"x" * (EARLY_BODY_BYTES * 512)
         caller = await self.send("long", body)
         assert caller.refusal is not None
@@ -153,11 +153,11 @@
             self.assertEqual(caller.body, plain_answer(f"short{number}"))
         self.assertEqual(sum(server.strays for server in self.servers), 0)
 
-    async def test_a_stream_behind_spoiled_answers_is_whole(self) -> None:
+    async def test_stream_is_complete_despite_corrupted_responses(self) -> None:
         self.put_route(replace(ROUTE, kind=RouteKind.STREAM, max_attempts=1))
-        for how in (Spoil.SURPLUS, Spoil.UNFRAMED, Spoil.NONE):
-            self.spoil(how)
-            caller = await self.send(how.value, num_events=3)
-            self.assertTrue(caller.is_whole)
-            events = [event_bytes(how.value, number) for number in range(3)]
+        for fault in (Spoil.SURPLUS, Spoil.UNFRAMED, Spoil.NONE):
+            self.set_fault(fault)
+            caller = await self.send(fault.value, num_events=3)
+            self.assertTrue(caller.is_complete)
+            events = [event_bytes(fault.value, number) for number in range(3)]
             self.assertEqual(caller.body, b"".join(events))
