--- a/src/bendshed/admission/cold_permits.py
+++ b/src/bendshed/admission/cold_permits.py
@@ -50,7 +50,7 @@
 whose work so far would be lost. Simulated with 22 cold runners of 21 permits a window and programs
 of four and nine turns, 0.45 s apart, at three times the calm load for 4 s: at 0.5 192 programs
 ended; at 0.8 283, and none of 1,329 turns of running programs was rejected; at 1.0 305 ended, and
-46 such turns were rejected (``tests/test_cold_sendings.py`` has the case)."""
+46 such turns were rejected (``tests/test_cold_runner_dispatch.py`` has the case)."""
 
 
 @dataclass(slots=True)
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -67,66 +67,66 @@
         return self.now_s
 
 
-class CatalogTest(unittest.TestCase):
+class CatalogColdStateTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = Clock(100.0)
         self.catalog = Catalog()
         self.catalog.begin_incarnation(self.clock)
         self.catalog.take_document(DOCUMENT)
 
-    def told(self, catalog: Catalog) -> dict[str, int]:
+    def reported_cold_ms(self, catalog: Catalog) -> dict[str, int]:
         rows = write_reply(catalog, since=0, known_version=0).runners
         return {row.runner_id: read_runner(row).runner.cold_left_ms for row in rows}
 
-    def test_what_is_told_late_has_aged(self) -> None:
+    def test_reply_subtracts_the_elapsed_time(self) -> None:
         runners = [KnownRunner(runner("a", 5_000), 1), KnownRunner(runner("b"), 2)]
         self.catalog.list_runners(runners, 2, is_trusted=True)
         self.clock.now_s += 3.0
-        self.assertEqual(self.told(self.catalog), {"a": 2_000, "b": 0})
+        self.assertEqual(self.reported_cold_ms(self.catalog), {"a": 2_000, "b": 0})
         self.clock.now_s += 3.0
-        self.assertEqual(self.told(self.catalog), {"a": 0, "b": 0})
+        self.assertEqual(self.reported_cold_ms(self.catalog), {"a": 0, "b": 0})
 
-    def test_an_asker_ages_it_from_the_moment_at_which_it_hears(self) -> None:
+    def test_receiver_counts_from_the_receipt(self) -> None:
         self.catalog.list_runners([KnownRunner(runner("a", 5_000), 1)], 1, is_trusted=True)
         self.clock.now_s += 3.0
         rows = write_reply(self.catalog, since=0, known_version=0).runners
         other_clock = Clock(7.0)
-        asker = Catalog()
-        asker.begin_incarnation(other_clock)
-        asker.take_document(DOCUMENT)
-        asker.list_runners([read_runner(row) for row in rows], 1, is_trusted=True)
+        receiver = Catalog()
+        receiver.begin_incarnation(other_clock)
+        receiver.take_document(DOCUMENT)
+        receiver.list_runners([read_runner(row) for row in rows], 1, is_trusted=True)
         other_clock.now_s += 1.9
-        self.assertTrue(asker.cold.is_cold("a"))
+        self.assertTrue(receiver.cold.is_cold("a"))
         other_clock.now_s += 0.2
-        self.assertFalse(asker.cold.is_cold("a"))
+        self.assertFalse(receiver.cold.is_cold("a"))
 
-    def test_the_same_word_again_does_not_count_anew(self) -> None:
+    def test_repeated_entry_does_not_restart_the_countdown(self) -> None:
         known = [KnownRunner(runner("a", 5_000), 1)]
         self.catalog.list_runners(known, 1, is_trusted=True)
         self.clock.now_s += 3.0
         self.catalog.list_runners(known, 2, is_trusted=True)
-        self.assertEqual(self.told(self.catalog), {"a": 2_000})
+        self.assertEqual(self.reported_cold_ms(self.catalog), {"a": 2_000})
 
-    def test_an_entry_that_vanished_and_came_back_is_told_as_just_started(self) -> None:
+    def test_entry_that_reappears_counts_as_just_started(self) -> None:
         self.catalog.list_runners([KnownRunner(runner("a"), 1)], 1, is_trusted=True)
         self.catalog.remove_runner("a", 2, is_trusted=False)
         self.clock.now_s += 1.0
         self.catalog.put_runner(KnownRunner(runner("a"), 3))
-        self.assertEqual(self.told(self.catalog), {"a": START_MS})
+        self.assertEqual(self.reported_cold_ms(self.catalog), {"a": START_MS})
 
-    def test_a_word_on_the_disk_counts_in_full_however_old_until_it_is_told_anew(self) -> None:
+    def test_stored_cold_time_counts_in_full_until_it_is_updated(self) -> None:
         runners = [KnownRunner(runner("a", 5_000), 1), KnownRunner(runner("b"), 2)]
         self.catalog.list_runners(runners, 2, is_trusted=True)
         self.clock.now_s += 1.0
         content = encode_stored(StoredCatalog(self.catalog))
-        kept = decode_stored(content).catalog
-        kept.begin_incarnation(Clock(3_600.0))
-        self.assertEqual(self.told(kept), {"a": 4_000, "b": 0})
-        kept.list_runners([KnownRunner(runner("a"), 1)], 2, is_trusted=True)
-        self.assertEqual(self.told(kept), {"a": 0})
+        restored = decode_stored(content).catalog
+        restored.begin_incarnation(Clock(3_600.0))
+        self.assertEqual(self.reported_cold_ms(restored), {"a": 4_000, "b": 0})
+        restored.list_runners([KnownRunner(runner("a"), 1)], 2, is_trusted=True)
+        self.assertEqual(self.reported_cold_ms(restored), {"a": 0})
 
 
-class LeaderTest(unittest.TestCase):
+class LeaderPermitTest(unittest.TestCase):
     """An established leader of a pool of two runners that are cold."""
 
     def setUp(self) -> None:
@@ -139,7 +139,7 @@
         self.catalog = catalog
         self.metrics = TurnLogMetrics(CollectorRegistry())
         cold = ColdAdmission(catalog.cold, TERMS, self.metrics)
-        self.advice = TurnPlacement(catalog, cold, random.Random(1))
+        self.placement = TurnPlacement(catalog, cold, random.Random(1))
         self.num_turns = 0
         self.pass_time(4.0)
 
@@ -147,16 +147,16 @@
         until_s = self.clock.now_s + seconds
         while self.clock.now_s < until_s:
             self.clock.now_s += 0.05
-            self.advice.cold.grants.touch.look(1, True, self.clock.now_s)
+            self.placement.cold.grants.touch.look(1, True, self.clock.now_s)
 
     def preview(self, is_new: bool) -> wire.TurnReply:
         self.num_turns += 1
-        asked = wire.TurnPreview()
-        asked.begin.turn_id = f"t{self.num_turns}"
-        asked.begin.program_id = f"p{self.num_turns}"
-        asked.demand.service = "s"
-        asked.demand.left_ms = 2_000
-        placed = self.advice.place_turn(asked, "", is_new, self.clock.now_s)
+        message = wire.TurnPreview()
+        message.begin.turn_id = f"t{self.num_turns}"
+        message.begin.program_id = f"p{self.num_turns}"
+        message.demand.service = "s"
+        message.demand.left_ms = 2_000
+        placed = self.placement.place_turn(message, "", is_new, self.clock.now_s)
         return wire.TurnReply(
             runner_id=placed.runner_id,
             permit_ms=placed.permit_ms,
@@ -165,31 +165,31 @@
 
     def place(self, tried: tuple[str, ...] = (), is_new: bool = False) -> wire.TurnReply:
         self.num_turns += 1
-        ask = wire.RunnerAsk(request_id=f"r{self.num_turns}", is_new_program=is_new)
-        ask.demand.service = "s"
-        ask.demand.tried.extend(tried)
-        placed = self.advice.place(ask, self.clock.now_s)
+        message = wire.RunnerAsk(request_id=f"r{self.num_turns}", is_new_program=is_new)
+        message.demand.service = "s"
+        message.demand.tried.extend(tried)
+        placed = self.placement.place(message, self.clock.now_s)
         return wire.TurnReply(
             runner_id=placed.runner_id,
             permit_ms=placed.permit_ms,
             retry_after_ms=placed.retry_after_ms,
         )
 
-    def test_new_programs_are_refused_while_those_under_way_have_room(self) -> None:
+    def test_new_programs_are_rejected_before_running_ones(self) -> None:
         granted = 0
         while not self.preview(is_new=True).retry_after_ms:
             granted += 1
         self.assertEqual(granted, 2 * ESTABLISHED_NEW)
-        under_way = [self.preview(is_new=False) for _ in range(2 * ESTABLISHED + 5)]
-        served = [reply for reply in under_way if reply.permit_ms]
+        running = [self.preview(is_new=False) for _ in range(2 * ESTABLISHED + 5)]
+        served = [reply for reply in running if reply.permit_ms]
         self.assertEqual(len(served), 2 * (ESTABLISHED - ESTABLISHED_NEW))
 
-    def test_plain_requests_count_with_turns(self) -> None:
+    def test_plain_requests_and_turns_share_the_bound(self) -> None:
         turns = sum(1 for _ in range(20) if self.preview(is_new=False).permit_ms)
         calls = sum(1 for _ in range(100) if self.place().permit_ms)
         self.assertEqual(turns + calls, 2 * ESTABLISHED)
 
-    def test_who_is_refused_comes_back_to_room_one_behind_the_other(self) -> None:
+    def test_retry_times_are_staggered(self) -> None:
         while not self.preview(is_new=False).retry_after_ms:
             pass
         waits_ms = [self.preview(is_new=False).retry_after_ms for _ in range(60)]
@@ -198,7 +198,7 @@
         self.pass_time(waits_ms[0] / 1000)
         self.assertTrue(self.preview(is_new=False).permit_ms)
 
-    def test_a_warm_runner_comes_first_and_needs_no_leave(self) -> None:
+    def test_warm_runner_is_preferred_and_needs_no_permit(self) -> None:
         self.catalog.put_runner(KnownRunner(runner("a"), 2))
         replies = [self.preview(is_new=True) for _ in range(6)]
         self.assertEqual({reply.runner_id for reply in replies}, {"a"})
@@ -206,44 +206,44 @@
         loaded = [self.preview(is_new=True) for _ in range(20)]
         self.assertEqual({reply.runner_id for reply in loaded}, {"a", "b"})
 
-    def test_with_a_warm_runner_left_nobody_is_refused(self) -> None:
+    def test_no_request_is_rejected_while_a_warm_runner_is_left(self) -> None:
         self.catalog.put_runner(KnownRunner(runner("a"), 2))
         replies = [self.preview(is_new=True) for _ in range(200)]
         self.assertFalse(any(reply.retry_after_ms for reply in replies))
         at_b = sum(1 for reply in replies if reply.runner_id == "b")
         self.assertLessEqual(at_b, ESTABLISHED)
 
-    def test_a_second_try_goes_to_a_runner_that_was_not_tried(self) -> None:
+    def test_second_attempt_goes_to_an_untried_runner(self) -> None:
         self.assertEqual(self.place(tried=("a",)).runner_id, "b")
         self.assertEqual(self.place(tried=("a", "b")).runner_id, "")
 
-    def test_a_runner_that_only_the_asker_thinks_cold_is_held_to_the_bound_too(self) -> None:
+    def test_bound_applies_if_only_the_requesting_node_sees_the_runner_as_cold(self) -> None:
         for name in ("a", "b"):
             self.catalog.put_runner(KnownRunner(runner(name), 2))
         granted = sum(1 for _ in range(100) if self.place().permit_ms)
         self.assertEqual(granted, 2 * ESTABLISHED)
 
-    def test_the_refusal_of_a_preview_holds_for_its_begin_for_a_moment(self) -> None:
+    def test_rejected_preview_rejects_its_begin_for_a_short_time(self) -> None:
         while not self.preview(is_new=False).retry_after_ms:
             pass
         refused = f"t{self.num_turns}"
-        cold = self.advice.cold
+        cold = self.placement.cold
         self.assertGreater(cold.refused_for_ms(refused, self.clock.now_s), 0)
         self.assertEqual(cold.refused_for_ms("t1", self.clock.now_s), 0)
         self.pass_time(3.0)
         self.assertEqual(cold.refused_for_ms(refused, self.clock.now_s), 0)
 
-    def test_a_turn_that_comes_again_is_judged_anew(self) -> None:
+    def test_repeated_turn_is_decided_again(self) -> None:
         while not self.preview(is_new=False).retry_after_ms:
             pass
         self.num_turns -= 1
         self.catalog.put_runner(KnownRunner(runner("a"), 2))
         self.assertEqual(self.preview(is_new=False).runner_id, "a")
-        refused = self.advice.cold.refused_for_ms(f"t{self.num_turns}", self.clock.now_s)
+        refused = self.placement.cold.refused_for_ms(f"t{self.num_turns}", self.clock.now_s)
         self.assertEqual(refused, 0)
 
-    def test_a_leader_that_hears_no_majority_permits_nothing(self) -> None:
-        self.advice.cold.grants.touch.look(1, False, self.clock.now_s)
+    def test_leader_without_a_majority_permits_nothing(self) -> None:
+        self.placement.cold.grants.touch.look(1, False, self.clock.now_s)
         self.assertFalse(self.preview(is_new=False).permit_ms)
         self.assertGreater(self.place().retry_after_ms, 0)
 
@@ -261,8 +261,8 @@
         tracker = ColdRunnerTracker(clock=self.clock)
         tracker.take_document(DOCUMENT)
         self.pool = [runner(f"r{number}", 60_000) for number in range(self.NUM_RUNNERS)]
-        for one in self.pool:
-            tracker.put(one)
+        for listed_runner in self.pool:
+            tracker.put(listed_runner)
         self.cold = ColdAdmission(tracker, TERMS, TurnLogMetrics(CollectorRegistry()))
         self.cold.grants.touch.look(1, True, -10.0)
         self.rng = random.Random(1)
@@ -277,22 +277,22 @@
             found.append((at_s, len(found), self.TURNS))
         return found
 
-    def ask(self, program: int, left: int, now_s: float) -> bool:
+    def is_permitted(self, program: int, left: int, now_s: float) -> bool:
         """Whether a turn may go."""
         while self.cold.grants.touch._looked_s < now_s:
             looked_s = self.cold.grants.touch._looked_s
             self.cold.grants.touch.look(1, True, min(now_s, looked_s + 0.1))
         is_new = left == self.TURNS
-        ask = PermitRequest(f"t{program}.{left}", f"p{program}", is_new)
-        openings = self.cold.openings(self.pool, ask, now_s)
+        message = PermitRequest(f"t{program}.{left}", f"p{program}", is_new)
+        openings = self.cold.openings(self.pool, message, now_s)
         if not openings.runners:
-            self.cold.refuse(self.pool, ask, now_s)
+            self.cold.refuse(self.pool, message, now_s)
             return False
-        chosen = self.cold.least_loaded(openings.runners, ask.request_id, "z", (), now_s)
-        self.cold.grant(chosen, ask, now_s)
+        chosen = self.cold.least_loaded(openings.runners, message.request_id, "z", (), now_s)
+        self.cold.grant(chosen, message, now_s)
         return True
 
-    def test_new_programs_are_refused_and_no_turn_of_those_under_way(self) -> None:
+    def test_burst_rejects_new_programs_but_no_running_ones(self) -> None:
         events = self.arrivals()
         heapq.heapify(events)
         refused = {True: 0, False: 0}
@@ -302,7 +302,7 @@
             if now_s > self.END_S:
                 break
             self.clock.now_s = now_s
-            if not self.ask(program, left, now_s):
+            if not self.is_permitted(program, left, now_s):
                 refused[left == self.TURNS] += 1
             elif left > 1:
                 next_s = now_s + self.TURN_S * self.rng.uniform(0.7, 1.4)
@@ -316,7 +316,7 @@
 
 class FakeProtocol(RunnerProtocol):
     def request(
-        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+        self, request: ServiceRequest, body: bytes, dispatch: RunnerDispatch
     ) -> ClientRequest:
         return ClientRequest(b"POST", b"/", [], body, lambda _head: True)
 
@@ -364,7 +364,7 @@
         """Nothing is kept."""
 
 
-class FakeAsks(PermitClient):
+class FakePermitClient(PermitClient):
     """Answers in order; remembers which runners were named as tried."""
 
     def __init__(self, *answers: RunnerPermit | Refusal) -> None:
@@ -381,14 +381,14 @@
 VALID = TimedPermit(float("inf"))
 
 
-class FakeClient(TurnClient):
+class FakeTurnClient(TurnClient):
     """Answers each question alike, after it took note."""
 
     def __init__(self, reply: wire.TurnReply | None) -> None:
         self.lost_since_s = None
         self.home_group = 0
         self.reply = reply
-        self.permits: list[wire.RunnerAsk] = []
+        self.permit_requests: list[wire.RunnerAsk] = []
 
     @property
     def is_isolated(self) -> bool:
@@ -398,8 +398,8 @@
     def expected_round_trip_home_s(self) -> float:
         return 0.0
 
-    async def place(self, ask: wire.RunnerAsk, timeout_s: float) -> wire.TurnReply | None:
-        self.permits.append(ask)
+    async def place(self, message: wire.RunnerAsk, timeout_s: float) -> wire.TurnReply | None:
+        self.permit_requests.append(message)
         return self.reply
 
 
@@ -407,49 +407,49 @@
     return ServiceRequest("r1", b"POST", b"/", "h", "/", [], b"", None, program_id, "", "", None, 0)
 
 
-class AsksTest(unittest.IsolatedAsyncioTestCase):
-    async def ask(
+class PermitClientTest(unittest.IsolatedAsyncioTestCase):
+    async def request_permit(
         self, reply: wire.TurnReply | None, program_id: str = ""
     ) -> RunnerPermit | Refusal:
-        self.client = FakeClient(reply)
+        self.client = FakeTurnClient(reply)
         permits = PermitClient(self.client, ServiceMetrics(CollectorRegistry()))
         return await permits.request_permit(
             call(program_id), wire.TurnDemand(service="s", left_ms=2_000)
         )
 
-    async def test_leave_runs_from_the_question(self) -> None:
+    async def test_permit_expiry_counts_from_the_request(self) -> None:
         asked_s = asyncio.get_running_loop().time()
-        permit = await self.ask(wire.TurnReply(runner_id="a", permit_ms=250))
+        permit = await self.request_permit(wire.TurnReply(runner_id="a", permit_ms=250))
         assert isinstance(permit, RunnerPermit)
         self.assertEqual(permit.runner_id, "a")
         answered_s = asyncio.get_running_loop().time()
         self.assertTrue(asked_s + 0.25 <= permit.permit.until_s <= answered_s + 0.25)
 
-    async def test_no_room_tells_when_to_come_back(self) -> None:
+    async def test_no_room_refusal_has_a_retry_time(self) -> None:
         no_room = wire.TurnReply(answer=wire.TURN_ANSWER_NO_ROOM, retry_after_ms=400)
-        refusal = await self.ask(no_room)
+        refusal = await self.request_permit(no_room)
         assert isinstance(refusal, Refusal)
         self.assertEqual((refusal.kind, refusal.retry_after_s), (ErrorKind.NO_ROOM, 0.4))
         self.assertEqual(refusal.answer.ran, WasRun.NO)
 
-    async def test_nobody_answers(self) -> None:
-        refusal = await self.ask(None)
+    async def test_refusal_without_an_answer(self) -> None:
+        refusal = await self.request_permit(None)
         assert isinstance(refusal, Refusal)
         self.assertIs(refusal.kind, ErrorKind.TURN_LOG_UNAVAILABLE)
 
-    async def test_the_leader_knows_no_runner(self) -> None:
-        refusal = await self.ask(wire.TurnReply())
+    async def test_refusal_if_the_leader_knows_no_runner(self) -> None:
+        refusal = await self.request_permit(wire.TurnReply())
         assert isinstance(refusal, Refusal)
         self.assertIs(refusal.kind, ErrorKind.NO_RUNNER)
 
-    async def test_only_a_request_of_no_program_is_a_new_one(self) -> None:
-        await self.ask(None)
-        self.assertTrue(self.client.permits[0].is_new_program)
-        await self.ask(None, "p1")
-        self.assertFalse(self.client.permits[0].is_new_program)
+    async def test_only_requests_without_a_program_count_as_new(self) -> None:
+        await self.request_permit(None)
+        self.assertTrue(self.client.permit_requests[0].is_new_program)
+        await self.request_permit(None, "p1")
+        self.assertFalse(self.client.permit_requests[0].is_new_program)
 
 
-class SendingTest(unittest.IsolatedAsyncioTestCase):
+class DispatchTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         loop = asyncio.get_running_loop()
         self.table = RunnerTable(cold=ColdRunnerTracker(clock=loop.time))
@@ -459,12 +459,12 @@
             self.table.put(runner(name, 60_000))
 
     def attempts(self, *answers: RunnerPermit | Refusal) -> Attempts:
-        self.permits = FakeAsks(*answers)
+        self.permit_client = FakePermitClient(*answers)
         metrics = ServiceMetrics(CollectorRegistry())
         ports = RunnerPorts(
             self.table, self.pool, FakeProtocol(), "z", "n", random.Random(1), metrics
         )
-        ports = replace(ports, permit_client=self.permits)
+        ports = replace(ports, permit_client=self.permit_client)
         now_s = asyncio.get_running_loop().time()
         request = ServiceRequest(
             "r1", b"POST", b"/", "h", "/", [], b"", None, "", "", "", None, now_s
@@ -480,18 +480,18 @@
             return outcome.record.listed.runner_id
         return outcome.kind.value
 
-    async def test_a_warm_runner_is_sent_to_without_a_question(self) -> None:
+    async def test_warm_runner_needs_no_permit_request(self) -> None:
         self.table.put(runner("b"))
         self.assertEqual(await self.open(self.attempts()), "b")
-        self.assertEqual(self.permits.tried, [])
+        self.assertEqual(self.permit_client.tried, [])
 
-    async def test_a_cold_one_only_with_leave(self) -> None:
+    async def test_cold_runner_needs_a_permit(self) -> None:
         self.assertEqual(await self.open(self.attempts(RunnerPermit("a", VALID))), "a")
         refusal = Refusal(ErrorKind.NO_ROOM, "later", 0.3)
         outcome = await self.attempts(refusal).open(b"")
         self.assertEqual(outcome, refusal)
 
-    async def test_advice_without_leave_is_not_followed_to_a_cold_runner(self) -> None:
+    async def test_preferred_cold_runner_needs_a_permit(self) -> None:
         self.table.put(runner("b"))
         attempts = self.attempts()
         attempts.placement.prefer("a", NO_PERMIT)
@@ -500,13 +500,13 @@
         attempts.placement.prefer("a", VALID)
         self.assertEqual(await self.open(attempts), "a")
 
-    async def test_leave_that_ran_out_on_the_way_is_not_used(self) -> None:
+    async def test_expired_permit_is_not_used(self) -> None:
         attempts = self.attempts(RunnerPermit("a", NO_PERMIT), RunnerPermit("a", VALID))
         self.assertEqual(await self.open(attempts), "a")
-        self.assertEqual(self.permits.tried, [[], []])
+        self.assertEqual(self.permit_client.tried, [[], []])
         self.assertEqual(attempts.history.num_maybe_run, 1)
 
-    async def test_a_runner_that_turns_cold_while_its_connection_comes_up_gets_nothing(
+    async def test_runner_that_turns_cold_while_connecting_gets_nothing(
         self,
     ) -> None:
         self.table.put(runner("b"))
@@ -515,31 +515,31 @@
         self.assertEqual(await self.open(attempts), "no_room")
         self.assertEqual(attempts.history.num_maybe_run, 0)
 
-    async def test_each_try_needs_its_own_leave(self) -> None:
+    async def test_each_attempt_needs_its_own_permit(self) -> None:
         self.pool.unreachable = {Address("a", 80)}
         attempts = self.attempts(RunnerPermit("a", VALID), RunnerPermit("b", VALID))
         self.assertEqual(await self.open(attempts), "b")
-        self.assertEqual(self.permits.tried, [[], ["a"]])
+        self.assertEqual(self.permit_client.tried, [[], ["a"]])
 
-    async def test_without_anybody_to_ask_it_is_refused(self) -> None:
+    async def test_refusal_without_a_permit_client(self) -> None:
         attempts = self.attempts()
         attempts.placement.ports = replace(attempts.ports, permit_client=None)
         self.assertEqual(await self.open(attempts), "no_runner")
 
-    async def test_leave_is_asked_for_a_bounded_number_of_times(self) -> None:
+    async def test_number_of_permit_requests_is_bounded(self) -> None:
         attempts = self.attempts(*[RunnerPermit("a", NO_PERMIT)] * 9)
         self.assertEqual(await self.open(attempts), "overloaded")
-        self.assertEqual(len(self.permits.tried), 4)
+        self.assertEqual(len(self.permit_client.tried), 4)
 
 
-class ColdSiteTest(unittest.TestCase):
+class ColdRunnerSiteTest(unittest.TestCase):
     @staticmethod
     async def num_cold(site: SiteWorld) -> list[int]:
         """Runners that each front counts as cold."""
         fronts = [machine.front for machine in site.fronts.values() if machine.front]
         return [front._table.cold.num_cold for front in fronts]
 
-    def test_a_leader_is_frozen_with_leave_out_and_wakes(self) -> None:
+    def test_leader_is_paused_with_outstanding_permits_and_resumes(self) -> None:
         for seed in (1, 2):
             with self.subTest(seed=seed), world(seed) as site:
                 cool_all(site, LONG_S)
@@ -556,7 +556,7 @@
                 site.run_for(3.0)
                 self.assertEqual(site.settle(), [])
 
-    def test_a_leader_is_cut_from_the_others_and_not_from_fronts(self) -> None:
+    def test_leader_is_cut_off_from_replicas_but_not_from_fronts(self) -> None:
         with world(3) as site:
             cool_all(site, LONG_S)
             site.run_for(2.5)
@@ -586,7 +586,7 @@
                 served.add(request.program_id)
         return {is_served: refused / total for is_served, (refused, total) in counts.items()}
 
-    def test_programs_under_way_come_first(self) -> None:
+    def test_running_programs_have_priority(self) -> None:
         for seed in (4, 5):
             with self.subTest(seed=seed), world(seed) as site:
                 site.run_for(3.0)
@@ -600,7 +600,7 @@
                 self.assertLess(shares[True], shares[False] - 0.2)
                 self.assertEqual(site.settle(), [])
 
-    def test_a_program_that_was_refused_stays_a_new_one(self) -> None:
+    def test_rejected_program_stays_new(self) -> None:
         with world(4) as site:
             flood(site, 10)  # every front learns who leads
             site.run_for(6.0)
@@ -633,7 +633,7 @@
             self.assertEqual(site.settle(), [])
             self.assertTrue(all(program.finished for program in site.programs[10:]))
 
-    def test_all_machines_restart_with_kept_files_while_the_registry_is_away(self) -> None:
+    def test_all_machines_restart_from_stored_files_while_the_registry_is_down(self) -> None:
         with world(6) as site:
             cool_all(site, LONG_S)
             site.run_for(2.0)
