--- a/tests/patterns/test_first_turns_after_power.py
+++ b/tests/patterns/test_first_turns_after_power.py
@@ -15,9 +15,9 @@
 from bendshed.rehearsal.site.sim_world import SimMachine, SiteWorld
 from bendshed.services import attempts, turn_reservation
 
-NOTICED_S = 0.25
+LEADER_DISCOVERY_S = 0.25
 """Nodes look for a leader by themselves and have found it so long after it was there."""
-BEGIN_GOAL_MS = 10.0
+MAX_BEGIN_MS = 10.0
 """A turn's begin takes a round trip to the leader and its work, some 2 ms in these worlds."""
 ROUND_TRIPS_S = 0.01
 """Some round trips from node to replica: one for the configuration, up to three for the leader."""
@@ -31,7 +31,7 @@
         self.log = patch.start()
         self.addCleanup(patch.stop)
 
-    def begun(self) -> list[dict[str, Any]]:
+    def begin_log_lines(self) -> list[dict[str, Any]]:
         return [call.kwargs for call in self.log.say.call_args_list if call.args[0] == "turn begun"]
 
     def begin_turns(self, world: SiteWorld) -> None:
@@ -40,20 +40,20 @@
             world.start_program(ProgramPlan(turns=1, tools=0))
         world.run_for(2.0)
 
-    def test_nodes_know_the_leader_before_the_first_caller_comes(self) -> None:
+    def test_nodes_know_the_leader_before_the_first_request(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 world = SiteWorld.started(seed)
                 self.addCleanup(world.close)
                 restart_all(world)
                 world.wait_for(world.is_led, 2.0)
-                world.run_for(NOTICED_S)
+                world.run_for(LEADER_DISCOVERY_S)
                 self.begin_turns(world)
-                self.assertTrue(self.begun())
-                self.assertLess(max(row["took_ms"] for row in self.begun()), BEGIN_GOAL_MS)
-                self.assertTrue(all(row["previewed"] for row in self.begun()))
+                self.assertTrue(self.begin_log_lines())
+                self.assertLess(max(row["took_ms"] for row in self.begin_log_lines()), MAX_BEGIN_MS)
+                self.assertTrue(all(row["previewed"] for row in self.begin_log_lines()))
 
-    def test_callers_that_wait_at_nodes_that_start_begin_at_once(self) -> None:
+    def test_requests_that_wait_for_a_starting_node_begin_at_once(self) -> None:
         """The leader stands before the nodes have loaded; it is found as soon as replicas are."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
@@ -69,10 +69,10 @@
                     world.run_for(STEP_S)
                 world.run_for(ROUND_TRIPS_S)
                 self.begin_turns(world)
-                self.assertTrue(self.begun())
-                self.assertLess(max(row["took_ms"] for row in self.begun()), BEGIN_GOAL_MS)
+                self.assertTrue(self.begin_log_lines())
+                self.assertLess(max(row["took_ms"] for row in self.begin_log_lines()), MAX_BEGIN_MS)
 
-    def test_turns_that_waited_for_a_new_leader_go_where_it_advises(self) -> None:
+    def test_turns_that_waited_for_a_new_leader_follow_its_placement(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed), mock.patch.object(attempts, "log") as log:
                 world = SiteWorld.started(seed)
@@ -81,11 +81,11 @@
                 assert leader is not None
                 world.kill(leader)
                 self.begin_turns(world)
-                sent = [
+                dispatches = [
                     call for call in log.say.call_args_list if call.args[0] == "request dispatched"
                 ]
-                self.assertTrue(sent)
-                self.assertEqual({call.kwargs["chosen_by"] for call in sent}, {"advised"})
+                self.assertTrue(dispatches)
+                self.assertEqual({call.kwargs["chosen_by"] for call in dispatches}, {"advised"})
 
 
 def knows_routes(front: SimMachine) -> bool:
