--- a/src/bendshed/placement/cluster_load.py
+++ b/src/bendshed/placement/cluster_load.py
@@ -22,7 +22,7 @@
 from bendshed.placement.placement_cost import PoolTimes, cold_ms, cost_ms
 from bendshed.placement.runner_health import median_pace
 from bendshed.placement.running_turns import RunningTurns
-from bendshed.placement.spill import SpillGate
+from bendshed.placement.spill import SpilloverLimiter
 from bendshed.placement.turn_demand import Demand, Ended
 
 MAX_CANDIDATES = 64
@@ -88,7 +88,7 @@
     def __init__(self, rng: random.Random, distance: DistanceCosts | None = None) -> None:
         self.elsewhere = OtherLoads()
         self.distance = distance if distance is not None else DistanceCosts()
-        self._spill = SpillGate(self.distance.terms.region_mbit_per_s)
+        self._spill = SpilloverLimiter(self.distance.terms.region_mbit_per_s)
         self._running = RunningTurns(self._spill)
         self._rng = rng
 
@@ -98,9 +98,9 @@
         return self._running.num_running
 
     @property
-    def num_away(self) -> int:
+    def num_redirected(self) -> int:
         """Of them, those that run outside the requesting node's region."""
-        return self._spill.num_away
+        return self._spill.num_redirected
 
     def own_loads(self) -> list[tuple[str, OtherLoad]]:
         """Load that this leader placed at runners, for the leaders of other groups."""
--- a/src/bendshed/placement/running_turns.py
+++ b/src/bendshed/placement/running_turns.py
@@ -13,7 +13,7 @@
 from bendshed.placement.placement_cost import MIN_RUNNING_MS, READ_TOKENS_PER_MS
 from bendshed.placement.prompt_cache import PromptCache
 from bendshed.placement.runner_load import RunnerLoad, RunningTurn
-from bendshed.placement.spill import SpillGate
+from bendshed.placement.spill import SpilloverLimiter
 from bendshed.placement.turn_demand import Demand, Ended
 
 FIRST_TURN_MS = 250.0
@@ -39,7 +39,7 @@
 
     """
 
-    def __init__(self, spill: SpillGate) -> None:
+    def __init__(self, spill: SpilloverLimiter) -> None:
         self.turn_ms = FIRST_TURN_MS
         self.reading_ms = MIN_RUNNING_MS
         self.spill = spill
--- a/src/bendshed/placement/spill.py
+++ b/src/bendshed/placement/spill.py
@@ -9,28 +9,28 @@
 
 from dataclasses import dataclass, field
 
-MARGIN_MS = 20.0
+MIN_GAIN_MS = 20.0
 """Least gain, in milliseconds, at which redirection starts: three turns' reading time, by which two
 runners of one pool differ by chance."""
-SPILLING_S = 1.0
+MIN_GAIN_WAIVED_S = 1.0
 """For this long after a redirected turn any gain is enough: about three lengths of a turn, so that
 redirection does not start and stop with each turn."""
-SLOTS_SHARE = 0.5
+MAX_SLOT_SHARE = 0.5
 """Share of the other regions' slots that redirected turns may take; protects those regions' own
 work, whose burst may come next."""
-BROKEN_GAIN_MS = 500.0
+OUTAGE_GAIN_MS = 500.0
 """Gain, in milliseconds, from which on the region's runners must be failing or hanging, since load
 alone does not raise costs so far: the other regions' slots are no bound then."""
-LINK_SHARE = 0.5
+MAX_LINK_SHARE = 0.5
 """Share of the link's rate for bodies and answers of redirected turns; protects its other traffic
 (replication, catalog) from waiting."""
-BURST_S = 0.5
+LINK_BURST_S = 0.5
 """Redirected bytes may come at once for this long a time of their rate."""
 BYTES_PER_MBIT = 125_000
 
 
 @dataclass(slots=True)
-class SpillGate:
+class SpilloverLimiter:
     """Decides whether one more turn may run in another region than its node's.
 
     Invariant: it counts each running redirected turn once.
@@ -41,15 +41,15 @@
     """
 
     region_mbit_per_s: float = 0.0
-    _redirected_s: float = float("-inf")
+    _last_redirect_s: float = float("-inf")
     _credit_bytes: float = 0.0
     _refilled_s: float = float("-inf")
-    _away: set[str] = field(default_factory=set)
+    _redirected_turns: set[str] = field(default_factory=set)
 
     @property
-    def num_away(self) -> int:
+    def num_redirected(self) -> int:
         """Redirected turns that run."""
-        return len(self._away)
+        return len(self._redirected_turns)
 
     def may_redirect(self, gain_ms: float, num_slots: int, num_bytes: int, now_s: float) -> bool:
         """Whether a turn may be redirected.
@@ -61,35 +61,39 @@
             now_s: steady time.
 
         """
-        margin_ms = 0.0 if now_s - self._redirected_s < SPILLING_S else MARGIN_MS
-        is_bounded = gain_ms < BROKEN_GAIN_MS
-        if gain_ms <= margin_ms or (is_bounded and self.num_away >= SLOTS_SHARE * num_slots):
+        min_gain_ms = 0.0 if now_s - self._last_redirect_s < MIN_GAIN_WAIVED_S else MIN_GAIN_MS
+        has_slot_limit = gain_ms < OUTAGE_GAIN_MS
+        if gain_ms <= min_gain_ms or (
+            has_slot_limit and self.num_redirected >= MAX_SLOT_SHARE * num_slots
+        ):
             return False
-        return not self.region_mbit_per_s or self._credit(now_s) >= min(num_bytes, self._most_bytes)
+        return not self.region_mbit_per_s or self._available_bytes(now_s) >= min(
+            num_bytes, self._max_credit_bytes
+        )
 
     def begin(self, turn_id: str, num_bytes: int, now_s: float) -> None:
         """Count a redirected turn, also one that had no eligible runner in its region."""
-        self._redirected_s = now_s
-        self._credit_bytes = self._credit(now_s) - num_bytes
+        self._last_redirect_s = now_s
+        self._credit_bytes = self._available_bytes(now_s) - num_bytes
         self._refilled_s = now_s
-        self._away.add(turn_id)
+        self._redirected_turns.add(turn_id)
 
     def end(self, turn_id: str) -> None:
         """Stop counting a turn, redirected or not."""
-        self._away.discard(turn_id)
+        self._redirected_turns.discard(turn_id)
 
-    def _credit(self, now_s: float) -> float:
+    def _available_bytes(self, now_s: float) -> float:
         """Bytes that may be redirected now; negative after turns that had no other region."""
         return min(
-            self._most_bytes,
+            self._max_credit_bytes,
             self._credit_bytes + self._bytes_per_s * min(now_s - self._refilled_s, 60.0),
         )
 
     @property
     def _bytes_per_s(self) -> float:
-        return LINK_SHARE * self.region_mbit_per_s * BYTES_PER_MBIT
+        return MAX_LINK_SHARE * self.region_mbit_per_s * BYTES_PER_MBIT
 
     @property
-    def _most_bytes(self) -> float:
+    def _max_credit_bytes(self) -> float:
         """Of one burst; a larger turn may be redirected too, and the next ones wait longer."""
-        return BURST_S * self._bytes_per_s
+        return LINK_BURST_S * self._bytes_per_s
--- a/src/bendshed/turns/replica_gauges.py
+++ b/src/bendshed/turns/replica_gauges.py
@@ -52,7 +52,7 @@
             (
                 "bendshed_turns_away",
                 "Of them, those outside their front's region",
-                lambda: self.load.num_away,
+                lambda: self.load.num_redirected,
             ),
             (
                 "bendshed_regions_unheard",
--- a/tests/test_distance_placement.py
+++ b/tests/test_distance_placement.py
@@ -12,11 +12,11 @@
 from bendshed.placement.node_choice import NodeView, choose_runner
 from bendshed.placement.runner_record import RunnerRecord
 from bendshed.placement.spill import (
-    BROKEN_GAIN_MS,
-    MARGIN_MS,
-    SLOTS_SHARE,
-    SPILLING_S,
-    SpillGate,
+    MAX_SLOT_SHARE,
+    MIN_GAIN_MS,
+    MIN_GAIN_WAIVED_S,
+    OUTAGE_GAIN_MS,
+    SpilloverLimiter,
 )
 from bendshed.placement.turn_demand import Demand, Ended
 
@@ -62,7 +62,7 @@
         assert isinstance(placed, Placed)
         return placed
 
-    def num_away(self, num_turns: int, now_s: float = 0.0, **changes: object) -> int:
+    def num_redirected(self, num_turns: int, now_s: float = 0.0, **changes: object) -> int:
         places = [self.place(now_s, **changes) for _ in range(num_turns)]
         return sum(1 for placed in places if placed.distance is Distance.OTHER_REGION)
 
@@ -71,24 +71,24 @@
             self.load.end(Ended(f"turn-{number}"), now_s)
 
     def test_while_the_own_region_has_places_nothing_leaves_it(self) -> None:
-        self.assertEqual(self.num_away(4 * SLOTS), 0)
+        self.assertEqual(self.num_redirected(4 * SLOTS), 0)
 
     def test_the_own_zone_comes_first_among_equals(self) -> None:
         self.assertEqual(ZONES[self.place(zone="b").runner_id], "b")
         self.assertEqual(ZONES[self.place(zone="a").runner_id], "a")
 
     def test_beyond_its_places_work_leaves_and_is_bounded(self) -> None:
-        away = self.num_away(12 * SLOTS)
+        away = self.num_redirected(12 * SLOTS)
         self.assertGreater(away, 0)
-        self.assertLessEqual(away, SLOTS_SHARE * 4 * SLOTS)
+        self.assertLessEqual(away, MAX_SLOT_SHARE * 4 * SLOTS)
 
     def test_a_dark_pool_sends_everything_away_and_back_when_it_returns(self) -> None:
         everything = self.runners
         self.runners = [row for row in everything if row.runner_id in WEST]
-        self.assertEqual(self.num_away(2 * SLOTS), 2 * SLOTS)
+        self.assertEqual(self.num_redirected(2 * SLOTS), 2 * SLOTS)
         self.end_all(1.0)
         self.runners = everything
-        self.assertEqual(self.num_away(SLOTS, 1.1), 0)
+        self.assertEqual(self.num_redirected(SLOTS, 1.1), 0)
 
     def test_runners_that_fail_are_left_for_the_other_region(self) -> None:
         for _ in range(3):
@@ -96,7 +96,7 @@
         east = tuple(set(ZONES) - WEST)
         self.load.end(Ended("turn-1", "", failed=east), 0.0)
         self.load.end(Ended("turn-2", "", failed=east), 0.0)
-        self.assertEqual(self.num_away(3), 3)
+        self.assertEqual(self.num_redirected(3), 3)
 
     def test_a_new_connection_costs_the_way_twice(self) -> None:
         costs = self.distance
@@ -122,46 +122,46 @@
 
     def test_a_thin_link_lets_no_more_leave_than_it_carries(self) -> None:
         self.make(LinkTerms(region_mbit_per_s=3.0))
-        self.assertLessEqual(self.num_away(12 * SLOTS, body_bytes=50_000), 2)
+        self.assertLessEqual(self.num_redirected(12 * SLOTS, body_bytes=50_000), 2)
 
 
-class SpillGateTest(unittest.TestCase):
+class SpilloverLimiterTest(unittest.TestCase):
     def test_the_first_turn_leaves_for_a_clear_gain_and_the_next_for_any(self) -> None:
-        gate = SpillGate()
-        self.assertFalse(gate.may_redirect(MARGIN_MS, 24, 0, 0.0))
-        self.assertTrue(gate.may_redirect(MARGIN_MS + 1, 24, 0, 0.0))
-        gate.begin("t1", 0, 0.0)
-        self.assertTrue(gate.may_redirect(1.0, 24, 0, 0.9 * SPILLING_S))
-        self.assertFalse(gate.may_redirect(0.0, 24, 0, 0.9 * SPILLING_S))
-        self.assertFalse(gate.may_redirect(1.0, 24, 0, 1.1 * SPILLING_S))
+        limiter = SpilloverLimiter()
+        self.assertFalse(limiter.may_redirect(MIN_GAIN_MS, 24, 0, 0.0))
+        self.assertTrue(limiter.may_redirect(MIN_GAIN_MS + 1, 24, 0, 0.0))
+        limiter.begin("t1", 0, 0.0)
+        self.assertTrue(limiter.may_redirect(1.0, 24, 0, 0.9 * MIN_GAIN_WAIVED_S))
+        self.assertFalse(limiter.may_redirect(0.0, 24, 0, 0.9 * MIN_GAIN_WAIVED_S))
+        self.assertFalse(limiter.may_redirect(1.0, 24, 0, 1.1 * MIN_GAIN_WAIVED_S))
 
     def test_where_the_own_runners_fail_places_bound_nothing(self) -> None:
-        gate = SpillGate()
+        limiter = SpilloverLimiter()
         for number in range(24):
-            gate.begin(f"t{number}", 0, 0.0)
-        self.assertFalse(gate.may_redirect(BROKEN_GAIN_MS - 1, 24, 0, 0.0))
-        self.assertTrue(gate.may_redirect(BROKEN_GAIN_MS, 24, 0, 0.0))
+            limiter.begin(f"t{number}", 0, 0.0)
+        self.assertFalse(limiter.may_redirect(OUTAGE_GAIN_MS - 1, 24, 0, 0.0))
+        self.assertTrue(limiter.may_redirect(OUTAGE_GAIN_MS, 24, 0, 0.0))
 
     def test_turns_that_ended_make_room(self) -> None:
-        gate = SpillGate()
+        limiter = SpilloverLimiter()
         for number in range(12):
-            gate.begin(f"t{number}", 0, 0.0)
-        self.assertFalse(gate.may_redirect(100.0, 24, 0, 0.0))
-        gate.end("t3")
-        self.assertTrue(gate.may_redirect(100.0, 24, 0, 0.0))
+            limiter.begin(f"t{number}", 0, 0.0)
+        self.assertFalse(limiter.may_redirect(100.0, 24, 0, 0.0))
+        limiter.end("t3")
+        self.assertTrue(limiter.may_redirect(100.0, 24, 0, 0.0))
 
     def test_a_turn_beyond_a_burst_leaves_and_those_behind_it_wait(self) -> None:
-        gate = SpillGate(region_mbit_per_s=1.0)
-        self.assertTrue(gate.may_redirect(5_000.0, 24, 40_000, 0.0))
-        gate.begin("large", 40_000, 0.0)
-        self.assertFalse(gate.may_redirect(5_000.0, 24, 1_000, 0.1))
+        limiter = SpilloverLimiter(region_mbit_per_s=1.0)
+        self.assertTrue(limiter.may_redirect(5_000.0, 24, 40_000, 0.0))
+        limiter.begin("large", 40_000, 0.0)
+        self.assertFalse(limiter.may_redirect(5_000.0, 24, 1_000, 0.1))
 
     def test_bytes_that_left_without_a_choice_count_too(self) -> None:
-        gate = SpillGate(region_mbit_per_s=8.0)
-        self.assertTrue(gate.may_redirect(100.0, 24, 200_000, 0.0))
-        gate.begin("forced", 1_000_000, 0.0)
-        self.assertFalse(gate.may_redirect(100.0, 24, 10_000, 1.0))
-        self.assertTrue(gate.may_redirect(100.0, 24, 10_000, 3.0))
+        limiter = SpilloverLimiter(region_mbit_per_s=8.0)
+        self.assertTrue(limiter.may_redirect(100.0, 24, 200_000, 0.0))
+        limiter.begin("forced", 1_000_000, 0.0)
+        self.assertFalse(limiter.may_redirect(100.0, 24, 10_000, 1.0))
+        self.assertTrue(limiter.may_redirect(100.0, 24, 10_000, 3.0))
 
 
 class OwnChoiceTest(unittest.TestCase):
