--- a/src/bendshed/placement/cluster_load.py
+++ b/src/bendshed/placement/cluster_load.py
@@ -18,7 +18,7 @@
 from bendshed.model.places import Distance
 from bendshed.model.runner import ServiceRunner
 from bendshed.placement.distance import DistanceCosts, TurnPaths
-from bendshed.placement.other_loads import OtherLoad, OtherLoads
+from bendshed.placement.peer_loads import LoadSummary, PeerLoads
 from bendshed.placement.placement_cost import PoolTimes, cold_ms, cost_ms
 from bendshed.placement.runner_health import median_pace
 from bendshed.placement.running_turns import RunningTurns
@@ -80,13 +80,13 @@
     Invariant: a turn counts at one runner from its placement until its end or its deadline.
 
     Attributes:
-        elsewhere: load at runners that leaders of other groups placed there.
+        peer_loads: load at runners that leaders of other groups placed there.
         distance: costs of runners that are far from the requesting node.
 
     """
 
     def __init__(self, rng: random.Random, distance: DistanceCosts | None = None) -> None:
-        self.elsewhere = OtherLoads()
+        self.peer_loads = PeerLoads()
         self.distance = distance if distance is not None else DistanceCosts()
         self._spill = SpilloverLimiter(self.distance.terms.region_mbit_per_s)
         self._running = RunningTurns(self._spill)
@@ -102,7 +102,7 @@
         """Of them, those that run outside the requesting node's region."""
         return self._spill.num_redirected
 
-    def own_loads(self) -> list[tuple[str, OtherLoad]]:
+    def own_loads(self) -> list[tuple[str, LoadSummary]]:
         """Load that this leader placed at runners, for the leaders of other groups."""
         return self._running.loads()
 
@@ -177,7 +177,7 @@
                 demand,
                 runner,
                 self._running.at(runner_id),
-                self.elsewhere.at(runner_id, pool.now_s),
+                self.peer_loads.load_of(runner_id, pool.now_s),
                 paths[runner.zone],
                 pool,
             )
--- a/src/bendshed/placement/placement_cost.py
+++ b/src/bendshed/placement/placement_cost.py
@@ -9,7 +9,7 @@
 
 from bendshed.model.runner import ServiceRunner
 from bendshed.placement.distance import PathCost
-from bendshed.placement.other_loads import OtherLoad
+from bendshed.placement.peer_loads import LoadSummary
 from bendshed.placement.prompt_cache import PromptCache
 from bendshed.placement.runner_load import RunnerLoad
 from bendshed.placement.turn_demand import Demand
@@ -72,7 +72,7 @@
     demand: Demand,
     runner: ServiceRunner,
     load: RunnerLoad,
-    elsewhere: OtherLoad,
+    peer_load: LoadSummary,
     path: PathCost,
     pool: PoolTimes,
 ) -> float:
@@ -82,12 +82,12 @@
         demand: the turn.
         runner: as listed.
         load: turns that this leader placed there, and what they showed of the runner.
-        elsewhere: what leaders of other groups placed there.
+        peer_load: what leaders of other groups placed there.
         path: distance from the requesting node.
         pool: means to compare with.
 
     """
-    num_running = len(load.turns) + elsewhere.num_running
+    num_running = len(load.turns) + peer_load.num_running
     slowness = _slowness(load, pool)
     waiting_ms = _waiting_ms(runner.slots, num_running, pool.turn_ms)
     reading_ms = _reading_ms(demand, load.cache)
@@ -95,7 +95,7 @@
     lost_ms = slowness * (waiting_ms + reading_ms + running_ms)
     lost_ms += (slowness - 1.0) * pool.turn_ms
     lost_ms += FAILED_TURN_MS * load.health.failures_now(pool.now_s)
-    wanted_tokens = load.num_tokens + elsewhere.num_tokens + demand.most_kv_tokens
+    wanted_tokens = load.num_tokens + peer_load.num_tokens + demand.most_kv_tokens
     if wanted_tokens > MEMORY_SHARE * load.cache.capacity_tokens:
         lost_ms += pool.turn_ms
     if runner.runner_id in demand.avoided:
--- a/src/bendshed/placement/running_turns.py
+++ b/src/bendshed/placement/running_turns.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Iterable
 
 from bendshed.model.runner import ServiceRunner
-from bendshed.placement.other_loads import OtherLoad
+from bendshed.placement.peer_loads import LoadSummary
 from bendshed.placement.placement_cost import MIN_RUNNING_MS, READ_TOKENS_PER_MS
 from bendshed.placement.prompt_cache import PromptCache
 from bendshed.placement.runner_load import RunnerLoad, RunningTurn
@@ -57,10 +57,10 @@
         """What is known of a runner that ``meet`` was called with."""
         return self._loads[runner_id]
 
-    def loads(self) -> list[tuple[str, OtherLoad]]:
+    def loads(self) -> list[tuple[str, LoadSummary]]:
         """Load by runner, for the leaders of other groups; idle runners are left out."""
         return [
-            (runner_id, OtherLoad(len(load.turns), load.num_tokens))
+            (runner_id, LoadSummary(len(load.turns), load.num_tokens))
             for runner_id, load in self._loads.items()
             if load.turns
         ]
--- a/src/bendshed/turns/load_exchange.py
+++ b/src/bendshed/turns/load_exchange.py
@@ -6,7 +6,7 @@
 from bendshed.model.address import Address
 from bendshed.placement.cluster_load import ClusterLoad
 from bendshed.placement.groups import TurnGroups
-from bendshed.placement.other_loads import OtherLoad
+from bendshed.placement.peer_loads import LoadSummary
 from bendshed.ports.transport import Transport
 from bendshed.turns.group_peers import GroupPeers
 from bendshed.wire import turns_pb2 as wire
@@ -74,7 +74,7 @@
     def _take(self, payload: bytes) -> None:
         report = wire.RunnerLoads.FromString(payload)
         loads = [
-            (row.runner_id, OtherLoad(row.num_running, row.num_tokens)) for row in report.loads
+            (row.runner_id, LoadSummary(row.num_running, row.num_tokens)) for row in report.loads
         ]
         now_s = asyncio.get_running_loop().time()
-        self._cluster_load.elsewhere.take(report.sender, report.at_ms, loads, now_s)
+        self._cluster_load.peer_loads.apply_report(report.sender, report.at_ms, loads, now_s)
--- a/tests/test_other_loads.py
+++ b/tests/test_peer_loads.py
@@ -6,12 +6,12 @@
 from bendshed.model.address import Address
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.placement.cluster_load import ClusterLoad, Placed
-from bendshed.placement.other_loads import (
-    MAX_COUNTED,
+from bendshed.placement.peer_loads import (
+    MAX_REPORTED_TURNS,
     NO_LOAD,
     REPORT_VALID_S,
-    OtherLoad,
-    OtherLoads,
+    LoadSummary,
+    PeerLoads,
 )
 from bendshed.placement.turn_demand import Demand
 from bendshed.rehearsal.site.layout import TWO_REGIONS
@@ -24,31 +24,31 @@
 ]
 
 
-class LoadsTest(unittest.TestCase):
+class PeerLoadsTest(unittest.TestCase):
     def test_the_latest_report_of_each_leader_counts(self) -> None:
-        loads = OtherLoads()
-        loads.take("x", 5, [("a", OtherLoad(2, 20))], 0.0)
-        loads.take("y", 1, [("a", OtherLoad(3, 30))], 0.0)
-        self.assertEqual(loads.at("a", 0.1), OtherLoad(5, 50))
-        loads.take("x", 4, [("a", OtherLoad(9, 90))], 0.2)
-        self.assertEqual(loads.at("a", 0.2), OtherLoad(5, 50))
-        loads.take("x", 6, [], 0.3)
-        self.assertEqual(loads.at("a", 0.3), OtherLoad(3, 30))
+        loads = PeerLoads()
+        loads.apply_report("x", 5, [("a", LoadSummary(2, 20))], 0.0)
+        loads.apply_report("y", 1, [("a", LoadSummary(3, 30))], 0.0)
+        self.assertEqual(loads.load_of("a", 0.1), LoadSummary(5, 50))
+        loads.apply_report("x", 4, [("a", LoadSummary(9, 90))], 0.2)
+        self.assertEqual(loads.load_of("a", 0.2), LoadSummary(5, 50))
+        loads.apply_report("x", 6, [], 0.3)
+        self.assertEqual(loads.load_of("a", 0.3), LoadSummary(3, 30))
 
     def test_an_old_report_counts_no_more(self) -> None:
-        loads = OtherLoads()
-        loads.take("x", 5, [("a", OtherLoad(2, 20))], 0.0)
-        self.assertEqual(loads.at("a", REPORT_VALID_S), NO_LOAD)
+        loads = PeerLoads()
+        loads.apply_report("x", 5, [("a", LoadSummary(2, 20))], 0.0)
+        self.assertEqual(loads.load_of("a", REPORT_VALID_S), NO_LOAD)
 
     def test_a_report_is_bounded(self) -> None:
-        loads = OtherLoads()
-        loads.take("x", 5, [("a", OtherLoad(10_000, 20))], 0.0)
-        self.assertEqual(loads.at("a", 0.0).num_running, MAX_COUNTED)
+        loads = PeerLoads()
+        loads.apply_report("x", 5, [("a", LoadSummary(10_000, 20))], 0.0)
+        self.assertEqual(loads.load_of("a", 0.0).num_running, MAX_REPORTED_TURNS)
 
     def test_a_placement_avoids_what_others_have_filled(self) -> None:
         for full, free in (("a", "b"), ("b", "a")):
             load = ClusterLoad(random.Random(1))
-            load.elsewhere.take("x", 1, [(full, OtherLoad(4, 0))], 0.0)
+            load.peer_loads.apply_report("x", 1, [(full, LoadSummary(4, 0))], 0.0)
             demand = Demand("t", "line", (), most_tokens=10, left_s=3.0, zone="z")
             placed = load.place(demand, RUNNERS, 50_000, 0.0)
             assert isinstance(placed, Placed)
@@ -66,7 +66,7 @@
         loads = [leader.replica._loads._cluster_load for leader in leaders]  # type: ignore[union-attr]
         now_s = world.loop.time()
         for load, other in (loads, reversed(loads)):
-            known = sum(load.elsewhere.at(name, now_s).num_running for name in world.runners)
+            known = sum(load.peer_loads.load_of(name, now_s).num_running for name in world.runners)
             self.assertGreater(known, 0)
             self.assertLessEqual(known, other.num_running + 12)
 
