--- a/src/bendshed/placement/prompt_cache.py
+++ b/src/bendshed/placement/prompt_cache.py
@@ -38,7 +38,7 @@
                 break
         return num_cached
 
-    def note_read(self, parts: Sequence[PromptPart]) -> None:
+    def add_prompt(self, parts: Sequence[PromptPart]) -> None:
         """Count a prompt that was dispatched there: its parts are the most recently used ones."""
         for part in parts:
             cached = self._parts.pop(part.part_id, 0)
--- a/src/bendshed/placement/running_turns.py
+++ b/src/bendshed/placement/running_turns.py
@@ -85,7 +85,7 @@
         """
         load = self._loads.get(demand.ran_at)
         if load is not None and demand.chain not in self._chains:
-            load.cache.note_read(demand.parts)
+            load.cache.add_prompt(demand.parts)
 
     def begin(self, demand: Demand, runner_id: str, now_s: float) -> None:
         """Count a turn at a runner; one that is placed again moves there."""
@@ -96,7 +96,7 @@
         load.num_tokens += tokens
         unread = demand.prompt_tokens - load.cache.cached_tokens(demand.parts)
         self.reading_ms += TURN_WEIGHT * (unread / READ_TOKENS_PER_MS - self.reading_ms)
-        load.cache.note_read(demand.parts)
+        load.cache.add_prompt(demand.parts)
         self._remember_chain(demand.chain)
         self._runner_of[demand.turn_id] = runner_id
         heapq.heappush(self._deadlines, (now_s + demand.left_s, demand.turn_id))
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -234,7 +234,7 @@
 class PromptCacheTest(unittest.TestCase):
     def test_a_part_helps_only_behind_parts_that_are_kept(self) -> None:
         cache = PromptCache(10_000)
-        cache.note_read([PromptPart("shared", 500), PromptPart("own", 300)])
+        cache.add_prompt([PromptPart("shared", 500), PromptPart("own", 300)])
         self.assertEqual(cache.cached_tokens([PromptPart("shared", 500)]), 500)
         self.assertEqual(cache.cached_tokens([PromptPart("x", 9), PromptPart("own", 300)]), 0)
         grown = [PromptPart("shared", 500), PromptPart("own", 700), PromptPart("more", 5)]
@@ -243,7 +243,7 @@
     def test_the_longest_unused_part_is_given_up(self) -> None:
         cache = PromptCache(1_000)
         for name in "abc":
-            cache.note_read([PromptPart(name, 400)])
+            cache.add_prompt([PromptPart(name, 400)])
         found = {name: cache.cached_tokens([PromptPart(name, 400)]) for name in "abc"}
         self.assertEqual(found, {"a": 0, "b": 400, "c": 400})
         self.assertEqual(cache.num_tokens, 800)
