--- a/src/bendshed/placement/cluster_load.py
+++ b/src/bendshed/placement/cluster_load.py
@@ -19,7 +19,7 @@
 from bendshed.model.runner import ServiceRunner
 from bendshed.placement.distance import DistanceCosts, TurnPaths
 from bendshed.placement.peer_loads import LoadSummary, PeerLoads
-from bendshed.placement.placement_cost import PoolTimes, cold_ms, cost_ms
+from bendshed.placement.placement_cost import PoolTimes, cold_cost_ms, cost_ms
 from bendshed.placement.runner_health import median_pace
 from bendshed.placement.running_turns import RunningTurns
 from bendshed.placement.spill import SpilloverLimiter
@@ -185,7 +185,7 @@
         }
         for runner_id in cold:
             if runner_id in costs:
-                costs[runner_id] += cold_ms(demand)
+                costs[runner_id] += cold_cost_ms(demand)
         return costs
 
     def _within_region(
--- a/src/bendshed/placement/placement_cost.py
+++ b/src/bendshed/placement/placement_cost.py
@@ -14,37 +14,37 @@
 from bendshed.placement.runner_load import RunnerLoad
 from bendshed.placement.turn_demand import Demand
 
-READ_TOKENS_PER_MS = 80.0
+PREFILL_TOKENS_PER_MS = 80.0
 """Prompt tokens that a runner reads in a millisecond; model engines were seen to read 65 to 163."""
 HISTORY_WEIGHT = 3.0
 """Factor on the reading time of a program's own history (all parts but the first of several).
 Reading it again also stops the turns beside it, and no other program uses the result; the first
 part is shared. Keeps chains at their runner: over a full day of 171 fronts, at 1 they left it for
 three running turns, 10 million prompt tokens were read instead of 6, and 87.8% of the work was
-served instead of 94.6% (measured together with SLOW_FROM)."""
-MIN_RUNNING_MS = 4.0
+served instead of 94.6% (measured together with SLOWNESS_THRESHOLD)."""
+MIN_RUNNING_TURN_COST_MS = 4.0
 """Least cost, in milliseconds, of one more running turn to the others at its runner. While a turn
 runs, about as many others begin there as run beside it, and each stops it while its prompt is read;
 so a running turn costs the mean reading time, and at least this."""
-COLD_MS = 120.0
+COLD_RUNNER_COST_MS = 120.0
 """Added to a cold runner's cost, in milliseconds, so that warm runners with room come first.
 Warm runners with free slots differ by less: six running turns at 10 ms each, 30 ms for a
 connection, 24 ms for 650 tokens of history. Three turns of 250 ms that wait for one of six slots
 cost 125 ms: then the cold runner gets work. Its slowness is counted by its measured pace."""
-COLD_FIRST_MS = 60.0
+FIRST_TURN_COLD_COST_MS = 60.0
 """The same for a program's first turn: it has no history, so it reads only shared parts there, and
 these are cached by the time the runner is warm."""
-FAILED_TURN_MS = 1_000.0
+FAILED_TURN_COST_MS = 1_000.0
 """Cost of a failed turn, in milliseconds: its client starts it again after up to 0.4 s. More than
 any wait for a slot, so a runner that fails gets work only when all do."""
-MEMORY_SHARE = 0.8
+MAX_MEMORY_SHARE = 0.8
 """Share of a runner's memory that running turns may fill; beyond it the engine preempts the newest
 turn, which costs the length of a turn."""
-SILENT_TURNS = 4.0
+STALL_TURN_LENGTHS = 4.0
 """Mean turn lengths without any end, while turns run, from which on a runner counts as slow.
 Counted from the latest end: counted from the oldest turn's begin, one stuck turn in 24 marked its
 runner as slow."""
-SLOW_FROM = 2.5
+SLOWNESS_THRESHOLD = 2.5
 """Ratio to the pool's median time between events from which on a runner counts as slow. Smaller
 ratios are chance: in a burst, prompts read in between make a mean of three turns 1.5 times as
 long."""
@@ -55,15 +55,15 @@
     """Means over the runners of a service at the time of a placement.
 
     Attributes:
-        turn_ms: length of a turn.
-        reading_ms: time in which a turn's prompt is read.
+        mean_turn_ms: length of a turn.
+        mean_prefill_ms: time in which a turn's prompt is read.
         event_gap_ms: median of the runners' times between events; 0: unknown.
         now_s: steady time of the placement.
 
     """
 
-    turn_ms: float
-    reading_ms: float
+    mean_turn_ms: float
+    mean_prefill_ms: float
     event_gap_ms: float
     now_s: float
 
@@ -76,7 +76,9 @@
     path: PathCost,
     pool: PoolTimes,
 ) -> float:
-    """Milliseconds that a turn is expected to lose at a runner; a cold one costs ``cold_ms`` more.
+    """Milliseconds that a turn is expected to lose at a runner.
+
+    A cold one costs ``cold_cost_ms`` more.
 
     Args:
         demand: the turn.
@@ -89,40 +91,42 @@
     """
     num_running = len(load.turns) + peer_load.num_running
     slowness = _slowness(load, pool)
-    waiting_ms = _waiting_ms(runner.slots, num_running, pool.turn_ms)
-    reading_ms = _reading_ms(demand, load.cache)
-    running_ms = max(MIN_RUNNING_MS, pool.reading_ms) * num_running
-    lost_ms = slowness * (waiting_ms + reading_ms + running_ms)
-    lost_ms += (slowness - 1.0) * pool.turn_ms
-    lost_ms += FAILED_TURN_MS * load.health.failures_now(pool.now_s)
-    wanted_tokens = load.num_tokens + peer_load.num_tokens + demand.most_kv_tokens
-    if wanted_tokens > MEMORY_SHARE * load.cache.capacity_tokens:
-        lost_ms += pool.turn_ms
+    waiting_ms = _waiting_ms(runner.slots, num_running, pool.mean_turn_ms)
+    prefill_ms = _prefill_ms(demand, load.cache)
+    running_ms = max(MIN_RUNNING_TURN_COST_MS, pool.mean_prefill_ms) * num_running
+    total_ms = slowness * (waiting_ms + prefill_ms + running_ms)
+    total_ms += (slowness - 1.0) * pool.mean_turn_ms
+    total_ms += FAILED_TURN_COST_MS * load.health.failures_now(pool.now_s)
+    needed_tokens = load.num_tokens + peer_load.num_tokens + demand.most_kv_tokens
+    if needed_tokens > MAX_MEMORY_SHARE * load.cache.capacity_tokens:
+        total_ms += pool.mean_turn_ms
     if runner.runner_id in demand.avoided:
-        lost_ms += FAILED_TURN_MS
+        total_ms += FAILED_TURN_COST_MS
     is_connected = runner.runner_id in demand.connected
-    return lost_ms + (path.connected_ms if is_connected else path.new_ms)
+    return total_ms + (path.connected_ms if is_connected else path.new_ms)
 
 
-def cold_ms(demand: Demand) -> float:
+def cold_cost_ms(demand: Demand) -> float:
     """What a turn loses at a cold runner on top."""
-    return COLD_MS if demand.ran_at else COLD_FIRST_MS
+    return COLD_RUNNER_COST_MS if demand.ran_at else FIRST_TURN_COLD_COST_MS
 
 
 def _slowness(load: RunnerLoad, pool: PoolTimes) -> float:
     """How many times as long a turn takes there as at the median runner; at least 1."""
-    by_pace = load.health.slowness_now(pool.event_gap_ms, pool.now_s, SLOW_FROM)
-    return max(by_pace, 1000 * load.silent_s(pool.now_s) / (SILENT_TURNS * pool.turn_ms))
+    pace_slowness = load.health.slowness_now(pool.event_gap_ms, pool.now_s, SLOWNESS_THRESHOLD)
+    return max(
+        pace_slowness, 1000 * load.stalled_s(pool.now_s) / (STALL_TURN_LENGTHS * pool.mean_turn_ms)
+    )
 
 
-def _waiting_ms(num_slots: int, num_running: int, turn_ms: float) -> float:
+def _waiting_ms(num_slots: int, num_running: int, mean_turn_ms: float) -> float:
     """Until one of the slots is free; they become free evenly within the length of a turn."""
     num_waiting = max(0, num_running + 1 - num_slots)
-    return turn_ms * num_waiting / num_slots
+    return mean_turn_ms * num_waiting / num_slots
 
 
-def _reading_ms(demand: Demand, cache: PromptCache) -> float:
+def _prefill_ms(demand: Demand, cache: PromptCache) -> float:
     """Reading what the runner does not hold of the prompt; own history weighs more."""
-    unread = demand.prompt_tokens - cache.cached_tokens(demand.parts)
-    unread_own = min(unread, demand.own_tokens)
-    return (unread - unread_own + HISTORY_WEIGHT * unread_own) / READ_TOKENS_PER_MS
+    uncached = demand.prompt_tokens - cache.cached_tokens(demand.parts)
+    uncached_own = min(uncached, demand.own_tokens)
+    return (uncached - uncached_own + HISTORY_WEIGHT * uncached_own) / PREFILL_TOKENS_PER_MS
--- a/src/bendshed/placement/runner_load.py
+++ b/src/bendshed/placement/runner_load.py
@@ -40,7 +40,7 @@
     num_tokens: int = 0
     ended_s: float = float("-inf")
 
-    def silent_s(self, now_s: float) -> float:
+    def stalled_s(self, now_s: float) -> float:
         """For how long turns have run here and none has ended; 0: none runs."""
         for turn in self.turns.values():
             return now_s - max(turn.began_s, self.ended_s)
--- a/src/bendshed/placement/running_turns.py
+++ b/src/bendshed/placement/running_turns.py
@@ -10,7 +10,7 @@
 
 from bendshed.model.runner import ServiceRunner
 from bendshed.placement.peer_loads import LoadSummary
-from bendshed.placement.placement_cost import MIN_RUNNING_MS, READ_TOKENS_PER_MS
+from bendshed.placement.placement_cost import MIN_RUNNING_TURN_COST_MS, PREFILL_TOKENS_PER_MS
 from bendshed.placement.prompt_cache import PromptCache
 from bendshed.placement.runner_load import RunnerLoad, RunningTurn
 from bendshed.placement.spill import SpilloverLimiter
@@ -41,7 +41,7 @@
 
     def __init__(self, spill: SpilloverLimiter) -> None:
         self.turn_ms = FIRST_TURN_MS
-        self.reading_ms = MIN_RUNNING_MS
+        self.reading_ms = MIN_RUNNING_TURN_COST_MS
         self.spill = spill
         self._loads: dict[str, RunnerLoad] = {}
         self._runner_of: dict[str, str] = {}
@@ -95,7 +95,7 @@
         load.turns[demand.turn_id] = RunningTurn(runner_id, tokens, now_s)
         load.num_tokens += tokens
         unread = demand.prompt_tokens - load.cache.cached_tokens(demand.parts)
-        self.reading_ms += TURN_WEIGHT * (unread / READ_TOKENS_PER_MS - self.reading_ms)
+        self.reading_ms += TURN_WEIGHT * (unread / PREFILL_TOKENS_PER_MS - self.reading_ms)
         load.cache.add_prompt(demand.parts)
         self._remember_chain(demand.chain)
         self._runner_of[demand.turn_id] = runner_id
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -7,7 +7,7 @@
 from bendshed.model.prompt import PromptPart
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.placement.cluster_load import MAX_CANDIDATES, ClusterLoad, NotPlaced, Placed
-from bendshed.placement.placement_cost import FAILED_TURN_MS
+from bendshed.placement.placement_cost import FAILED_TURN_COST_MS
 from bendshed.placement.prompt_cache import PromptCache
 from bendshed.placement.runner_health import HALF_LIFE_S, RunnerHealth, median_pace
 from bendshed.placement.running_turns import FIRST_TURN_MS
@@ -228,7 +228,7 @@
         self.assertEqual(self.load.place(self.demand(), [], CAPACITY, 1.0), NotPlaced())
 
     def test_a_failure_costs_more_than_any_wait_for_a_slot(self) -> None:
-        self.assertGreater(FAILED_TURN_MS, FIRST_TURN_MS)
+        self.assertGreater(FAILED_TURN_COST_MS, FIRST_TURN_MS)
 
 
 class PromptCacheTest(unittest.TestCase):
