--- a/src/bendshed/placement/cluster_load.py
+++ b/src/bendshed/placement/cluster_load.py
@@ -104,7 +104,7 @@
 
     def own_loads(self) -> list[tuple[str, LoadSummary]]:
         """Load that this leader placed at runners, for the leaders of other groups."""
-        return self._running.loads()
+        return self._running.load_summaries()
 
     # --- placement -------------------------------------------------------------------------
 
@@ -126,11 +126,11 @@
             cold: ids of the cold ones among them; they come after warm ones that have room.
 
         """
-        self._running.end_overdue(now_s)
+        self._running.end_expired(now_s)
         if not runners:
             return NotPlaced()
-        self._running.meet(runners, capacity_tokens)
-        self._running.learn_cache(demand)
+        self._running.add_runners(runners, capacity_tokens)
+        self._running.assume_cached(demand)
         candidates = {r.runner_id: r for r in self._candidates(demand, runners)}
         paths = self.distance.paths(demand.zone, demand.moved_bytes)
         pool = self._pool_times(runners, now_s)
@@ -139,7 +139,7 @@
             costs = self._within_region(demand, candidates, paths, costs, now_s)
         chosen, reason = _least(costs, candidates, demand)
         kind = paths[candidates[chosen].zone].kind
-        load = self._running.at(chosen)
+        load = self._running.load_of(chosen)
         cached_tokens = load.cache.cached_tokens(demand.parts)
         placed = Placed(chosen, costs[chosen], len(load.turns), cached_tokens, kind, reason)
         self._record(demand, placed, now_s)
@@ -155,13 +155,15 @@
             runner
             for runner in runners
             if runner.runner_id in demand.connected
-            or self._running.at(runner.runner_id).cache.cached_tokens(demand.parts)
+            or self._running.load_of(runner.runner_id).cache.cached_tokens(demand.parts)
         ]
         return [*preferred, *self._rng.sample(list(runners), MAX_CANDIDATES)]
 
     def _pool_times(self, runners: Sequence[ServiceRunner], now_s: float) -> PoolTimes:
-        event_gap_ms = median_pace(self._running.at(r.runner_id).health for r in runners)
-        return PoolTimes(self._running.turn_ms, self._running.reading_ms, event_gap_ms, now_s)
+        event_gap_ms = median_pace(self._running.load_of(r.runner_id).health for r in runners)
+        return PoolTimes(
+            self._running.mean_turn_ms, self._running.mean_prefill_ms, event_gap_ms, now_s
+        )
 
     def _costs(
         self,
@@ -176,7 +178,7 @@
             runner_id: cost_ms(
                 demand,
                 runner,
-                self._running.at(runner_id),
+                self._running.load_of(runner_id),
                 self.peer_loads.load_of(runner_id, pool.now_s),
                 paths[runner.zone],
                 pool,
--- a/src/bendshed/placement/running_turns.py
+++ b/src/bendshed/placement/running_turns.py
@@ -16,9 +16,9 @@
 from bendshed.placement.spill import SpilloverLimiter
 from bendshed.placement.turn_demand import Demand, Ended
 
-FIRST_TURN_MS = 250.0
+INITIAL_MEAN_TURN_MS = 250.0
 """Mean length of a turn, in milliseconds, until the first one has ended."""
-TURN_WEIGHT = 0.05
+NEWEST_TURN_WEIGHT = 0.05
 """Weight of the newest turn in the mean length and reading time: about 20 turns show a change."""
 MAX_CHAINS = 20_000
 """Chains remembered as placed by this leader; bounds their memory to about 2 MB."""
@@ -33,31 +33,31 @@
     turns; ``spill`` counts no turn that does not run.
 
     Attributes:
-        turn_ms: mean length of a turn.
-        reading_ms: mean time in which a turn's prompt is read.
+        mean_turn_ms: mean length of a turn.
+        mean_prefill_ms: mean time in which a turn's prompt is read.
         spill: bounds the turns that run outside their region.
 
     """
 
     def __init__(self, spill: SpilloverLimiter) -> None:
-        self.turn_ms = FIRST_TURN_MS
-        self.reading_ms = MIN_RUNNING_TURN_COST_MS
+        self.mean_turn_ms = INITIAL_MEAN_TURN_MS
+        self.mean_prefill_ms = MIN_RUNNING_TURN_COST_MS
         self.spill = spill
         self._loads: dict[str, RunnerLoad] = {}
-        self._runner_of: dict[str, str] = {}
+        self._runner_by_turn: dict[str, str] = {}
         self._deadlines: list[tuple[float, str]] = []
         self._chains: dict[str, None] = {}
 
     @property
     def num_running(self) -> int:
         """Turns that run."""
-        return len(self._runner_of)
+        return len(self._runner_by_turn)
 
-    def at(self, runner_id: str) -> RunnerLoad:
-        """What is known of a runner that ``meet`` was called with."""
+    def load_of(self, runner_id: str) -> RunnerLoad:
+        """What is known of a runner that ``add_runners`` was called with."""
         return self._loads[runner_id]
 
-    def loads(self) -> list[tuple[str, LoadSummary]]:
+    def load_summaries(self) -> list[tuple[str, LoadSummary]]:
         """Load by runner, for the leaders of other groups; idle runners are left out."""
         return [
             (runner_id, LoadSummary(len(load.turns), load.num_tokens))
@@ -65,7 +65,7 @@
             if load.turns
         ]
 
-    def meet(self, runners: Iterable[ServiceRunner], capacity_tokens: int) -> None:
+    def add_runners(self, runners: Iterable[ServiceRunner], capacity_tokens: int) -> None:
         """Start a record of each runner that has none.
 
         Args:
@@ -78,7 +78,7 @@
                 cache = PromptCache(capacity_tokens or DEFAULT_CAPACITY_TOKENS)
                 self._loads[runner.runner_id] = RunnerLoad(cache)
 
-    def learn_cache(self, demand: Demand) -> None:
+    def assume_cached(self, demand: Demand) -> None:
         """Assume a chain's prompt at the runner of its program's latest turn.
 
         Only for chains that this leader has not placed yet: a new leader knows of no cached prompt.
@@ -94,11 +94,13 @@
         tokens = demand.most_kv_tokens
         load.turns[demand.turn_id] = RunningTurn(runner_id, tokens, now_s)
         load.num_tokens += tokens
-        unread = demand.prompt_tokens - load.cache.cached_tokens(demand.parts)
-        self.reading_ms += TURN_WEIGHT * (unread / PREFILL_TOKENS_PER_MS - self.reading_ms)
+        uncached_tokens = demand.prompt_tokens - load.cache.cached_tokens(demand.parts)
+        self.mean_prefill_ms += NEWEST_TURN_WEIGHT * (
+            uncached_tokens / PREFILL_TOKENS_PER_MS - self.mean_prefill_ms
+        )
         load.cache.add_prompt(demand.parts)
         self._remember_chain(demand.chain)
-        self._runner_of[demand.turn_id] = runner_id
+        self._runner_by_turn[demand.turn_id] = runner_id
         heapq.heappush(self._deadlines, (now_s + demand.left_s, demand.turn_id))
 
     def _remember_chain(self, chain: str) -> None:
@@ -111,7 +113,7 @@
         turn = self._remove(ended.turn_id)
         if turn is not None and turn.runner_id == ended.runner_id:
             took_ms = 1000 * (now_s - turn.began_s)
-            self.turn_ms += TURN_WEIGHT * (took_ms - self.turn_ms)
+            self.mean_turn_ms += NEWEST_TURN_WEIGHT * (took_ms - self.mean_turn_ms)
         load = self._loads.get(ended.runner_id)
         if load is not None:
             load.ended_s = now_s
@@ -119,13 +121,13 @@
             if ended.gap_ms:
                 load.health.note_pace(ended.gap_ms, now_s)
         for runner_id in ended.failed:
-            failing = self._loads.get(runner_id)
-            if failing is not None:
-                failing.health.note_try(True, now_s)
+            failed_load = self._loads.get(runner_id)
+            if failed_load is not None:
+                failed_load.health.note_try(True, now_s)
 
     def _remove(self, turn_id: str) -> RunningTurn | None:
         self.spill.end(turn_id)
-        runner_id = self._runner_of.pop(turn_id, None)
+        runner_id = self._runner_by_turn.pop(turn_id, None)
         if runner_id is None:
             return None
         load = self._loads[runner_id]
@@ -133,7 +135,7 @@
         load.num_tokens -= turn.tokens
         return turn
 
-    def end_overdue(self, now_s: float) -> None:
+    def end_expired(self, now_s: float) -> None:
         """Stop counting turns whose deadline has passed: the reports of their nodes were lost."""
         while self._deadlines and self._deadlines[0][0] <= now_s:
             _, turn_id = heapq.heappop(self._deadlines)
@@ -143,5 +145,5 @@
         """Forget runners that are not listed any more, with their turns."""
         for runner_id in [name for name in self._loads if name not in listed]:
             for turn_id in self._loads.pop(runner_id).turns:
-                del self._runner_of[turn_id]
+                del self._runner_by_turn[turn_id]
                 self.spill.end(turn_id)
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -10,7 +10,7 @@
 from bendshed.placement.placement_cost import FAILED_TURN_COST_MS
 from bendshed.placement.prompt_cache import PromptCache
 from bendshed.placement.runner_health import HALF_LIFE_S, RunnerHealth, median_pace
-from bendshed.placement.running_turns import FIRST_TURN_MS
+from bendshed.placement.running_turns import INITIAL_MEAN_TURN_MS
 from bendshed.placement.turn_demand import Demand, Ended
 
 SLOTS = 6
@@ -172,14 +172,14 @@
 
     def test_a_runner_where_no_turn_ends_counts_as_slow(self) -> None:
         stuck = self.place(self.demand())
-        later_s = 20 * FIRST_TURN_MS / 1000
+        later_s = 20 * INITIAL_MEAN_TURN_MS / 1000
         for _ in range(12):
             self.place(self.demand(), later_s)
         self.assertEqual(self.num_at(stuck.runner_id), 1)
 
     def test_one_long_turn_among_others_that_end_is_no_slowness(self) -> None:
         long = self.place(self.demand())
-        later_s = 20 * FIRST_TURN_MS / 1000
+        later_s = 20 * INITIAL_MEAN_TURN_MS / 1000
         self.load.end(Ended("another", long.runner_id), later_s)
         for _ in range(14):
             self.place(self.demand(), later_s)
@@ -228,7 +228,7 @@
         self.assertEqual(self.load.place(self.demand(), [], CAPACITY, 1.0), NotPlaced())
 
     def test_a_failure_costs_more_than_any_wait_for_a_slot(self) -> None:
-        self.assertGreater(FAILED_TURN_COST_MS, FIRST_TURN_MS)
+        self.assertGreater(FAILED_TURN_COST_MS, INITIAL_MEAN_TURN_MS)
 
 
 class PromptCacheTest(unittest.TestCase):
