--- a/src/bendshed/placement/placement_cost.py
+++ b/src/bendshed/placement/placement_cost.py
@@ -96,7 +96,7 @@
     running_ms = max(MIN_RUNNING_TURN_COST_MS, pool.mean_prefill_ms) * num_running
     total_ms = slowness * (waiting_ms + prefill_ms + running_ms)
     total_ms += (slowness - 1.0) * pool.mean_turn_ms
-    total_ms += FAILED_TURN_COST_MS * load.health.failures_now(pool.now_s)
+    total_ms += FAILED_TURN_COST_MS * load.health.failure_share_now(pool.now_s)
     needed_tokens = load.num_tokens + peer_load.num_tokens + demand.most_kv_tokens
     if needed_tokens > MAX_MEMORY_SHARE * load.cache.capacity_tokens:
         total_ms += pool.mean_turn_ms
--- a/src/bendshed/placement/runner_health.py
+++ b/src/bendshed/placement/runner_health.py
@@ -5,12 +5,12 @@
 
 from bendshed.median import median
 
-PACE_WEIGHT = 0.4
+NEWEST_PACE_WEIGHT = 0.4
 """Weight of the newest pace in a runner's mean: two or three requests show a change."""
-HALF_LIFE_S = 1.5
+HEALTH_HALF_LIFE_S = 1.5
 """Time, in seconds, in which slowness or failures lose half of their weight unless they are seen
 again: a runner that was slow or failing gets work again and can show that it recovered."""
-FAILURE_WEIGHT = 0.4
+NEWEST_ATTEMPT_WEIGHT = 0.4
 """Weight of the newest attempt in a runner's share of failures."""
 
 
@@ -35,43 +35,43 @@
 
     def note_pace(self, pace: float, now_s: float) -> None:
         """A request ended that had this pace."""
-        known = self.pace or pace
-        self.pace = known + PACE_WEIGHT * (pace - known)
+        known_pace = self.pace or pace
+        self.pace = known_pace + NEWEST_PACE_WEIGHT * (pace - known_pace)
         self.pace_at_s = now_s
 
-    def note_try(self, failed: bool, now_s: float) -> None:
+    def note_attempt(self, failed: bool, now_s: float) -> None:
         """An attempt ended."""
-        before = self.failures_now(now_s)
-        self.failure_share = before + FAILURE_WEIGHT * (float(failed) - before)
+        previous = self.failure_share_now(now_s)
+        self.failure_share = previous + NEWEST_ATTEMPT_WEIGHT * (float(failed) - previous)
         self.failure_at_s = now_s
 
-    def failures_now(self, now_s: float) -> float:
+    def failure_share_now(self, now_s: float) -> float:
         """Share of attempts that are expected to fail now."""
         if not self.failure_share:
             return 0.0
-        return self.failure_share * _fading(now_s - self.failure_at_s)
+        return self.failure_share * _decay(now_s - self.failure_at_s)
 
-    def slowness_now(self, pool_pace: float, now_s: float, slow_from: float) -> float:
+    def slowness_now(self, pool_pace: float, now_s: float, threshold: float) -> float:
         """How many times as long work is expected to take there as at the others; at least 1.
 
         Args:
             pool_pace: ``median_pace`` of the service's runners; 0: unknown.
             now_s: steady time.
-            slow_from: a smaller ratio is chance.
+            threshold: a smaller ratio is chance.
 
         """
         if not self.pace or not pool_pace:
             return 1.0
         ratio = self.pace / pool_pace
-        if ratio < slow_from:
+        if ratio < threshold:
             return 1.0
-        return 1.0 + (ratio - 1.0) * _fading(now_s - self.pace_at_s)
+        return 1.0 + (ratio - 1.0) * _decay(now_s - self.pace_at_s)
 
 
-def _fading(age_s: float) -> float:
-    return float(0.5 ** (max(0.0, age_s) / HALF_LIFE_S))
+def _decay(age_s: float) -> float:
+    return float(0.5 ** (max(0.0, age_s) / HEALTH_HALF_LIFE_S))
 
 
 def median_pace(healths: Iterable[RunnerHealth]) -> float:
-    """Median over runners whose pace is known; 0: none is."""
+    """Median over runners whose pace is known_pace; 0: none is."""
     return median(health.pace for health in healths if health.pace)
--- a/src/bendshed/placement/running_turns.py
+++ b/src/bendshed/placement/running_turns.py
@@ -117,13 +117,13 @@
         load = self._loads.get(ended.runner_id)
         if load is not None:
             load.ended_s = now_s
-            load.health.note_try(False, now_s)
+            load.health.note_attempt(False, now_s)
             if ended.gap_ms:
                 load.health.note_pace(ended.gap_ms, now_s)
         for runner_id in ended.failed:
             failed_load = self._loads.get(runner_id)
             if failed_load is not None:
-                failed_load.health.note_try(True, now_s)
+                failed_load.health.note_attempt(True, now_s)
 
     def _remove(self, turn_id: str) -> RunningTurn | None:
         self.spill.end(turn_id)
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -9,7 +9,7 @@
 from bendshed.placement.cluster_load import MAX_CANDIDATES, ClusterLoad, NotPlaced, Placed
 from bendshed.placement.placement_cost import FAILED_TURN_COST_MS
 from bendshed.placement.prompt_cache import PromptCache
-from bendshed.placement.runner_health import HALF_LIFE_S, RunnerHealth, median_pace
+from bendshed.placement.runner_health import HEALTH_HALF_LIFE_S, RunnerHealth, median_pace
 from bendshed.placement.running_turns import INITIAL_MEAN_TURN_MS
 from bendshed.placement.turn_demand import Demand, Ended
 
@@ -157,7 +157,7 @@
             self.place(self.demand(left_s=1.0))
         self.assertEqual(self.num_at("c"), 0)
         for _ in range(10):
-            self.place(self.demand(), 8 * HALF_LIFE_S)
+            self.place(self.demand(), 8 * HEALTH_HALF_LIFE_S)
         self.assertGreater(self.num_at("c"), 0)
 
     def test_when_all_others_are_full_a_slow_runner_is_used(self) -> None:
@@ -258,7 +258,7 @@
         middle = median_pace(pool)
         self.assertEqual([h.slowness_now(middle, 0.0, 1.6) for h in pool[1:]], [1.0] * 3)
         now = pool[0].slowness_now(middle, 0.0, 1.6)
-        later = pool[0].slowness_now(middle, HALF_LIFE_S, 1.6)
+        later = pool[0].slowness_now(middle, HEALTH_HALF_LIFE_S, 1.6)
         self.assertGreater(now, 4.0)
         self.assertAlmostEqual(later - 1.0, (now - 1.0) / 2)
 
