--- a/src/bendshed/placement/cluster_load.py
+++ b/src/bendshed/placement/cluster_load.py
@@ -23,7 +23,7 @@
 from bendshed.placement.runner_health import median_pace
 from bendshed.placement.running_turns import RunningTurns
 from bendshed.placement.spill import SpilloverLimiter
-from bendshed.placement.turn_demand import Demand, Ended
+from bendshed.placement.turn_demand import EndedTurn, TurnDemand
 
 MAX_CANDIDATES = 64
 """Runners whose costs one placement compares: bounds its processor time (227 to 296 microseconds
@@ -110,7 +110,7 @@
 
     def place(
         self,
-        demand: Demand,
+        demand: TurnDemand,
         runners: Sequence[ServiceRunner],
         capacity_tokens: int,
         now_s: float,
@@ -132,7 +132,7 @@
         self._running.add_runners(runners, capacity_tokens)
         self._running.assume_cached(demand)
         candidates = {r.runner_id: r for r in self._candidates(demand, runners)}
-        paths = self.distance.paths(demand.zone, demand.moved_bytes)
+        paths = self.distance.paths(demand.zone, demand.transferred_bytes)
         pool = self._pool_times(runners, now_s)
         costs = self._costs(demand, candidates, paths, pool, cold)
         if paths.has_far:
@@ -146,7 +146,7 @@
         return placed
 
     def _candidates(
-        self, demand: Demand, runners: Sequence[ServiceRunner]
+        self, demand: TurnDemand, runners: Sequence[ServiceRunner]
     ) -> Sequence[ServiceRunner]:
         """All of a small pool; of a large one a sample, the connected, those with the prompt."""
         if len(runners) <= MAX_CANDIDATES:
@@ -167,7 +167,7 @@
 
     def _costs(
         self,
-        demand: Demand,
+        demand: TurnDemand,
         candidates: Candidates,
         paths: TurnPaths,
         pool: PoolTimes,
@@ -192,7 +192,7 @@
 
     def _within_region(
         self,
-        demand: Demand,
+        demand: TurnDemand,
         candidates: Candidates,
         paths: TurnPaths,
         costs: dict[str, float],
@@ -205,18 +205,18 @@
             return costs
         gain_ms = min(near.values()) - min(costs[runner_id] for runner_id in far)
         num_slots = sum(candidates[runner_id].slots for runner_id in far)
-        if self._spill.may_redirect(gain_ms, num_slots, demand.moved_bytes, now_s):
+        if self._spill.may_redirect(gain_ms, num_slots, demand.transferred_bytes, now_s):
             return costs
         return near
 
-    def _record(self, demand: Demand, placed: Placed, now_s: float) -> None:
+    def _record(self, demand: TurnDemand, placed: Placed, now_s: float) -> None:
         self._running.begin(demand, placed.runner_id, now_s)
         if placed.distance is Distance.OTHER_REGION:
-            self._spill.begin(demand.turn_id, demand.moved_bytes, now_s)
+            self._spill.begin(demand.turn_id, demand.transferred_bytes, now_s)
 
     # --- what follows a placement ----------------------------------------------------------
 
-    def end(self, ended: Ended, now_s: float) -> None:
+    def end(self, ended: EndedTurn, now_s: float) -> None:
         """Stop counting a turn, answered or not, and take what its node saw of runners."""
         self._running.end(ended, now_s)
 
@@ -226,7 +226,7 @@
 
 
 def _least(
-    costs: Mapping[str, float], candidates: Candidates, demand: Demand
+    costs: Mapping[str, float], candidates: Candidates, demand: TurnDemand
 ) -> tuple[str, PlacementReason]:
     """The least cost; between equals the node's own zone first, then the chain's rank."""
     most_ms = min(costs.values()) + EQUAL_MS
--- a/src/bendshed/placement/placement_cost.py
+++ b/src/bendshed/placement/placement_cost.py
@@ -12,7 +12,7 @@
 from bendshed.placement.peer_loads import LoadSummary
 from bendshed.placement.prompt_cache import PromptCache
 from bendshed.placement.runner_load import RunnerLoad
-from bendshed.placement.turn_demand import Demand
+from bendshed.placement.turn_demand import TurnDemand
 
 PREFILL_TOKENS_PER_MS = 80.0
 """Prompt tokens that a runner reads in a millisecond; model engines were seen to read 65 to 163."""
@@ -69,7 +69,7 @@
 
 
 def cost_ms(
-    demand: Demand,
+    demand: TurnDemand,
     runner: ServiceRunner,
     load: RunnerLoad,
     peer_load: LoadSummary,
@@ -97,7 +97,7 @@
     total_ms = slowness * (waiting_ms + prefill_ms + running_ms)
     total_ms += (slowness - 1.0) * pool.mean_turn_ms
     total_ms += FAILED_TURN_COST_MS * load.health.failure_share_now(pool.now_s)
-    needed_tokens = load.num_tokens + peer_load.num_tokens + demand.most_kv_tokens
+    needed_tokens = load.num_tokens + peer_load.num_tokens + demand.max_kv_tokens
     if needed_tokens > MAX_MEMORY_SHARE * load.cache.capacity_tokens:
         total_ms += pool.mean_turn_ms
     if runner.runner_id in demand.avoided:
@@ -106,9 +106,9 @@
     return total_ms + (path.connected_ms if is_connected else path.new_ms)
 
 
-def cold_cost_ms(demand: Demand) -> float:
+def cold_cost_ms(demand: TurnDemand) -> float:
     """What a turn loses at a cold runner on top."""
-    return COLD_RUNNER_COST_MS if demand.ran_at else FIRST_TURN_COLD_COST_MS
+    return COLD_RUNNER_COST_MS if demand.last_runner else FIRST_TURN_COLD_COST_MS
 
 
 def _slowness(load: RunnerLoad, pool: PoolTimes) -> float:
@@ -125,7 +125,7 @@
     return mean_turn_ms * num_waiting / num_slots
 
 
-def _prefill_ms(demand: Demand, cache: PromptCache) -> float:
+def _prefill_ms(demand: TurnDemand, cache: PromptCache) -> float:
     """Reading what the runner does not hold of the prompt; own history weighs more."""
     uncached = demand.prompt_tokens - cache.cached_tokens(demand.parts)
     uncached_own = min(uncached, demand.own_tokens)
--- a/src/bendshed/placement/running_turns.py
+++ b/src/bendshed/placement/running_turns.py
@@ -14,7 +14,7 @@
 from bendshed.placement.prompt_cache import PromptCache
 from bendshed.placement.runner_load import RunnerLoad, RunningTurn
 from bendshed.placement.spill import SpilloverLimiter
-from bendshed.placement.turn_demand import Demand, Ended
+from bendshed.placement.turn_demand import EndedTurn, TurnDemand
 
 INITIAL_MEAN_TURN_MS = 250.0
 """Mean length of a turn, in milliseconds, until the first one has ended."""
@@ -78,20 +78,20 @@
                 cache = PromptCache(capacity_tokens or DEFAULT_CAPACITY_TOKENS)
                 self._loads[runner.runner_id] = RunnerLoad(cache)
 
-    def assume_cached(self, demand: Demand) -> None:
+    def assume_cached(self, demand: TurnDemand) -> None:
         """Assume a chain's prompt at the runner of its program's latest turn.
 
         Only for chains that this leader has not placed yet: a new leader knows of no cached prompt.
         """
-        load = self._loads.get(demand.ran_at)
+        load = self._loads.get(demand.last_runner)
         if load is not None and demand.chain not in self._chains:
             load.cache.add_prompt(demand.parts)
 
-    def begin(self, demand: Demand, runner_id: str, now_s: float) -> None:
+    def begin(self, demand: TurnDemand, runner_id: str, now_s: float) -> None:
         """Count a turn at a runner; one that is placed again moves there."""
         self._remove(demand.turn_id)
         load = self._loads[runner_id]
-        tokens = demand.most_kv_tokens
+        tokens = demand.max_kv_tokens
         load.turns[demand.turn_id] = RunningTurn(runner_id, tokens, now_s)
         load.num_tokens += tokens
         uncached_tokens = demand.prompt_tokens - load.cache.cached_tokens(demand.parts)
@@ -101,14 +101,14 @@
         load.cache.add_prompt(demand.parts)
         self._remember_chain(demand.chain)
         self._runner_by_turn[demand.turn_id] = runner_id
-        heapq.heappush(self._deadlines, (now_s + demand.left_s, demand.turn_id))
+        heapq.heappush(self._deadlines, (now_s + demand.time_left_s, demand.turn_id))
 
     def _remember_chain(self, chain: str) -> None:
         self._chains[chain] = None
         if len(self._chains) > MAX_CHAINS:
             del self._chains[next(iter(self._chains))]
 
-    def end(self, ended: Ended, now_s: float) -> None:
+    def end(self, ended: EndedTurn, now_s: float) -> None:
         """Stop counting a turn, answered or not, and take what its node saw of runners."""
         turn = self._remove(ended.turn_id)
         if turn is not None and turn.runner_id == ended.runner_id:
@@ -118,8 +118,8 @@
         if load is not None:
             load.ended_s = now_s
             load.health.note_attempt(False, now_s)
-            if ended.gap_ms:
-                load.health.note_pace(ended.gap_ms, now_s)
+            if ended.event_gap_ms:
+                load.health.note_pace(ended.event_gap_ms, now_s)
         for runner_id in ended.failed:
             failed_load = self._loads.get(runner_id)
             if failed_load is not None:
--- a/src/bendshed/placement/turn_demand.py
+++ b/src/bendshed/placement/turn_demand.py
@@ -8,18 +8,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class TurnDemand:
     """What a turn needs of a runner.
 
     Attributes:
         chain: id of its chain, whose turns share their prompts; ranks runners of equal cost.
         parts: its prompt, first part first.
-        most_tokens: most that it may generate.
-        left_s: until its deadline; after that it counts as ended.
+        max_answer_tokens: most that it may generate.
+        time_left_s: until its deadline; after that it counts as ended.
         connected: runners to which the requesting node has an idle connection.
         avoided: runners that failed the requesting node less than 2 s ago.
         zone: the requesting node's.
-        ran_at: runner of the program's latest turn, known to a new leader too; empty: none.
+        last_runner: runner of the program's latest turn, known to a new leader too; empty: none.
         body_bytes: of the request to the runner.
         prompt_tokens: length of the whole prompt; summed once, since every candidate needs it.
         own_tokens: of it, the program's own: all but the first of several parts.
@@ -29,12 +29,12 @@
     turn_id: str
     chain: str
     parts: Sequence[PromptPart]
-    most_tokens: int
-    left_s: float
+    max_answer_tokens: int
+    time_left_s: float
     connected: Collection[str] = ()
     avoided: Collection[str] = ()
     zone: str = ""
-    ran_at: str = ""
+    last_runner: str = ""
     body_bytes: int = 0
     prompt_tokens: int = field(init=False)
     own_tokens: int = field(init=False)
@@ -46,28 +46,28 @@
         object.__setattr__(self, "own_tokens", prompt_tokens - shared_tokens)
 
     @property
-    def most_kv_tokens(self) -> int:
+    def max_kv_tokens(self) -> int:
         """Memory that it may need at a runner: its prompt and its longest answer."""
-        return self.prompt_tokens + self.most_tokens
+        return self.prompt_tokens + self.max_answer_tokens
 
     @property
-    def moved_bytes(self) -> int:
+    def transferred_bytes(self) -> int:
         """Of the turn's body and its longest answer."""
-        return self.body_bytes + ANSWER_TOKEN_BYTES * self.most_tokens
+        return self.body_bytes + ANSWER_TOKEN_BYTES * self.max_answer_tokens
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class EndedTurn:
     """What the node of a turn saw.
 
     Attributes:
         runner_id: whose answer was passed on; empty: none.
-        gap_ms: mean time between events; 0: unknown.
+        event_gap_ms: mean time between events; 0: unknown.
         failed: runners whose answers broke or that were not reached.
 
     """
 
     turn_id: str
     runner_id: str = ""
-    gap_ms: float = 0.0
+    event_gap_ms: float = 0.0
     failed: Collection[str] = ()
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -13,7 +13,7 @@
 from bendshed.model.runner import ServiceRunner
 from bendshed.placement.cluster_load import ClusterLoad, NotPlaced
 from bendshed.placement.distance import DistanceCosts
-from bendshed.placement.turn_demand import Demand, Ended
+from bendshed.placement.turn_demand import EndedTurn, TurnDemand
 from bendshed.turns.cold_admission import ColdAdmission, Openings, PermitRequest, Placement
 from bendshed.wire import turns_pb2 as wire
 
@@ -104,7 +104,7 @@
         cold = {r.runner_id for r in runners if self.cold.tracker.is_cold(r.runner_id)}
         return self._choose(turn, demand.service, Openings(runners, cold), now_s)
 
-    def _choose(self, demand: Demand, service: str, openings: Openings, now_s: float) -> str:
+    def _choose(self, demand: TurnDemand, service: str, openings: Openings, now_s: float) -> str:
         """Id of the runner with the least cost; empty: no runner is eligible."""
         memory_tokens = self._memory_tokens(service)
         placed = self.cluster_load.place(
@@ -130,12 +130,12 @@
 
     def take_report(self, turn_id: str, report: wire.TurnReport, now_s: float) -> None:
         """A turn has ended."""
-        ended = Ended(turn_id, report.runner_id, report.event_gap_us / 1000, report.failed)
+        ended = EndedTurn(turn_id, report.runner_id, report.event_gap_us / 1000, report.failed)
         self.cluster_load.end(ended, now_s)
 
     def take_refusal(self, turn_id: str, now_s: float) -> None:
         """A turn that was placed was rejected after all."""
-        self.cluster_load.end(Ended(turn_id), now_s)
+        self.cluster_load.end(EndedTurn(turn_id), now_s)
 
     def _memory_tokens(self, service: str) -> int:
         document = self._catalog.document
@@ -148,17 +148,17 @@
             self.cluster_load.retain_only(self._catalog.runner_ids)
 
 
-def _read_demand(begin: wire.BeginTurn, wanted: wire.TurnDemand, ran_at: str) -> Demand:
+def _read_demand(begin: wire.BeginTurn, wanted: wire.TurnDemand, ran_at: str) -> TurnDemand:
     """Decode the wire's demand; its ``line`` is the id of the chain."""
-    return Demand(
+    return TurnDemand(
         turn_id=begin.turn_id,
         chain=wanted.line,
         parts=[PromptPart(part.part_id, part.tokens) for part in wanted.parts],
-        most_tokens=begin.most_tokens,
-        left_s=wanted.left_ms / 1000,
+        max_answer_tokens=begin.most_tokens,
+        time_left_s=wanted.left_ms / 1000,
         connected=frozenset(wanted.connected),
         avoided=frozenset(wanted.avoided),
         zone=wanted.zone,
-        ran_at=ran_at,
+        last_runner=ran_at,
         body_bytes=wanted.body_bytes,
     )
--- a/tests/test_distance_placement.py
+++ b/tests/test_distance_placement.py
@@ -18,7 +18,7 @@
     OUTAGE_GAIN_MS,
     SpilloverLimiter,
 )
-from bendshed.placement.turn_demand import Demand, Ended
+from bendshed.placement.turn_demand import EndedTurn, TurnDemand
 
 PLACES = Places({"a": "east", "b": "east", "x": "west", "y": "west"})
 SLOTS, CAPACITY, LONG_S = 6, 60_000, 100.0
@@ -52,13 +52,13 @@
             "turn_id": name,
             "chain": name,
             "parts": (PromptPart(name, 600),),
-            "most_tokens": 80,
-            "left_s": LONG_S,
+            "max_answer_tokens": 80,
+            "time_left_s": LONG_S,
             "zone": "a",
             "connected": set(ZONES),
             **changes,
         }
-        placed = self.load.place(Demand(**values), self.runners, CAPACITY, now_s)  # type: ignore[arg-type]
+        placed = self.load.place(TurnDemand(**values), self.runners, CAPACITY, now_s)  # type: ignore[arg-type]
         assert isinstance(placed, Placed)
         return placed
 
@@ -68,7 +68,7 @@
 
     def end_all(self, now_s: float) -> None:
         for number in range(1, self.num_turns + 1):
-            self.load.end(Ended(f"turn-{number}"), now_s)
+            self.load.end(EndedTurn(f"turn-{number}"), now_s)
 
     def test_while_the_own_region_has_places_nothing_leaves_it(self) -> None:
         self.assertEqual(self.num_redirected(4 * SLOTS), 0)
@@ -94,8 +94,8 @@
         for _ in range(3):
             self.place()
         east = tuple(set(ZONES) - WEST)
-        self.load.end(Ended("turn-1", "", failed=east), 0.0)
-        self.load.end(Ended("turn-2", "", failed=east), 0.0)
+        self.load.end(EndedTurn("turn-1", "", failed=east), 0.0)
+        self.load.end(EndedTurn("turn-2", "", failed=east), 0.0)
         self.assertEqual(self.num_redirected(3), 3)
 
     def test_a_new_connection_costs_the_way_twice(self) -> None:
@@ -112,8 +112,8 @@
         self.assertEqual(costs.cost_ms(Distance.SAME_ZONE, True, 10_000), 0.0)
         self.assertEqual(costs.cost_ms(Distance.SAME_REGION, True, 10_000), 1.0 + 20.0)
         self.assertEqual(costs.cost_ms(Distance.OTHER_REGION, True, 10_000), TRIP_MS + 70.0)
-        demand = Demand("t", "l", (), 100, LONG_S, body_bytes=5_000)
-        self.assertEqual(demand.moved_bytes, 5_800)
+        demand = TurnDemand("t", "l", (), 100, LONG_S, body_bytes=5_000)
+        self.assertEqual(demand.transferred_bytes, 5_800)
 
     def test_dear_bytes_keep_a_turn_in_its_zone(self) -> None:
         self.make(LinkTerms(zone_ms_per_kb=50.0))
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -11,7 +11,7 @@
 from bendshed.placement.prompt_cache import PromptCache
 from bendshed.placement.runner_health import HEALTH_HALF_LIFE_S, RunnerHealth, median_pace
 from bendshed.placement.running_turns import INITIAL_MEAN_TURN_MS
-from bendshed.placement.turn_demand import Demand, Ended
+from bendshed.placement.turn_demand import EndedTurn, TurnDemand
 
 SLOTS = 6
 CAPACITY = 60_000
@@ -27,11 +27,11 @@
         self.load = ClusterLoad(random.Random(1))
         self.num_turns = 0
 
-    def place(self, ran_at: str = "") -> str:
+    def place(self, last_runner: str = "") -> str:
         self.num_turns += 1
         name = f"turn-{self.num_turns}"
         parts = (PromptPart("shared", 500), PromptPart(name, 300))
-        demand = Demand(name, name, parts, 80, LONG_S, zone="z", ran_at=ran_at)
+        demand = TurnDemand(name, name, parts, 80, LONG_S, zone="z", last_runner=last_runner)
         pool = [runner("warm"), runner("cold")]
         placed = self.load.place(demand, pool, CAPACITY, 0.0, cold={"cold"})
         assert isinstance(placed, Placed)
@@ -44,7 +44,7 @@
         self.assertGreater(chosen.count("warm"), chosen.count("cold"))
 
     def test_first_turns_come_to_it_sooner_than_those_with_a_history(self) -> None:
-        before = [self.place(ran_at="warm") for _ in range(12)].count("warm")
+        before = [self.place(last_runner="warm") for _ in range(12)].count("warm")
         self.load = ClusterLoad(random.Random(1))
         self.assertLess([self.place() for _ in range(12)].count("warm"), before)
 
@@ -55,19 +55,19 @@
         self.runners = [runner(name) for name in "abcde"]
         self.num_turns = 0
 
-    def demand(self, line: str = "", tokens: int = 1_000, **changes: object) -> Demand:
+    def demand(self, line: str = "", tokens: int = 1_000, **changes: object) -> TurnDemand:
         self.num_turns += 1
         values: dict[str, object] = {
             "turn_id": f"turn-{self.num_turns}",
             "chain": line or f"line-{self.num_turns}",
             "parts": (PromptPart(line or f"line-{self.num_turns}", tokens),),
-            "most_tokens": 80,
-            "left_s": LONG_S,
+            "max_answer_tokens": 80,
+            "time_left_s": LONG_S,
             "zone": "z",
         }
-        return Demand(**{**values, **changes})  # type: ignore[arg-type]
+        return TurnDemand(**{**values, **changes})  # type: ignore[arg-type]
 
-    def place(self, demand: Demand, now_s: float = 0.0) -> Placed:
+    def place(self, demand: TurnDemand, now_s: float = 0.0) -> Placed:
         placed = self.load.place(demand, self.runners, CAPACITY, now_s)
         assert isinstance(placed, Placed)
         return placed
@@ -76,8 +76,10 @@
         loads = dict(self.load.own_loads())
         return loads[runner_id].num_running if runner_id in loads else 0
 
-    def end(self, demand: Demand, placed: Placed, now_s: float, gap_ms: float = 30.0) -> None:
-        self.load.end(Ended(demand.turn_id, placed.runner_id, gap_ms), now_s)
+    def end(
+        self, demand: TurnDemand, placed: Placed, now_s: float, event_gap_ms: float = 30.0
+    ) -> None:
+        self.load.end(EndedTurn(demand.turn_id, placed.runner_id, event_gap_ms), now_s)
 
     def test_turns_of_all_nodes_spread_evenly(self) -> None:
         for _ in range(20):
@@ -134,9 +136,9 @@
     def test_a_new_leader_sends_a_program_where_its_latest_turn_ran(self) -> None:
         for _ in range(12):
             self.place(self.demand())
-        known = self.place(self.demand("line", 8_000, ran_at="d"))
+        known = self.place(self.demand("line", 8_000, last_runner="d"))
         self.assertEqual((known.runner_id, known.cached_tokens), ("d", 8_000))
-        other = self.demand("line", 8_000, ran_at="b")
+        other = self.demand("line", 8_000, last_runner="b")
         self.assertEqual(self.place(other).runner_id, "d")
 
     def test_an_idle_connection_is_used_while_it_costs_little(self) -> None:
@@ -150,11 +152,11 @@
         first = self.demand()
         self.end(first, self.place(first), 0.0)
         for row in self.runners:
-            self.load.end(Ended("old", row.runner_id, 30.0), 0.0)
+            self.load.end(EndedTurn("old", row.runner_id, 30.0), 0.0)
         for _ in range(3):
-            self.load.end(Ended("old", "c", 150.0), 0.0)
+            self.load.end(EndedTurn("old", "c", 150.0), 0.0)
         for _ in range(15):
-            self.place(self.demand(left_s=1.0))
+            self.place(self.demand(time_left_s=1.0))
         self.assertEqual(self.num_at("c"), 0)
         for _ in range(10):
             self.place(self.demand(), 8 * HEALTH_HALF_LIFE_S)
@@ -163,9 +165,9 @@
     def test_when_all_others_are_full_a_slow_runner_is_used(self) -> None:
         self.place(self.demand())
         for row in self.runners:
-            self.load.end(Ended("old", row.runner_id, 30.0), 0.0)
+            self.load.end(EndedTurn("old", row.runner_id, 30.0), 0.0)
         for _ in range(3):
-            self.load.end(Ended("old", "c", 150.0), 0.0)
+            self.load.end(EndedTurn("old", "c", 150.0), 0.0)
         for _ in range(200):
             self.place(self.demand())
         self.assertGreater(self.num_at("c"), 0)
@@ -180,21 +182,21 @@
     def test_one_long_turn_among_others_that_end_is_no_slowness(self) -> None:
         long = self.place(self.demand())
         later_s = 20 * INITIAL_MEAN_TURN_MS / 1000
-        self.load.end(Ended("another", long.runner_id), later_s)
+        self.load.end(EndedTurn("another", long.runner_id), later_s)
         for _ in range(14):
             self.place(self.demand(), later_s)
         self.assertEqual(self.num_at(long.runner_id), 3)
 
     def test_a_failing_runner_is_left_for_a_while(self) -> None:
         self.place(self.demand())
-        self.load.end(Ended("turn-1", "", failed=("a",)), 0.0)
+        self.load.end(EndedTurn("turn-1", "", failed=("a",)), 0.0)
         for _ in range(12):
             self.place(self.demand())
         self.assertEqual(self.num_at("a"), 0)
         self.assertEqual(self.place(self.demand(avoided=set("bcde")), 30.0).runner_id, "a")
 
     def test_a_turn_counts_until_its_end_or_its_deadline(self) -> None:
-        first, second = self.demand(left_s=2.0), self.demand(left_s=4.0)
+        first, second = self.demand(time_left_s=2.0), self.demand(time_left_s=4.0)
         placed = self.place(first)
         self.place(second)
         self.end(first, placed, 0.2)
@@ -224,7 +226,7 @@
         placed = self.place(self.demand())
         self.load.retain_only([])
         self.assertEqual(self.load.num_running, 0)
-        self.load.end(Ended("turn-1", placed.runner_id, 30.0), 1.0)
+        self.load.end(EndedTurn("turn-1", placed.runner_id, 30.0), 1.0)
         self.assertEqual(self.load.place(self.demand(), [], CAPACITY, 1.0), NotPlaced())
 
     def test_a_failure_costs_more_than_any_wait_for_a_slot(self) -> None:
--- a/tests/test_peer_loads.py
+++ b/tests/test_peer_loads.py
@@ -13,7 +13,7 @@
     LoadSummary,
     PeerLoads,
 )
-from bendshed.placement.turn_demand import Demand
+from bendshed.placement.turn_demand import TurnDemand
 from bendshed.rehearsal.site.layout import TWO_REGIONS
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.sim_world import SiteWorld
@@ -49,7 +49,7 @@
         for full, free in (("a", "b"), ("b", "a")):
             load = ClusterLoad(random.Random(1))
             load.peer_loads.apply_report("x", 1, [(full, LoadSummary(4, 0))], 0.0)
-            demand = Demand("t", "line", (), most_tokens=10, left_s=3.0, zone="z")
+            demand = TurnDemand("t", "line", (), max_answer_tokens=10, time_left_s=3.0, zone="z")
             placed = load.place(demand, RUNNERS, 50_000, 0.0)
             assert isinstance(placed, Placed)
             self.assertEqual(placed.runner_id, free)
