--- a/src/bendshed/placement/cluster_load.py
+++ b/src/bendshed/placement/cluster_load.py
@@ -29,7 +29,7 @@
 """Runners whose costs one placement compares: bounds its processor time (227 to 296 microseconds
 for 24 runners). Of a larger pool it compares a sample of this size, and those that hold the prompt
 or have a connection."""
-EQUAL_MS = 1.0
+EQUAL_COST_MARGIN_MS = 1.0
 """Costs that exceed the least by no more than this, in milliseconds, count as equal: the zone and
 the chain's rank decide between them, so that a chain does not move for differences below noise."""
 
@@ -136,8 +136,8 @@
         pool = self._pool_times(runners, now_s)
         costs = self._costs(demand, candidates, paths, pool, cold)
         if paths.has_far:
-            costs = self._within_region(demand, candidates, paths, costs, now_s)
-        chosen, reason = _least(costs, candidates, demand)
+            costs = self._without_needless_redirect(demand, candidates, paths, costs, now_s)
+        chosen, reason = _choose_least_cost(costs, candidates, demand)
         kind = paths[candidates[chosen].zone].kind
         load = self._running.load_of(chosen)
         cached_tokens = load.cache.cached_tokens(demand.parts)
@@ -190,7 +190,7 @@
                 costs[runner_id] += cold_cost_ms(demand)
         return costs
 
-    def _within_region(
+    def _without_needless_redirect(
         self,
         demand: TurnDemand,
         candidates: Candidates,
@@ -199,15 +199,23 @@
         now_s: float,
     ) -> dict[str, float]:
         """Costs of the requesting node's region, unless the turn may be redirected: then of all."""
-        far = {n for n, r in candidates.items() if paths[r.zone].kind is Distance.OTHER_REGION}
-        near = {runner_id: cost for runner_id, cost in costs.items() if runner_id not in far}
-        if not near:
+        other_region_ids = {
+            n for n, r in candidates.items() if paths[r.zone].kind is Distance.OTHER_REGION
+        }
+        own_region_costs = {
+            runner_id: cost
+            for runner_id, cost in costs.items()
+            if runner_id not in other_region_ids
+        }
+        if not own_region_costs:
             return costs
-        gain_ms = min(near.values()) - min(costs[runner_id] for runner_id in far)
-        num_slots = sum(candidates[runner_id].slots for runner_id in far)
+        gain_ms = min(own_region_costs.values()) - min(
+            costs[runner_id] for runner_id in other_region_ids
+        )
+        num_slots = sum(candidates[runner_id].slots for runner_id in other_region_ids)
         if self._spill.may_redirect(gain_ms, num_slots, demand.transferred_bytes, now_s):
             return costs
-        return near
+        return own_region_costs
 
     def _record(self, demand: TurnDemand, placed: Placed, now_s: float) -> None:
         self._running.begin(demand, placed.runner_id, now_s)
@@ -225,12 +233,12 @@
         self._running.retain_only(listed)
 
 
-def _least(
+def _choose_least_cost(
     costs: Mapping[str, float], candidates: Candidates, demand: TurnDemand
 ) -> tuple[str, PlacementReason]:
     """The least cost; between equals the node's own zone first, then the chain's rank."""
-    most_ms = min(costs.values()) + EQUAL_MS
-    equal = [runner_id for runner_id, cost in costs.items() if cost <= most_ms]
+    max_equal_ms = min(costs.values()) + EQUAL_COST_MARGIN_MS
+    equal = [runner_id for runner_id, cost in costs.items() if cost <= max_equal_ms]
     in_zone = [runner_id for runner_id in equal if candidates[runner_id].zone == demand.zone]
     if len(equal) == 1:
         return equal[0], PlacementReason.LEAST_COST
