--- a/src/bendshed/placement/cluster_load.py
+++ b/src/bendshed/placement/cluster_load.py
@@ -136,7 +136,7 @@
         pool = self._pool_times(runners, now_s)
         costs = self._costs(demand, candidates, paths, pool, cold)
         if paths.has_far:
-            costs = self._without_needless_redirect(demand, candidates, paths, costs, now_s)
+            costs = self._limit_spillover(demand, candidates, paths, costs, now_s)
         chosen, reason = _choose_least_cost(costs, candidates, demand)
         kind = paths[candidates[chosen].zone].kind
         load = self._running.load_of(chosen)
@@ -190,7 +190,7 @@
                 costs[runner_id] += cold_cost_ms(demand)
         return costs
 
-    def _without_needless_redirect(
+    def _limit_spillover(
         self,
         demand: TurnDemand,
         candidates: Candidates,
@@ -199,23 +199,19 @@
         now_s: float,
     ) -> dict[str, float]:
         """Costs of the requesting node's region, unless the turn may be redirected: then of all."""
-        other_region_ids = {
+        remote_ids = {
             n for n, r in candidates.items() if paths[r.zone].kind is Distance.OTHER_REGION
         }
-        own_region_costs = {
-            runner_id: cost
-            for runner_id, cost in costs.items()
-            if runner_id not in other_region_ids
+        local_costs = {
+            runner_id: cost for runner_id, cost in costs.items() if runner_id not in remote_ids
         }
-        if not own_region_costs:
+        if not local_costs:
             return costs
-        gain_ms = min(own_region_costs.values()) - min(
-            costs[runner_id] for runner_id in other_region_ids
-        )
-        num_slots = sum(candidates[runner_id].slots for runner_id in other_region_ids)
+        gain_ms = min(local_costs.values()) - min(costs[runner_id] for runner_id in remote_ids)
+        num_slots = sum(candidates[runner_id].slots for runner_id in remote_ids)
         if self._spill.may_redirect(gain_ms, num_slots, demand.transferred_bytes, now_s):
             return costs
-        return own_region_costs
+        return local_costs
 
     def _record(self, demand: TurnDemand, placed: Placed, now_s: float) -> None:
         self._running.begin(demand, placed.runner_id, now_s)
