--- a/tests/test_load_board.py
+++ b/tests/test_cluster_load.py
@@ -14,15 +14,15 @@
 from bendshed.placement.turn_demand import EndedTurn, TurnDemand
 
 SLOTS = 6
-CAPACITY = 60_000
-LONG_S = 100.0
+CAPACITY_TOKENS = 60_000
+TIME_LEFT_S = 100.0
 
 
 def runner(name: str, zone: str = "z") -> ServiceRunner:
     return ServiceRunner(name, "s", Address("10.0.0.1", 80), zone, SLOTS, RunnerState.READY)
 
 
-class ColdCostTest(unittest.TestCase):
+class ColdRunnerCostTest(unittest.TestCase):
     def setUp(self) -> None:
         self.load = ClusterLoad(random.Random(1))
         self.num_turns = 0
@@ -31,22 +31,22 @@
         self.num_turns += 1
         name = f"turn-{self.num_turns}"
         parts = (PromptPart("shared", 500), PromptPart(name, 300))
-        demand = TurnDemand(name, name, parts, 80, LONG_S, zone="z", last_runner=last_runner)
+        demand = TurnDemand(name, name, parts, 80, TIME_LEFT_S, zone="z", last_runner=last_runner)
         pool = [runner("warm"), runner("cold")]
-        placed = self.load.place(demand, pool, CAPACITY, 0.0, cold={"cold"})
+        placed = self.load.place(demand, pool, CAPACITY_TOKENS, 0.0, cold={"cold"})
         assert isinstance(placed, Placed)
         return placed.runner_id
 
-    def test_a_cold_runner_is_filled_when_the_warm_one_is_loaded(self) -> None:
+    def test_a_cold_runner_gets_turns_when_the_warm_one_is_loaded(self) -> None:
         chosen = [self.place() for _ in range(20)]
         self.assertEqual(chosen[:5], ["warm"] * 5)
         self.assertIn("cold", chosen)
         self.assertGreater(chosen.count("warm"), chosen.count("cold"))
 
-    def test_first_turns_come_to_it_sooner_than_those_with_a_history(self) -> None:
-        before = [self.place(last_runner="warm") for _ in range(12)].count("warm")
+    def test_first_turns_use_a_cold_runner_sooner_than_later_turns(self) -> None:
+        num_warm = [self.place(last_runner="warm") for _ in range(12)].count("warm")
         self.load = ClusterLoad(random.Random(1))
-        self.assertLess([self.place() for _ in range(12)].count("warm"), before)
+        self.assertLess([self.place() for _ in range(12)].count("warm"), num_warm)
 
 
 class ClusterLoadTest(unittest.TestCase):
@@ -55,20 +55,20 @@
         self.runners = [runner(name) for name in "abcde"]
         self.num_turns = 0
 
-    def demand(self, line: str = "", tokens: int = 1_000, **changes: object) -> TurnDemand:
+    def demand(self, chain: str = "", tokens: int = 1_000, **changes: object) -> TurnDemand:
         self.num_turns += 1
         values: dict[str, object] = {
             "turn_id": f"turn-{self.num_turns}",
-            "chain": line or f"line-{self.num_turns}",
-            "parts": (PromptPart(line or f"line-{self.num_turns}", tokens),),
+            "chain": chain or f"line-{self.num_turns}",
+            "parts": (PromptPart(chain or f"line-{self.num_turns}", tokens),),
             "max_answer_tokens": 80,
-            "time_left_s": LONG_S,
+            "time_left_s": TIME_LEFT_S,
             "zone": "z",
         }
         return TurnDemand(**{**values, **changes})  # type: ignore[arg-type]
 
     def place(self, demand: TurnDemand, now_s: float = 0.0) -> Placed:
-        placed = self.load.place(demand, self.runners, CAPACITY, now_s)
+        placed = self.load.place(demand, self.runners, CAPACITY_TOKENS, now_s)
         assert isinstance(placed, Placed)
         return placed
 
@@ -87,57 +87,61 @@
         loads = [self.num_at(runner.runner_id) for runner in self.runners]
         self.assertEqual(loads, [4] * 5)
 
-    def test_a_line_stays_where_its_prompt_is_kept_while_there_is_a_slot(self) -> None:
+    def test_a_chain_stays_where_its_prompt_is_cached_while_a_slot_is_free(self) -> None:
         first = self.demand("line", 2_000)
-        home = self.place(first)
-        self.end(first, home, 0.3)
+        first_placed = self.place(first)
+        self.end(first, first_placed, 0.3)
         for _ in range(10):
             self.place(self.demand(), 0.4)
         second = self.place(self.demand("line", 2_500), 0.5)
-        self.assertEqual((second.runner_id, second.cached_tokens), (home.runner_id, 2_000))
+        self.assertEqual((second.runner_id, second.cached_tokens), (first_placed.runner_id, 2_000))
 
-    def test_a_line_stays_while_a_slot_is_free_though_others_run_nothing(self) -> None:
+    def test_a_chain_stays_while_a_slot_is_free_though_other_runners_are_idle(self) -> None:
         first = self.demand("line", 1_900)
-        home = self.place(first)
-        self.end(first, home, 0.3)
-        others = {row.runner_id for row in self.runners} - {home.runner_id}
+        first_placed = self.place(first)
+        self.end(first, first_placed, 0.3)
+        others = {listed.runner_id for listed in self.runners} - {first_placed.runner_id}
         for _ in range(SLOTS - 1):
             self.place(self.demand(avoided=others), 0.4)
-        self.assertEqual(self.place(self.demand("line", 2_200), 0.5).runner_id, home.runner_id)
+        self.assertEqual(
+            self.place(self.demand("line", 2_200), 0.5).runner_id, first_placed.runner_id
+        )
 
-    def test_a_child_stays_where_its_parents_prompt_is_kept(self) -> None:
+    def test_a_child_chain_runs_where_its_parents_prompt_is_cached(self) -> None:
         shared, parent = PromptPart("shared", 500), PromptPart("parent", 2_000)
         first = self.demand(parts=(shared, parent))
-        home = self.place(first)
-        self.end(first, home, 0.3)
+        first_placed = self.place(first)
+        self.end(first, first_placed, 0.3)
         for number in range(4):
             own = PromptPart(f"child-{number}", 300)
             child = self.demand(f"child-{number}", parts=(shared, parent, own))
-            self.assertEqual(self.place(child, 0.4).runner_id, home.runner_id)
+            self.assertEqual(self.place(child, 0.4).runner_id, first_placed.runner_id)
 
-    def test_a_first_part_that_many_share_is_read_by_runners_with_less_to_do(self) -> None:
+    def test_a_shared_first_part_does_not_concentrate_turns(self) -> None:
         shared = PromptPart("shared", 1_000)
         for number in range(20):
             self.place(self.demand(parts=(shared, PromptPart(f"own-{number}", 100))))
         loads = [self.num_at(runner.runner_id) for runner in self.runners]
         self.assertLessEqual(max(loads) - min(loads), 2)
 
-    def test_a_line_leaves_a_runner_whose_slots_are_taken(self) -> None:
+    def test_a_chain_leaves_a_runner_without_a_free_slot(self) -> None:
         first = self.demand("line", 1_000)
-        home = self.place(first)
-        self.end(first, home, 0.3)
+        first_placed = self.place(first)
+        self.end(first, first_placed, 0.3)
         others = self.runners
-        self.runners = [row for row in others if row.runner_id == home.runner_id]
+        self.runners = [listed for listed in others if listed.runner_id == first_placed.runner_id]
         for _ in range(SLOTS):
             self.place(self.demand(), 0.4)
         self.runners = others
-        self.assertNotEqual(self.place(self.demand("line", 1_000), 0.5).runner_id, home.runner_id)
+        self.assertNotEqual(
+            self.place(self.demand("line", 1_000), 0.5).runner_id, first_placed.runner_id
+        )
 
-    def test_a_new_leader_sends_a_program_where_its_latest_turn_ran(self) -> None:
+    def test_a_new_leader_places_a_program_where_its_latest_turn_ran(self) -> None:
         for _ in range(12):
             self.place(self.demand())
-        known = self.place(self.demand("line", 8_000, last_runner="d"))
-        self.assertEqual((known.runner_id, known.cached_tokens), ("d", 8_000))
+        placed = self.place(self.demand("line", 8_000, last_runner="d"))
+        self.assertEqual((placed.runner_id, placed.cached_tokens), ("d", 8_000))
         other = self.demand("line", 8_000, last_runner="b")
         self.assertEqual(self.place(other).runner_id, "d")
 
@@ -148,11 +152,11 @@
             self.place(self.demand(avoided=set("abde")))
         self.assertNotEqual(self.place(self.demand(connected={"c"})).runner_id, "c")
 
-    def test_a_slow_runner_gets_its_share_and_comes_back(self) -> None:
+    def test_a_slow_runner_gets_no_turns_until_its_slowness_decays(self) -> None:
         first = self.demand()
         self.end(first, self.place(first), 0.0)
-        for row in self.runners:
-            self.load.end(EndedTurn("old", row.runner_id, 30.0), 0.0)
+        for listed in self.runners:
+            self.load.end(EndedTurn("old", listed.runner_id, 30.0), 0.0)
         for _ in range(3):
             self.load.end(EndedTurn("old", "c", 150.0), 0.0)
         for _ in range(15):
@@ -162,10 +166,10 @@
             self.place(self.demand(), 8 * HEALTH_HALF_LIFE_S)
         self.assertGreater(self.num_at("c"), 0)
 
-    def test_when_all_others_are_full_a_slow_runner_is_used(self) -> None:
+    def test_a_slow_runner_is_used_when_all_others_are_full(self) -> None:
         self.place(self.demand())
-        for row in self.runners:
-            self.load.end(EndedTurn("old", row.runner_id, 30.0), 0.0)
+        for listed in self.runners:
+            self.load.end(EndedTurn("old", listed.runner_id, 30.0), 0.0)
         for _ in range(3):
             self.load.end(EndedTurn("old", "c", 150.0), 0.0)
         for _ in range(200):
@@ -173,21 +177,21 @@
         self.assertGreater(self.num_at("c"), 0)
 
     def test_a_runner_where_no_turn_ends_counts_as_slow(self) -> None:
-        stuck = self.place(self.demand())
+        placed = self.place(self.demand())
         later_s = 20 * INITIAL_MEAN_TURN_MS / 1000
         for _ in range(12):
             self.place(self.demand(), later_s)
-        self.assertEqual(self.num_at(stuck.runner_id), 1)
+        self.assertEqual(self.num_at(placed.runner_id), 1)
 
-    def test_one_long_turn_among_others_that_end_is_no_slowness(self) -> None:
-        long = self.place(self.demand())
+    def test_one_long_turn_does_not_mark_a_runner_as_slow(self) -> None:
+        placed = self.place(self.demand())
         later_s = 20 * INITIAL_MEAN_TURN_MS / 1000
-        self.load.end(EndedTurn("another", long.runner_id), later_s)
+        self.load.end(EndedTurn("another", placed.runner_id), later_s)
         for _ in range(14):
             self.place(self.demand(), later_s)
-        self.assertEqual(self.num_at(long.runner_id), 3)
+        self.assertEqual(self.num_at(placed.runner_id), 3)
 
-    def test_a_failing_runner_is_left_for_a_while(self) -> None:
+    def test_a_failing_runner_gets_no_turns_for_a_while(self) -> None:
         self.place(self.demand())
         self.load.end(EndedTurn("turn-1", "", failed=("a",)), 0.0)
         for _ in range(12):
@@ -205,36 +209,36 @@
         self.place(self.demand(), 4.1)
         self.assertEqual(self.load.num_running, 1)
 
-    def test_memory_that_would_overflow_is_avoided(self) -> None:
-        for row in self.runners[:-1]:
-            others = {other.runner_id for other in self.runners} - {row.runner_id}
+    def test_a_runner_whose_memory_would_overflow_is_avoided(self) -> None:
+        for listed in self.runners[:-1]:
+            others = {other.runner_id for other in self.runners} - {listed.runner_id}
             self.place(self.demand(tokens=45_000, avoided=others))
         self.assertEqual(self.place(self.demand(tokens=10_000)).runner_id, "e")
 
-    def test_a_large_pool_is_sampled_and_the_kept_prompt_is_still_found(self) -> None:
+    def test_a_large_pool_is_sampled_and_the_cached_prompt_is_still_found(self) -> None:
         self.runners = [runner(f"runner-{number}") for number in range(4 * MAX_CANDIDATES)]
         first = self.demand("line", 8_000)
-        home = self.place(first)
-        self.end(first, home, 0.3)
+        first_placed = self.place(first)
+        self.end(first, first_placed, 0.3)
         for _ in range(20):
             again = self.demand("line", 8_000)
             placed = self.place(again, 0.4)
             self.end(again, placed, 0.5)
-            self.assertEqual(placed.runner_id, home.runner_id)
+            self.assertEqual(placed.runner_id, first_placed.runner_id)
 
-    def test_runners_that_are_gone_are_forgotten_with_their_turns(self) -> None:
+    def test_unlisted_runners_are_forgotten_with_their_turns(self) -> None:
         placed = self.place(self.demand())
         self.load.retain_only([])
         self.assertEqual(self.load.num_running, 0)
         self.load.end(EndedTurn("turn-1", placed.runner_id, 30.0), 1.0)
-        self.assertEqual(self.load.place(self.demand(), [], CAPACITY, 1.0), NotPlaced())
+        self.assertEqual(self.load.place(self.demand(), [], CAPACITY_TOKENS, 1.0), NotPlaced())
 
     def test_a_failure_costs_more_than_any_wait_for_a_slot(self) -> None:
         self.assertGreater(FAILED_TURN_COST_MS, INITIAL_MEAN_TURN_MS)
 
 
 class PromptCacheTest(unittest.TestCase):
-    def test_a_part_helps_only_behind_parts_that_are_kept(self) -> None:
+    def test_a_part_counts_only_after_cached_parts(self) -> None:
         cache = PromptCache(10_000)
         cache.add_prompt([PromptPart("shared", 500), PromptPart("own", 300)])
         self.assertEqual(cache.cached_tokens([PromptPart("shared", 500)]), 500)
@@ -242,7 +246,7 @@
         grown = [PromptPart("shared", 500), PromptPart("own", 700), PromptPart("more", 5)]
         self.assertEqual(cache.cached_tokens(grown), 800)
 
-    def test_the_longest_unused_part_is_given_up(self) -> None:
+    def test_the_least_recently_used_part_is_evicted(self) -> None:
         cache = PromptCache(1_000)
         for name in "abc":
             cache.add_prompt([PromptPart(name, 400)])
@@ -252,19 +256,19 @@
 
 
 class RunnerHealthTest(unittest.TestCase):
-    def test_slowness_is_against_the_pool_and_fades(self) -> None:
+    def test_slowness_is_relative_to_the_pool_and_decays(self) -> None:
         pool = [RunnerHealth() for _ in range(4)]
         for health in pool:
             health.note_pace(30.0, 0.0)
         pool[0].note_pace(300.0, 0.0)
-        middle = median_pace(pool)
-        self.assertEqual([h.slowness_now(middle, 0.0, 1.6) for h in pool[1:]], [1.0] * 3)
-        now = pool[0].slowness_now(middle, 0.0, 1.6)
-        later = pool[0].slowness_now(middle, HEALTH_HALF_LIFE_S, 1.6)
-        self.assertGreater(now, 4.0)
-        self.assertAlmostEqual(later - 1.0, (now - 1.0) / 2)
-
-    def test_one_odd_request_is_no_slowness(self) -> None:
+        pool_pace = median_pace(pool)
+        self.assertEqual([h.slowness_now(pool_pace, 0.0, 1.6) for h in pool[1:]], [1.0] * 3)
+        slowness = pool[0].slowness_now(pool_pace, 0.0, 1.6)
+        later_slowness = pool[0].slowness_now(pool_pace, HEALTH_HALF_LIFE_S, 1.6)
+        self.assertGreater(slowness, 4.0)
+        self.assertAlmostEqual(later_slowness - 1.0, (slowness - 1.0) / 2)
+
+    def test_one_slow_request_does_not_mark_a_runner_as_slow(self) -> None:
         health = RunnerHealth()
         health.note_pace(30.0, 0.0)
         health.note_pace(60.0, 0.0)
