--- a/src/bendshed/placement/cluster_load.py
+++ b/src/bendshed/placement/cluster_load.py
@@ -88,7 +88,7 @@
     def __init__(self, rng: random.Random, distance: DistanceCosts | None = None) -> None:
         self.peer_loads = PeerLoads()
         self.distance = distance if distance is not None else DistanceCosts()
-        self._spill = SpilloverLimiter(self.distance.terms.region_mbit_per_s)
+        self._spill = SpilloverLimiter(self.distance.link.region_mbit_per_s)
         self._running = RunningTurns(self._spill)
         self._rng = rng
 
@@ -135,7 +135,7 @@
         paths = self.distance.paths(demand.zone, demand.transferred_bytes)
         pool = self._pool_times(runners, now_s)
         costs = self._costs(demand, candidates, paths, pool, cold)
-        if paths.has_far:
+        if paths.has_other_region:
             costs = self._limit_spillover(demand, candidates, paths, costs, now_s)
         chosen, reason = _choose_least_cost(costs, candidates, demand)
         kind = paths[candidates[chosen].zone].kind
--- a/src/bendshed/placement/distance.py
+++ b/src/bendshed/placement/distance.py
@@ -13,27 +13,27 @@
 
 from bendshed.model.places import Distance, Places
 
-UNMEASURED_MS: Mapping[Distance, float] = {
+DEFAULT_ROUND_TRIP_MS: Mapping[Distance, float] = {
     Distance.SAME_ZONE: 0.0,
     Distance.SAME_REGION: 2.0,
     Distance.OTHER_REGION: 60.0,
 }
 """Round trips, in milliseconds, assumed until one of the kind was measured, some seconds after a
 leader's start: zones of a region were measured 1 to 3 ms apart, regions 60 ms."""
-NEW_CONNECTION_MS = 30.0
+NEW_CONNECTION_COST_MS = 30.0
 """Cost, in milliseconds, of a new connection beside its round trip: the handshake occupies a slot,
 and operators pay for connections. At 60 ms bursts gathered on few runners, and a day's score of
 worth served lay at 0.60 to 0.73 in the burst."""
 ANSWER_TOKEN_BYTES = 8
 """Bytes of an answer for each token: four of text and four of the events' frames. Assumed, not
 measured; used only with prices of bytes and the link's rate, which are unset by default."""
-KILOBYTE = 1000.0
+BYTES_PER_KB = 1000.0
 
-Price = Annotated[float, Meta(ge=0)]
+NonNegative = Annotated[float, Meta(ge=0)]
 
 
 @dataclass(frozen=True, slots=True)
-class LinkTerms:
+class LinkSettings:
     """What no node can measure: the settings' section ``placement``.
 
     Attributes:
@@ -44,13 +44,13 @@
 
     """
 
-    zone_ms_per_kb: Price = 0.0
-    region_ms_per_kb: Price = 0.0
-    region_mbit_per_s: Price = 0.0
+    zone_ms_per_kb: NonNegative = 0.0
+    region_ms_per_kb: NonNegative = 0.0
+    region_mbit_per_s: NonNegative = 0.0
 
 
-LINK_TERMS = frozenset(field.name for field in fields(LinkTerms))
-LINK_TERMS_CURE = f"use one of {', '.join(sorted(LINK_TERMS))}"
+LINK_SETTING_NAMES = frozenset(field.name for field in fields(LinkSettings))
+LINK_SETTINGS_HINT = f"use one of {', '.join(sorted(LINK_SETTING_NAMES))}"
 
 
 @dataclass(slots=True)
@@ -58,13 +58,13 @@
     """Costs by the distance between a node and a runner.
 
     Attributes:
-        measured_ms: round trips by kind; kinds that were not measured are assumed.
+        measured_round_trip_ms: round trips by kind; kinds that were not measured are assumed.
 
     """
 
     places: Places = field(default_factory=Places)
-    terms: LinkTerms = field(default_factory=LinkTerms)
-    measured_ms: Mapping[Distance, float] = field(default_factory=dict)
+    link: LinkSettings = field(default_factory=LinkSettings)
+    measured_round_trip_ms: Mapping[Distance, float] = field(default_factory=dict)
 
     def paths(self, zone: str, num_bytes: int) -> "TurnPaths":
         """Costs of one turn by the runner's zone; see ``cost_ms``."""
@@ -79,22 +79,22 @@
             num_bytes: that the turn moves, there and back.
 
         """
-        trip_ms = self._trip_ms(kind)
-        cost_ms = trip_ms + self._price_ms(kind) * num_bytes / KILOBYTE
-        return cost_ms if is_connected else cost_ms + NEW_CONNECTION_MS + trip_ms
+        round_trip_ms = self._round_trip_ms(kind)
+        cost_ms = round_trip_ms + self._ms_per_kb(kind) * num_bytes / BYTES_PER_KB
+        return cost_ms if is_connected else cost_ms + NEW_CONNECTION_COST_MS + round_trip_ms
 
-    def _trip_ms(self, kind: Distance) -> float:
+    def _round_trip_ms(self, kind: Distance) -> float:
         """0 within a zone: every choice has that in common."""
         if kind is Distance.SAME_ZONE:
             return 0.0
-        return self.measured_ms.get(kind, UNMEASURED_MS[kind])
+        return self.measured_round_trip_ms.get(kind, DEFAULT_ROUND_TRIP_MS[kind])
 
-    def _price_ms(self, kind: Distance) -> float:
+    def _ms_per_kb(self, kind: Distance) -> float:
         """Of a kilobyte."""
         if kind is Distance.SAME_ZONE:
             return 0.0
-        is_far = kind is Distance.OTHER_REGION
-        return self.terms.zone_ms_per_kb + (self.terms.region_ms_per_kb if is_far else 0.0)
+        is_other_region = kind is Distance.OTHER_REGION
+        return self.link.zone_ms_per_kb + (self.link.region_ms_per_kb if is_other_region else 0.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,13 +103,13 @@
 
     Attributes:
         connected_ms: over an idle connection.
-        new_ms: over one that is opened first.
+        new_connection_ms: over one that is opened first.
 
     """
 
     kind: Distance
     connected_ms: float
-    new_ms: float
+    new_connection_ms: float
 
 
 class TurnPaths(dict[str, PathCost]):
@@ -125,11 +125,11 @@
         """Compute the costs of a zone at its first look-up."""
         kind = self._costs.places.distance(self._zone, zone)
         connected_ms = self._costs.cost_ms(kind, True, self._num_bytes)
-        new_ms = self._costs.cost_ms(kind, False, self._num_bytes)
-        self[zone] = PathCost(kind, connected_ms, new_ms)
+        new_connection_ms = self._costs.cost_ms(kind, False, self._num_bytes)
+        self[zone] = PathCost(kind, connected_ms, new_connection_ms)
         return self[zone]
 
     @property
-    def has_far(self) -> bool:
+    def has_other_region(self) -> bool:
         """Whether any zone that was looked up is in another region."""
         return any(path.kind is Distance.OTHER_REGION for path in self.values())
--- a/src/bendshed/placement/placement_cost.py
+++ b/src/bendshed/placement/placement_cost.py
@@ -103,7 +103,7 @@
     if runner.runner_id in demand.avoided:
         total_ms += FAILED_TURN_COST_MS
     is_connected = runner.runner_id in demand.connected
-    return total_ms + (path.connected_ms if is_connected else path.new_ms)
+    return total_ms + (path.connected_ms if is_connected else path.new_connection_ms)
 
 
 def cold_cost_ms(demand: TurnDemand) -> float:
--- a/src/bendshed/platform/settings.py
+++ b/src/bendshed/platform/settings.py
@@ -20,7 +20,7 @@
 from bendshed.model.address import Address
 from bendshed.model.places import Places
 from bendshed.placement.cold_runners import ColdTerms
-from bendshed.placement.distance import LINK_TERMS, LINK_TERMS_CURE, LinkTerms
+from bendshed.placement.distance import LINK_SETTING_NAMES, LINK_SETTINGS_HINT, LinkSettings
 from bendshed.placement.groups import TurnGroups
 from bendshed.platform.names import SETTINGS_VARIABLE
 from bendshed.policy import EVERYTHING, SWITCHES_CURE, Policy, unknown_switches
@@ -119,7 +119,7 @@
     bounds: Bounds = Bounds()
     platform: MetadataStore
     policy: Policy = EVERYTHING
-    placement: LinkTerms = LinkTerms()
+    placement: LinkSettings = LinkSettings()
 
     @property
     def places(self) -> Places:
@@ -187,8 +187,8 @@
     for name in unknown_switches(policy):
         raise SiteSettingsInvalid(f"{path}: policy.{name}: unknown: {SWITCHES_CURE}")
     placement = content.get("placement") or {}
-    for name in set(placement) - LINK_TERMS:
-        raise SiteSettingsInvalid(f"{path}: placement.{name}: unknown: {LINK_TERMS_CURE}")
+    for name in set(placement) - LINK_SETTING_NAMES:
+        raise SiteSettingsInvalid(f"{path}: placement.{name}: unknown: {LINK_SETTINGS_HINT}")
     return {**content["site"], "policy": policy, "placement": placement}
 
 
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -18,7 +18,7 @@
 from bendshed.paths.echo import Echo
 from bendshed.paths.neighbours import Neighbours
 from bendshed.placement.cold_runners import ColdTerms
-from bendshed.placement.distance import DistanceCosts, LinkTerms
+from bendshed.placement.distance import DistanceCosts, LinkSettings
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.placement.zones import ZoneUpdate
 from bendshed.policy import EVERYTHING, Policy
@@ -90,7 +90,7 @@
     quotas: QuotaTerms = EXACT
     groups: TurnGroups = ONE_GROUP
     cold: ColdTerms = field(default_factory=ColdTerms)
-    links: LinkTerms = field(default_factory=LinkTerms)
+    links: LinkSettings = field(default_factory=LinkSettings)
 
 
 class TurnLogNode:
@@ -215,7 +215,7 @@
             self.neighbours.put(replica.address.host, replica.zone)
 
     def _take_distances(self, measured_ms: dict[Distance, float]) -> None:
-        self._distance.measured_ms = measured_ms
+        self._distance.measured_round_trip_ms = measured_ms
 
     def _other_replicas(self) -> list[Address]:
         nodes = self.directory.by_name.values()
--- a/src/bendshed/turns/replica_gauges.py
+++ b/src/bendshed/turns/replica_gauges.py
@@ -105,7 +105,7 @@
 
     def _round_trip_ms(self, kind: Distance) -> float:
         """As measured; 0: no machine at this distance was."""
-        return self.distance.measured_ms.get(kind, 0.0)
+        return self.distance.measured_round_trip_ms.get(kind, 0.0)
 
 
 def _as_float(read: Callable[[], float]) -> float:
--- a/tests/test_distance_placement.py
+++ b/tests/test_distance_placement.py
@@ -8,7 +8,7 @@
 from bendshed.model.prompt import PromptPart
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.placement.cluster_load import ClusterLoad, Placed
-from bendshed.placement.distance import DistanceCosts, LinkTerms
+from bendshed.placement.distance import DistanceCosts, LinkSettings
 from bendshed.placement.node_choice import NodeView, choose_runner
 from bendshed.placement.runner_record import RunnerRecord
 from bendshed.placement.spill import (
@@ -36,11 +36,11 @@
     """Four runners in each of two regions, 60 ms of round trip apart; fronts of the east ask."""
 
     def setUp(self) -> None:
-        self.build_load(LinkTerms())
+        self.build_load(LinkSettings())
 
-    def build_load(self, terms: LinkTerms) -> None:
-        self.distance = DistanceCosts(PLACES, terms)
-        self.distance.measured_ms = {
+    def build_load(self, link: LinkSettings) -> None:
+        self.distance = DistanceCosts(PLACES, link)
+        self.distance.measured_round_trip_ms = {
             Distance.SAME_REGION: 1.0,
             Distance.OTHER_REGION: ROUND_TRIP_MS,
         }
@@ -113,8 +113,8 @@
             self.assertEqual(costs.cost_ms(kind, True, 0), round_trip_ms)
 
     def test_prices_of_bytes_count_the_body_and_the_answer(self) -> None:
-        terms = LinkTerms(zone_ms_per_kb=2.0, region_ms_per_kb=5.0)
-        costs = DistanceCosts(PLACES, terms, self.distance.measured_ms)
+        link = LinkSettings(zone_ms_per_kb=2.0, region_ms_per_kb=5.0)
+        costs = DistanceCosts(PLACES, link, self.distance.measured_round_trip_ms)
         self.assertEqual(costs.cost_ms(Distance.SAME_ZONE, True, 10_000), 0.0)
         self.assertEqual(costs.cost_ms(Distance.SAME_REGION, True, 10_000), 1.0 + 20.0)
         self.assertEqual(costs.cost_ms(Distance.OTHER_REGION, True, 10_000), ROUND_TRIP_MS + 70.0)
@@ -122,12 +122,12 @@
         self.assertEqual(demand.transferred_bytes, 5_800)
 
     def test_expensive_bytes_keep_turns_in_their_zone(self) -> None:
-        self.build_load(LinkTerms(zone_ms_per_kb=50.0))
+        self.build_load(LinkSettings(zone_ms_per_kb=50.0))
         zones = {ZONES[self.place(body_bytes=20_000).runner_id] for _ in range(4 * SLOTS)}
         self.assertEqual(zones, {"a"})
 
     def test_a_slow_link_bounds_redirected_turns(self) -> None:
-        self.build_load(LinkTerms(region_mbit_per_s=3.0))
+        self.build_load(LinkSettings(region_mbit_per_s=3.0))
         self.assertLessEqual(self.num_redirected(12 * SLOTS, body_bytes=50_000), 2)
 
 
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -13,7 +13,7 @@
 from bendshed.errors import ANSWERS, ErrorKind, Refusal, WasRun
 from bendshed.model.runner import RunnerState
 from bendshed.model.service_document import RouteKind
-from bendshed.placement.distance import LinkTerms
+from bendshed.placement.distance import LinkSettings
 from bendshed.platform import names
 from bendshed.platform.caller_protocol import PlatformCallerProtocol, status_of
 from bendshed.platform.main import main
@@ -100,7 +100,7 @@
     def test_what_no_node_can_measure_is_told_beside_the_platforms_fields(self) -> None:
         content = {"site": SETTINGS, "placement": {"region_ms_per_kb": 0.5}}
         settings = self.load(orjson.dumps(content).decode())
-        self.assertEqual(settings.placement, LinkTerms(region_ms_per_kb=0.5))  # type: ignore[attr-defined]
+        self.assertEqual(settings.placement, LinkSettings(region_ms_per_kb=0.5))  # type: ignore[attr-defined]
         cases: dict[str, object] = {
             "placement.region_price": {"region_price": 1},
             "placement.zone_ms_per_kb": {"zone_ms_per_kb": -1},
--- a/tests/test_regions_site.py
+++ b/tests/test_regions_site.py
@@ -91,7 +91,7 @@
         world.run_for(2 * ECHO_INTERVAL_S)
         stores = [store.replica for store in world.stores.values() if store.replica is not None]
         for replica in stores:
-            measured_ms = replica._distance.measured_ms
+            measured_ms = replica._distance.measured_round_trip_ms
             link_ms = 2000 * (BETWEEN_REGIONS_S + LATENCY_S)
             self.assertAlmostEqual(
                 measured_ms[Distance.OTHER_REGION],
