--- a/src/bendshed/catalog/state.py
+++ b/src/bendshed/catalog/state.py
@@ -100,9 +100,9 @@
     def ready_runners(self, service: str, regions: Collection[str] | None) -> list[ServiceRunner]:
         """Runners of a service that may get new work of some regions; ``None``: of any."""
         ready = self._ready.get(service, {}).values()
-        if self.filter.lets_all(regions):
+        if self.filter.allows_all(regions):
             return list(ready)
-        return [runner for runner in ready if self.filter.may_get(runner, regions)]
+        return [runner for runner in ready if self.filter.allows(runner, regions)]
 
     def take_document(self, document: ServiceDocument) -> bool:
         """Take a newer document; ``False``: it is not newer."""
--- a/src/bendshed/placement/eligibility.py
+++ b/src/bendshed/placement/eligibility.py
@@ -14,7 +14,7 @@
 from bendshed.model.runner import RunnerState
 from bendshed.placement.runner_record import RunnerRecord
 
-UNLISTED_VALID_S = 2.5
+UNLISTED_GRACE_S = 2.5
 """Time, in seconds, for which a runner that vanished from an untrusted list is a last resort.
 Bridges a restart of the registry: a live runner lists itself again within 2 s of that, and its
 entry takes up to 0.5 s to arrive."""
@@ -55,7 +55,7 @@
     zones: ClosedZones = field(default_factory=ClosedZones)
     places: Places = field(default_factory=Places)
 
-    def may_get(self, runner: Located, regions: Collection[str] | None = None) -> bool:
+    def allows(self, runner: Located, regions: Collection[str] | None = None) -> bool:
         """Whether a runner's place allows a request.
 
         Args:
@@ -68,37 +68,37 @@
             return False
         return self.places.is_within(runner.zone, regions)
 
-    def lets_all(self, regions: Collection[str] | None) -> bool:
+    def allows_all(self, regions: Collection[str] | None) -> bool:
         """Whether every place allows the request (the usual case), so no runner is checked."""
         return regions is None and not self.zones.closed
 
 
 def eligible_runners(
-    records: Iterable[RunnerRecord], places: RunnerFilter, regions: Collection[str] | None
+    records: Iterable[RunnerRecord], runner_filter: RunnerFilter, regions: Collection[str] | None
 ) -> list[RunnerRecord]:
     """The eligible runners of a service; if there are none, those that an untrusted list lost."""
-    allowed = _allowed(_ready(records), places, regions)
+    allowed = _allowed(_ready(records), runner_filter, regions)
     listed = [record for record in allowed if record.unlisted_at_s is None]
     return listed or allowed
 
 
 def are_all_excluded(
-    records: Iterable[RunnerRecord], places: RunnerFilter, regions: Collection[str] | None
+    records: Iterable[RunnerRecord], runner_filter: RunnerFilter, regions: Collection[str] | None
 ) -> bool:
     """Whether runners are ready, but each is in a closed zone or a region that is not allowed.
 
     A request is then refused at once: no wait for a runner would help.
     """
-    if places.lets_all(regions):
+    if runner_filter.allows_all(regions):
         return False
     ready = _ready(records)
-    return bool(ready) and not _allowed(ready, places, regions)
+    return bool(ready) and not _allowed(ready, runner_filter, regions)
 
 
 def is_outdated(record: RunnerRecord, now_s: float) -> bool:
     """Whether a runner vanished from the list too long ago to be a last resort."""
     unlisted_at_s = record.unlisted_at_s
-    return unlisted_at_s is not None and now_s - unlisted_at_s > UNLISTED_VALID_S
+    return unlisted_at_s is not None and now_s - unlisted_at_s > UNLISTED_GRACE_S
 
 
 def _ready(records: Iterable[RunnerRecord]) -> list[RunnerRecord]:
@@ -106,8 +106,8 @@
 
 
 def _allowed(
-    records: list[RunnerRecord], places: RunnerFilter, regions: Collection[str] | None
+    records: list[RunnerRecord], runner_filter: RunnerFilter, regions: Collection[str] | None
 ) -> list[RunnerRecord]:
-    if places.lets_all(regions):
+    if runner_filter.allows_all(regions):
         return records
-    return [record for record in records if places.may_get(record.listed, regions)]
+    return [record for record in records if runner_filter.allows(record.listed, regions)]
--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -248,7 +248,7 @@
         runner is valid, or the runner has just turned cold.
         """
         runner = choice.record.listed
-        if not self.ports.table.filter.may_get(runner, self.placement.regions):
+        if not self.ports.table.filter.allows(runner, self.placement.regions):
             connection.finish()
             self.ports.pool.release(runner.address, connection)
             self._say(
--- a/src/bendshed/services/runner_placement.py
+++ b/src/bendshed/services/runner_placement.py
@@ -137,7 +137,7 @@
         """Whether a runner may get the request now: in an open zone and an allowed region, and
         warm or permitted.
         """
-        if not self.ports.table.filter.may_get(record.listed, self.regions):
+        if not self.ports.table.filter.allows(record.listed, self.regions):
             return False
         return permit.is_valid(now_s) or not self.ports.table.cold.is_cold(record.listed.runner_id)
 
--- a/src/bendshed/services/runners.py
+++ b/src/bendshed/services/runners.py
@@ -86,7 +86,7 @@
             runner_id: which.
             now_s: loop time.
             trusted: the registry was well; otherwise the runner may still be there and is a last
-                resort for ``UNLISTED_VALID_S``.
+                resort for ``UNLISTED_GRACE_S``.
 
         """
         record = self.by_id.get(runner_id)
--- a/tests/site_zone_defects.py
+++ b/tests/site_zone_defects.py
@@ -124,6 +124,6 @@
     "nobody asks whether a zone is closed": Defect(
         Rule.CLOSED,
         a_zone_is_closed_and_opened,
-        patch(RunnerFilter, "may_get", lambda *_args: True),
+        patch(RunnerFilter, "allows", lambda *_args: True),
     ),
 }
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -10,7 +10,7 @@
 from bendshed.model.route_index import RouteIndex, choose_target
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.model.service_document import Route, RouteKind, ServiceDocument, WeightedService
-from bendshed.placement.eligibility import UNLISTED_VALID_S
+from bendshed.placement.eligibility import UNLISTED_GRACE_S
 from bendshed.placement.node_choice import (
     AFFINITY_MAX_EXTRA,
     SESSION_MAX_EXTRA,
@@ -93,7 +93,7 @@
         self.table.put(runner("b"))
         self.assertEqual(self.eligible(), ["b"])
         self.table.remove("b", 0.0, trusted=True)
-        self.assertEqual(self.eligible(UNLISTED_VALID_S + 1), [])
+        self.assertEqual(self.eligible(UNLISTED_GRACE_S + 1), [])
 
     def test_a_runner_that_does_not_come_back_with_the_store_is_gone(self) -> None:
         """Entries that lapsed with the store are back 2 s after its return, or gone."""
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -115,7 +115,7 @@
         }
         for (zone, regions), may in cases.items():
             with self.subTest(zone=zone, regions=regions):
-                self.assertIs(self.filter.may_get(runner("r", zone), regions), may)
+                self.assertIs(self.filter.allows(runner("r", zone), regions), may)
 
     def test_a_nodes_own_choice_and_the_leaders_list_ask_it(self) -> None:
         table, catalog = RunnerTable(filter=self.filter), Catalog(filter=self.filter)
