--- a/src/bendshed/catalog/codec.py
+++ b/src/bendshed/catalog/codec.py
@@ -124,8 +124,8 @@
 
 def add_zones(reply: wire.CatalogReply, update: ZoneUpdate, known_at: int) -> None:
     """Add closed zones; which they are only for a node that knows an older revision."""
-    reply.zones_at = update.zones.at
-    if update.zones.at <= known_at:
+    reply.zones_at = update.zones.revision
+    if update.zones.revision <= known_at:
         return
     reply.closed_zones.extend(sorted(update.zones.closed))
     for zone, ago_s in sorted(update.reopened_ago_s.items()):
--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -107,7 +107,7 @@
         self.catalog.note_unsaved()
         self.server.start(self._around.transport)
         self._exchange.start()
-        catalog, zones_at = self.catalog.catalog, self.catalog.zones.record.zones.at
+        catalog, zones_at = self.catalog.catalog, self.catalog.zones.record.zones.revision
         log.say(
             "loaded at start",
             version=catalog.version,
--- a/src/bendshed/catalog/update_intake.py
+++ b/src/bendshed/catalog/update_intake.py
@@ -86,7 +86,7 @@
         A node that has a newer revision from elsewhere knows all that the machine does, so the
         machine's age holds for it too: an update holds all closed zones.
         """
-        zones_at = update.zones.zones.at
+        zones_at = update.zones.zones.revision
         if zones_at > self.zones_at:
             self._taker.take_zones(update.zones)
             self.zones_at = zones_at
--- a/src/bendshed/catalog/zones.py
+++ b/src/bendshed/catalog/zones.py
@@ -51,7 +51,7 @@
         since_s = dict(self.record.closed_since_s)
         now_s = self._now_s()
         changes = self.record.take(update, now_s)
-        revision = self.record.zones.at
+        revision = self.record.zones.revision
         for zone in changes.closed:
             log.say("zone closed", zone=zone, revision=revision)
         for row in changes.opened:
@@ -66,7 +66,7 @@
             )
             for on_opened in self.on_zone_opened:
                 on_opened(row.zone, row.at_s)
-        return bool(changes) or (before.at == 0 and revision > 0)
+        return bool(changes) or (before.revision == 0 and revision > 0)
 
     def confirm(self, age_s: float) -> None:
         """The registry confirmed what is known so long ago."""
--- a/src/bendshed/placement/eligibility.py
+++ b/src/bendshed/placement/eligibility.py
@@ -33,12 +33,12 @@
     """Zones that operators closed, as of a revision of the registry.
 
     Attributes:
-        at: revision up to which this is known; 0: nothing is known.
+        revision: revision up to which this is known; 0: nothing is known.
         closed: names of the zones.
 
     """
 
-    at: int = 0
+    revision: int = 0
     closed: frozenset[str] = frozenset()
 
 
--- a/src/bendshed/placement/zones.py
+++ b/src/bendshed/placement/zones.py
@@ -90,12 +90,12 @@
     def take(self, update: ZoneUpdate, now_s: float) -> ZoneChanges:
         """Take an update; one older than what is known changes nothing."""
         latest = update.zones
-        if latest.at < self.zones.at or latest.at == 0:
+        if latest.revision < self.zones.revision or latest.revision == 0:
             return ZoneChanges()
         closed = tuple(sorted(latest.closed - self.zones.closed))
         opened = self._opened_by(update, now_s)
         if latest.closed != self.zones.closed or not self.changed_at:
-            self.changed_at = latest.at
+            self.changed_at = latest.revision
         self.zones = latest
         for zone in closed:
             self.closed_since_s[zone] = now_s
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -291,7 +291,7 @@
         if self.registry.answer_loss:
             machine.front.take_document(self.older_document)
         machine.front.take_document(self.document)
-        machine.front.take_zones(self._zone_update(machine.front.zones.record.zones.at))
+        machine.front.take_zones(self._zone_update(machine.front.zones.record.zones.revision))
         machine.front.list_runners(list(self.listed.values()), trusted=True)
         self._note_runners()
         machine.front.catalog.note_registry(self._revision)
@@ -333,7 +333,7 @@
         catalog.confirm(CatalogPart.DOCUMENT, self._revision)
         catalog.confirm(CatalogPart.RUNNERS, self._revision)
         machine.replica.take_zones(
-            self.zones.update_since(catalog.zones.record.zones.at, self._revision)
+            self.zones.update_since(catalog.zones.record.zones.revision, self._revision)
         )
         machine.replica.follower.note_known(self.document.version, self._revision)
         for node in self.registry.announced.values():
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -308,7 +308,7 @@
         """
         self.zones.take(update)
         self._table.filter = self.zones.filter
-        self.catalog.note_zones(update.zones.at)
+        self.catalog.note_zones(update.zones.revision)
 
     def confirm_zones(self, age_s: float) -> None:
         """The registry confirmed everything so long ago, closed zones perhaps somewhat earlier."""
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -240,8 +240,8 @@
     def take_zones(self, update: ZoneUpdate) -> None:
         """The registry itself said which zones are closed."""
         self.catalog.take_zones(update)
-        self.catalog.confirm(CatalogPart.ZONES, update.zones.at)
-        self.follower.note_zones(update.zones.at)
+        self.catalog.confirm(CatalogPart.ZONES, update.zones.revision)
+        self.follower.note_zones(update.zones.revision)
 
     def start(self) -> None:
         """Start all parts."""
--- a/tests/test_follower_ways.py
+++ b/tests/test_follower_ways.py
@@ -43,7 +43,7 @@
         self.catalog.list_runners(runners, at, is_trusted)
 
     def take_zones(self, word: ZoneUpdate) -> None:
-        self.zones_taken.append(word.zones.at)
+        self.zones_taken.append(word.zones.revision)
 
     def confirm_all(self, age_s: float, runners_at: int) -> None:
         pass
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -71,7 +71,7 @@
 
     def test_the_revision_rises_without_a_change(self) -> None:
         self.assertFalse(self.record.take(update(8, "a"), 11.0))
-        self.assertEqual((self.record.zones.at, self.record.changed_at), (8, 5))
+        self.assertEqual((self.record.zones.revision, self.record.changed_at), (8, 5))
 
     def test_a_zone_that_was_closed_and_opened_while_this_node_slept(self) -> None:
         changes = self.record.take(update(9, "a", b=2.5), 20.0)
@@ -220,7 +220,7 @@
     def test_objects_come_and_go(self) -> None:
         self.list(3, "a")
         self.watch(7, ("b", 6, False))
-        self.assertEqual((self.closed, self.record.zones.at), ({"a", "b"}, 7))
+        self.assertEqual((self.closed, self.record.zones.revision), ({"a", "b"}, 7))
         self.watch(9, ("a", 3, True))
         self.assertEqual((self.closed, self.record.opened_at_s), ({"b"}, {"a": 30.0}))
 
@@ -248,7 +248,7 @@
         self.watch(6, ("a", 5, False), ("a", 5, True))
         self.assertEqual(self.closed, {"a"})
         self.watch(12, ("a", 9, False))
-        self.assertEqual((self.closed, self.record.zones.at), ({"a"}, 12))
+        self.assertEqual((self.closed, self.record.zones.revision), ({"a"}, 12))
 
 
 class TimesTest(unittest.TestCase):
