--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -147,7 +147,7 @@
             self.catalog.catalog,
             tuple(self._around.directory.by_name.values()),
             self._exchange.all_fronts(),
-            self.catalog.zones.record.update(asyncio.get_running_loop().time()),
+            self.catalog.zones.record.make_update(asyncio.get_running_loop().time()),
             tuple(sorted(self._around.directory.wiped)),
             tuple(sorted(self._around.directory.proven_lost)),
         )
--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -61,7 +61,7 @@
         """Whether a node must not wait for its reply."""
         catalog, zones = self._catalog.catalog, self._catalog.zones.record
         is_newer = catalog.version > request.document_version
-        is_newer = is_newer or zones.changed_at > request.zones_at
+        is_newer = is_newer or zones.changed_revision > request.zones_at
         if is_newer or self._is_lost_for(request) or self._has_other_directory(request):
             return True
         if request.runners_at > catalog.runners_at:
@@ -75,7 +75,7 @@
     def _reply(self, request: ReadRequest) -> wire.CatalogReply:
         reply = write_reply(self._catalog.catalog, request.runners_at, request.document_version)
         now_s = asyncio.get_running_loop().time()
-        add_zones(reply, self._catalog.zones.record.update(now_s), request.zones_at)
+        add_zones(reply, self._catalog.zones.record.make_update(now_s), request.zones_at)
         reply.age_ms = self._catalog.confirmations.age_ms()
         reply.num_askers = max(self._demand.num_relying, self._upstream.num_relying_across_regions)
         reply.is_lost = self._is_lost_for(request)
--- a/src/bendshed/catalog/zones.py
+++ b/src/bendshed/catalog/zones.py
@@ -50,7 +50,7 @@
         before = self.record.zones
         since_s = dict(self.record.closed_since_s)
         now_s = self._now_s()
-        changes = self.record.take(update, now_s)
+        changes = self.record.apply(update, now_s)
         revision = self.record.zones.revision
         for zone in changes.closed:
             log.say("zone closed", zone=zone, revision=revision)
--- a/src/bendshed/placement/zones.py
+++ b/src/bendshed/placement/zones.py
@@ -76,33 +76,33 @@
 
     Attributes:
         zones: the newest update.
-        changed_at: revision of the update that last changed which zones are closed.
+        changed_revision: revision of the update that last changed which zones are closed.
         closed_since_s: steady time at which this node learned of each closing.
         opened_at_s: steady time of openings, for ``REOPENED_KNOWN_S``.
 
     """
 
     zones: ClosedZones = field(default_factory=ClosedZones)
-    changed_at: int = 0
+    changed_revision: int = 0
     closed_since_s: dict[str, float] = field(default_factory=dict)
     opened_at_s: dict[str, float] = field(default_factory=dict)
 
-    def take(self, update: ZoneUpdate, now_s: float) -> ZoneChanges:
+    def apply(self, update: ZoneUpdate, now_s: float) -> ZoneChanges:
         """Take an update; one older than what is known changes nothing."""
         latest = update.zones
         if latest.revision < self.zones.revision or latest.revision == 0:
             return ZoneChanges()
         closed = tuple(sorted(latest.closed - self.zones.closed))
         opened = self._opened_by(update, now_s)
-        if latest.closed != self.zones.closed or not self.changed_at:
-            self.changed_at = latest.revision
+        if latest.closed != self.zones.closed or not self.changed_revision:
+            self.changed_revision = latest.revision
         self.zones = latest
         for zone in closed:
             self.closed_since_s[zone] = now_s
             self.opened_at_s.pop(zone, None)
-        for row in opened:
-            self.closed_since_s.pop(row.zone, None)
-            self.opened_at_s[row.zone] = row.at_s
+        for opening in opened:
+            self.closed_since_s.pop(opening.zone, None)
+            self.opened_at_s[opening.zone] = opening.at_s
         return ZoneChanges(closed, opened)
 
     def _opened_by(self, update: ZoneUpdate, now_s: float) -> tuple[OpenedZone, ...]:
@@ -118,8 +118,8 @@
         return tuple(OpenedZone(zone, at_s) for zone, at_s in sorted(opened.items()))
 
     def _is_new_opening(self, zone: str, at_s: float) -> bool:
-        known_s = self.opened_at_s.get(zone)
-        return known_s is None or at_s > known_s + SAME_OPENING_S
+        last_opened_s = self.opened_at_s.get(zone)
+        return last_opened_s is None or at_s > last_opened_s + SAME_OPENING_S
 
     def forget_old(self, now_s: float) -> bool:
         """Forget old openings; ``False``: none was old."""
@@ -128,7 +128,7 @@
             del self.opened_at_s[zone]
         return bool(old)
 
-    def update(self, now_s: float) -> ZoneUpdate:
+    def make_update(self, now_s: float) -> ZoneUpdate:
         """What this node reports to others."""
         reopened = {
             zone: max(0.0, now_s - at_s)
--- a/tests/site_zone_defects.py
+++ b/tests/site_zone_defects.py
@@ -95,7 +95,7 @@
     )
 
 
-_REAL_TAKE = ZoneRecord.take
+_REAL_TAKE = ZoneRecord.apply
 
 
 def _take_any_word(record: ZoneRecord, word: ZoneUpdate, now_s: float) -> ZoneChanges:
@@ -106,7 +106,7 @@
 
 
 def _listen_to_older_words() -> contextlib.AbstractContextManager[object]:
-    return mock.patch.object(ZoneRecord, "take", _take_any_word)
+    return mock.patch.object(ZoneRecord, "apply", _take_any_word)
 
 
 ZONE_DEFECTS: dict[str, Defect] = {
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -55,43 +55,43 @@
 class ZoneRecordTest(unittest.TestCase):
     def setUp(self) -> None:
         self.record = ZoneRecord()
-        self.record.take(update(5, "a"), 10.0)
+        self.record.apply(update(5, "a"), 10.0)
 
     def test_a_zone_is_closed_and_opened(self) -> None:
         self.assertEqual(self.record.closed_since_s, {"a": 10.0})
-        changes = self.record.take(update(9, "b"), 14.0)
+        changes = self.record.apply(update(9, "b"), 14.0)
         self.assertEqual(changes.closed, ("b",))
         self.assertEqual(changes.opened, (OpenedZone("a", 14.0),))
         self.assertEqual(self.record.closed_since_s, {"b": 14.0})
 
     def test_an_older_word_changes_nothing(self) -> None:
         for old in (update(4), update(4, "b"), update(0), update(4, a=0.1)):
-            self.assertFalse(self.record.take(old, 11.0))
+            self.assertFalse(self.record.apply(old, 11.0))
         self.assertEqual(self.record.zones, ClosedZones(5, frozenset("a")))
 
     def test_the_revision_rises_without_a_change(self) -> None:
-        self.assertFalse(self.record.take(update(8, "a"), 11.0))
-        self.assertEqual((self.record.zones.revision, self.record.changed_at), (8, 5))
+        self.assertFalse(self.record.apply(update(8, "a"), 11.0))
+        self.assertEqual((self.record.zones.revision, self.record.changed_revision), (8, 5))
 
     def test_a_zone_that_was_closed_and_opened_while_this_node_slept(self) -> None:
-        changes = self.record.take(update(9, "a", b=2.5), 20.0)
+        changes = self.record.apply(update(9, "a", b=2.5), 20.0)
         self.assertEqual(changes.opened, (OpenedZone("b", 17.5),))
 
     def test_an_opening_that_is_told_again_is_none(self) -> None:
-        self.record.take(update(9, b=2.5), 20.0)
-        self.assertFalse(self.record.take(update(10, b=4.1), 21.5))
-        self.assertTrue(self.record.take(update(12, b=0.2), 25.0))
+        self.record.apply(update(9, b=2.5), 20.0)
+        self.assertFalse(self.record.apply(update(10, b=4.1), 21.5))
+        self.assertTrue(self.record.apply(update(12, b=0.2), 25.0))
 
     def test_a_zone_that_is_closed_again_is_not_open(self) -> None:
-        self.assertEqual(self.record.take(update(9, "a", a=1.0), 20.0).opened, ())
+        self.assertEqual(self.record.apply(update(9, "a", a=1.0), 20.0).opened, ())
 
     def test_a_known_time_of_opening_counts(self) -> None:
-        self.assertEqual(self.record.take(update(9, a=3.0), 20.0).opened, (OpenedZone("a", 17.0),))
+        self.assertEqual(self.record.apply(update(9, a=3.0), 20.0).opened, (OpenedZone("a", 17.0),))
 
     def test_telling_of_an_opening_ends(self) -> None:
-        self.record.take(update(9), 20.0)
-        self.assertEqual(self.record.update(23.0).reopened_ago_s, {"a": 3.0})
-        self.assertEqual(self.record.update(20.5 + REOPENED_REPORTED_S).reopened_ago_s, {})
+        self.record.apply(update(9), 20.0)
+        self.assertEqual(self.record.make_update(23.0).reopened_ago_s, {"a": 3.0})
+        self.assertEqual(self.record.make_update(20.5 + REOPENED_REPORTED_S).reopened_ago_s, {})
         self.assertFalse(self.record.forget_old(20.5 + REOPENED_REPORTED_S))
         self.assertTrue(self.record.forget_old(20.5 + REOPENED_KNOWN_S))
         self.assertEqual(self.record.opened_at_s, {})
@@ -201,7 +201,7 @@
         self.handler = KindHandler.of_names(self.take)
 
     def take(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self.record.take(update_of_listing(names, at, gone), 30.0)
+        self.record.apply(update_of_listing(names, at, gone), 30.0)
 
     def list(self, at: int, *names: str) -> None:
         self.handler.on_list(ObjectList([StoredObject(name, at, {}, None) for name in names], at))
@@ -244,7 +244,7 @@
     def test_a_watch_that_others_overtook_does_not_go_back(self) -> None:
         """Others told revision 10 meanwhile; the own watch still tells what led there."""
         self.list(3)
-        self.record.take(update(10, "a"), 30.0)
+        self.record.apply(update(10, "a"), 30.0)
         self.watch(6, ("a", 5, False), ("a", 5, True))
         self.assertEqual(self.closed, {"a"})
         self.watch(12, ("a", 9, False))
