--- a/src/bendshed/admission/cold_permits.py
+++ b/src/bendshed/admission/cold_permits.py
@@ -25,7 +25,7 @@
 from dataclasses import dataclass, field
 
 from bendshed.admission.sliding_window import SPAN_MS, SlidingCount
-from bendshed.placement.cold_runners import ColdTerms
+from bendshed.placement.cold_runners import ColdRateLimit
 
 PERMIT_VALID_S = 0.25
 """Time, in seconds, from the request for a permit to its expiry: a preview's reply takes up to
@@ -99,7 +99,7 @@
 
     """
 
-    terms: ColdTerms = field(default_factory=ColdTerms)
+    terms: ColdRateLimit = field(default_factory=ColdRateLimit)
     num_leaders: int = 1
     touch: LeaderTouch = field(default_factory=LeaderTouch)
     _granted: dict[str, SlidingCount] = field(default_factory=dict)
@@ -107,7 +107,7 @@
     def most(self, cold_per_s: float, is_new_program: bool, now_s: float) -> int:
         """Most permits for one runner within a window; fewer for requests of new programs."""
         share = self.touch.share(now_s) / self.num_leaders
-        most = int(share * self.terms.most_per_s(cold_per_s))
+        most = int(share * self.terms.max_per_s(cold_per_s))
         if not is_new_program or not most:
             return most
         return max(1, int(NEW_PROGRAM_SHARE * most))
--- a/src/bendshed/placement/cold_runners.py
+++ b/src/bendshed/placement/cold_runners.py
@@ -20,24 +20,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdTerms:
+class ColdRateLimit:
     """The bound on requests to a cold runner.
 
-    Within any second all nodes together may dispatch its service's rate times ``over`` plus
+    Within any second all nodes together may dispatch its service's rate times ``factor`` plus
     ``slack`` requests to it.
 
     Attributes:
-        over: factor on the rate of the configuration; at least 1 in practice.
+        factor: factor on the rate of the configuration; at least 1 in practice.
         slack: requests on top.
 
     """
 
-    over: float = 1.0
+    factor: float = 1.0
     slack: float = 0.0
 
-    def most_per_s(self, cold_per_s: float) -> float:
+    def max_per_s(self, cold_per_s: float) -> float:
         """Requests that a cold runner may get within any second."""
-        return cold_per_s * self.over + self.slack
+        return cold_per_s * self.factor + self.slack
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/bendshed/platform/settings.py
+++ b/src/bendshed/platform/settings.py
@@ -19,7 +19,7 @@
 from bendshed.catalog.times import CatalogTimes
 from bendshed.model.address import Address
 from bendshed.model.places import Places
-from bendshed.placement.cold_runners import ColdTerms
+from bendshed.placement.cold_runners import ColdRateLimit
 from bendshed.placement.distance import LINK_SETTING_NAMES, LINK_SETTINGS_HINT, LinkSettings
 from bendshed.placement.groups import TurnGroups
 from bendshed.platform.names import SETTINGS_VARIABLE
@@ -80,9 +80,9 @@
     evacMs: Milliseconds | None = None  # noqa: N815
 
     @property
-    def cold_terms(self) -> ColdTerms:
+    def cold_terms(self) -> ColdRateLimit:
         """How exact the rate of cold runners must be."""
-        return ColdTerms(self.coldOver, self.coldSlack)
+        return ColdRateLimit(self.coldOver, self.coldSlack)
 
     @property
     def zone_close_s(self) -> float | None:
--- a/src/bendshed/rehearsal/site/cold.py
+++ b/src/bendshed/rehearsal/site/cold.py
@@ -3,12 +3,12 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from bendshed.placement.cold_runners import ColdTerms
+from bendshed.placement.cold_runners import ColdRateLimit
 
-COLD_TERMS = ColdTerms(over=1.5, slack=5.0)
+COLD_TERMS = ColdRateLimit(factor=1.5, slack=5.0)
 COLD_PER_S = 4.0
 COLD_START_S = 2.0
-MOST_IN_A_SECOND = COLD_TERMS.most_per_s(COLD_PER_S)
+MOST_IN_A_SECOND = COLD_TERMS.max_per_s(COLD_PER_S)
 SECOND_S = 1.0
 
 
--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -15,7 +15,7 @@
 from bendshed.identifiers import rendezvous_rank
 from bendshed.logs import PartLog
 from bendshed.model.runner import ServiceRunner
-from bendshed.placement.cold_runners import ColdTerms
+from bendshed.placement.cold_runners import ColdRateLimit
 from bendshed.turns.metrics import ColdEnd, TurnLogMetrics
 
 PERMIT_MS = int(1000 * PERMIT_VALID_S)
@@ -95,7 +95,7 @@
     """
 
     tracker: ColdRunnerTracker
-    terms: ColdTerms
+    terms: ColdRateLimit
     metrics: TurnLogMetrics
     num_leaders: int = 1
     grants: ColdPermitCounts = field(init=False)
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -17,7 +17,7 @@
 from bendshed.model.places import Distance, Places
 from bendshed.paths.echo import Echo
 from bendshed.paths.neighbours import Neighbours
-from bendshed.placement.cold_runners import ColdTerms
+from bendshed.placement.cold_runners import ColdRateLimit
 from bendshed.placement.distance import DistanceCosts, LinkSettings
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.placement.zones import ZoneUpdate
@@ -89,7 +89,7 @@
     policy: Policy = EVERYTHING
     quotas: QuotaTerms = EXACT
     groups: TurnGroups = ONE_GROUP
-    cold: ColdTerms = field(default_factory=ColdTerms)
+    cold: ColdRateLimit = field(default_factory=ColdRateLimit)
     links: LinkSettings = field(default_factory=LinkSettings)
 
 
--- a/tests/test_cold_runners.py
+++ b/tests/test_cold_runners.py
@@ -19,10 +19,10 @@
 from bendshed.model.address import Address
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.model.service_document import Service
-from bendshed.placement.cold_runners import MAX_GONE, ColdRunners, ColdTerms
+from bendshed.placement.cold_runners import MAX_GONE, ColdRateLimit, ColdRunners
 
 START_S = 8.0
-TERMS = ColdTerms(over=1.5, slack=5)
+TERMS = ColdRateLimit(factor=1.5, slack=5)
 COLD_PER_S = 25.0
 BOUND = 42.5
 SERVICES = {
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -23,7 +23,7 @@
 from bendshed.model.principal import Principal
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.model.service_document import Route, RouteKind, Service, ServiceDocument
-from bendshed.placement.cold_runners import ColdTerms
+from bendshed.placement.cold_runners import ColdRateLimit
 from bendshed.ports.http_messages import ClientRequest, ConnectFailed, ResponseHead
 from bendshed.ports.runner import RunnerDispatch, RunnerProtocol, ServiceRequest, Verdict
 from bendshed.ports.runner_connections import RunnerConnection, RunnerConnections
@@ -49,7 +49,7 @@
 DOCUMENT = ServiceDocument(
     1, (), {"s": Service("s", cold_per_s=25.0, cold_start_ms=START_MS), "free": Service("free")}
 )
-TERMS = ColdTerms(over=1.5, slack=5.0)
+TERMS = ColdRateLimit(factor=1.5, slack=5.0)
 ESTABLISHED, ESTABLISHED_NEW = 21, 16
 ROUTE = Route("r", "h", "/", RouteKind.NON_IDEMPOTENT, 5_000, 200, 1, (), max_attempts=2)
 
--- a/tests/test_zone_ways.py
+++ b/tests/test_zone_ways.py
@@ -24,7 +24,7 @@
     Tenant,
     WeightedService,
 )
-from bendshed.placement.cold_runners import ColdTerms
+from bendshed.placement.cold_runners import ColdRateLimit
 from bendshed.placement.zones import ClosedZones, RunnerFilter
 from bendshed.ports.http_messages import (
     ClientRequest,
@@ -325,7 +325,7 @@
             runners = [KnownRunner(listed(name), 3) for name in (*SHUT, *OPEN)]
             catalog.list_runners(runners, 4, is_trusted=True)
             metrics = TurnLogMetrics(CollectorRegistry())
-            cold = ColdAdmission(catalog.cold, ColdTerms(), metrics)
+            cold = ColdAdmission(catalog.cold, ColdRateLimit(), metrics)
             advice = TurnPlacement(catalog, cold, random.Random(1))
             for number in range(MANY):
                 demand = wire.TurnDemand(service="s", left_ms=4000, zone="b", regions=regions)
