--- a/src/bendshed/catalog/cold_runner_tracker.py
+++ b/src/bendshed/catalog/cold_runner_tracker.py
@@ -64,8 +64,8 @@
 
     def reopen(self, zone: str, at_s: float) -> None:
         """A zone was opened again, at a time of ``clock``."""
-        for runner_id in self._state.reopen(zone, at_s):
-            left_s = self._state.left_ms(runner_id, self.clock()) / 1000
+        for runner_id in self._state.note_reopened(zone, at_s):
+            left_s = self._state.cold_left_ms(runner_id, self.clock()) / 1000
             self._say_cold(runner_id, left_s, "its zone was opened again")
 
     def _say_cold(self, runner_id: str, left_s: float, reason: str) -> None:
@@ -78,14 +78,14 @@
     @property
     def has_cold(self) -> bool:
         """Whether any runner may be cold; checked first, since usually none is."""
-        return bool(self._state.cold)
+        return bool(self._state.cold_until_s)
 
     def is_cold(self, runner_id: str) -> bool:
         """Whether a runner's rate is bounded now."""
         if not self.has_cold:
             return False
         now_s = self.clock()
-        for warm in self._state.take_warm(now_s):
+        for warm in self._state.pop_warm(now_s):
             if self._state.rate_of(warm) > 0:
                 log.say("runner is warm again", runner=warm)
         return self._state.is_cold(runner_id, now_s)
@@ -102,7 +102,7 @@
 
     def left_ms(self, runner_id: str) -> int:
         """Time for which a runner is still cold, in milliseconds; 0: warm, as far as known."""
-        return self._state.left_ms(runner_id, self.clock())
+        return self._state.cold_left_ms(runner_id, self.clock())
 
     @property
     def num_cold(self) -> int:
--- a/src/bendshed/placement/cold_runners.py
+++ b/src/bendshed/placement/cold_runners.py
@@ -14,7 +14,7 @@
 from bendshed.model.runner import ServiceRunner
 from bendshed.model.service_document import Service
 
-MAX_GONE = 1_000
+MAX_VANISHED = 1_000
 """Runners remembered that vanished from the list, whose entries count as a start if they come back;
 bounds memory."""
 
@@ -58,14 +58,15 @@
 
     Attributes:
         services: bounds and times of cold starts, by service.
-        cold: steady time until which each runner is cold; expired ones stay until ``take_warm``.
+        cold_until_s: steady time until which each runner is cold; expired ones stay until
+            ``pop_warm``.
 
     """
 
     services: Mapping[str, Service] = field(default_factory=dict)
-    cold: dict[str, float] = field(default_factory=dict)
+    cold_until_s: dict[str, float] = field(default_factory=dict)
     _entries: dict[str, _Entry] = field(default_factory=dict)
-    _gone: "OrderedDict[str, None]" = field(default_factory=OrderedDict)
+    _vanished: "OrderedDict[str, None]" = field(default_factory=OrderedDict)
     _persisted_ids: set[str] = field(default_factory=set)
 
     def note_listed(self, runner: ServiceRunner, now_s: float) -> float:
@@ -74,15 +75,15 @@
         If the entry had vanished, the runner may have been gone too, so it counts as just started.
         """
         left_s = runner.cold_left_ms / 1000
-        if runner.runner_id in self._gone:
-            del self._gone[runner.runner_id]
-            left_s = max(left_s, self._start_s(runner.service))
+        if runner.runner_id in self._vanished:
+            del self._vanished[runner.runner_id]
+            left_s = max(left_s, self._cold_start_s(runner.service))
         return self._note(runner, left_s, now_s)
 
     def note_confirmed(self, runner: ServiceRunner, now_s: float) -> float:
         """Take an entry that is known already; it replaces one that was read from disk."""
         if runner.runner_id not in self._persisted_ids:
-            return self.left_ms(runner.runner_id, now_s) / 1000
+            return self.cold_left_ms(runner.runner_id, now_s) / 1000
         return self.note_listed(runner, now_s)
 
     def note_persisted(self, runner: ServiceRunner, now_s: float) -> float:
@@ -99,22 +100,22 @@
         self._persisted_ids.discard(runner.runner_id)
         self._entries[runner.runner_id] = _Entry(runner.service, runner.zone, now_s)
         if left_s > 0:
-            self.cold[runner.runner_id] = now_s + left_s
-        elif runner.runner_id in self.cold:
-            self.cold[runner.runner_id] = now_s
+            self.cold_until_s[runner.runner_id] = now_s + left_s
+        elif runner.runner_id in self.cold_until_s:
+            self.cold_until_s[runner.runner_id] = now_s
         return left_s
 
     def note_vanished(self, runner_id: str) -> None:
         """A runner is not listed any more; until it is listed again its latest entry counts."""
         if runner_id not in self._entries:
             return
-        self._gone[runner_id] = None
-        if len(self._gone) > MAX_GONE:
-            forgotten, _ = self._gone.popitem(last=False)
+        self._vanished[runner_id] = None
+        if len(self._vanished) > MAX_VANISHED:
+            forgotten, _ = self._vanished.popitem(last=False)
             self._entries.pop(forgotten, None)
-            self.cold.pop(forgotten, None)
+            self.cold_until_s.pop(forgotten, None)
 
-    def reopen(self, zone: str, at_s: float) -> list[str]:
+    def note_reopened(self, zone: str, at_s: float) -> list[str]:
         """A zone was opened again: its runners count as started then, unless their entry is newer.
 
         Returns:
@@ -123,16 +124,20 @@
         """
         reopened = []
         for runner_id, entry in self._entries.items():
-            until_s = at_s + self._start_s(entry.service)
+            until_s = at_s + self._cold_start_s(entry.service)
             is_newer = entry.received_s > at_s
-            if entry.zone == zone and not is_newer and until_s > self.cold.get(runner_id, at_s):
-                self.cold[runner_id] = until_s
+            if (
+                entry.zone == zone
+                and not is_newer
+                and until_s > self.cold_until_s.get(runner_id, at_s)
+            ):
+                self.cold_until_s[runner_id] = until_s
                 reopened.append(runner_id)
         return reopened
 
     def is_cold(self, runner_id: str, now_s: float) -> bool:
         """Whether a runner's rate is bounded now; never if its service has no bound."""
-        until_s = self.cold.get(runner_id)
+        until_s = self.cold_until_s.get(runner_id)
         return until_s is not None and now_s < until_s and self.rate_of(runner_id) > 0
 
     def rate_of(self, runner_id: str) -> float:
@@ -141,22 +146,22 @@
         service = self.services.get(entry.service) if entry is not None else None
         return service.cold_per_s if service is not None else 0.0
 
-    def left_ms(self, runner_id: str, now_s: float) -> int:
+    def cold_left_ms(self, runner_id: str, now_s: float) -> int:
         """Time for which a runner is still cold, in milliseconds; 0: warm, as far as known."""
-        return max(0, round(1000 * (self.cold.get(runner_id, now_s) - now_s)))
+        return max(0, round(1000 * (self.cold_until_s.get(runner_id, now_s) - now_s)))
 
     def num_cold(self, now_s: float) -> int:
         """Cold runners that are listed, of services with a bound."""
-        listed = [runner_id for runner_id in self.cold if runner_id not in self._gone]
+        listed = [runner_id for runner_id in self.cold_until_s if runner_id not in self._vanished]
         return sum(1 for runner_id in listed if self.is_cold(runner_id, now_s))
 
-    def take_warm(self, now_s: float) -> list[str]:
+    def pop_warm(self, now_s: float) -> list[str]:
         """Forget runners that are not cold any more, and return their ids."""
-        warm = [runner_id for runner_id, until_s in self.cold.items() if until_s <= now_s]
+        warm = [runner_id for runner_id, until_s in self.cold_until_s.items() if until_s <= now_s]
         for runner_id in warm:
-            del self.cold[runner_id]
+            del self.cold_until_s[runner_id]
         return warm
 
-    def _start_s(self, name: str) -> float:
+    def _cold_start_s(self, name: str) -> float:
         service = self.services.get(name)
         return service.cold_start_ms / 1000 if service is not None else 0.0
--- a/tests/site_cold_defects.py
+++ b/tests/site_cold_defects.py
@@ -94,7 +94,7 @@
     """Counts the time left from the teller's zero and not from the moment it was heard."""
     _REAL_NOTE(cold, runner, left_s, now_s)
     if left_s > 0:
-        cold.cold[runner.runner_id] = left_s
+        cold.cold_until_s[runner.runner_id] = left_s
     return left_s
 
 
--- a/tests/test_cold_runners.py
+++ b/tests/test_cold_runners.py
@@ -19,7 +19,7 @@
 from bendshed.model.address import Address
 from bendshed.model.runner import RunnerState, ServiceRunner
 from bendshed.model.service_document import Service
-from bendshed.placement.cold_runners import MAX_GONE, ColdRateLimit, ColdRunners
+from bendshed.placement.cold_runners import MAX_VANISHED, ColdRateLimit, ColdRunners
 
 START_S = 8.0
 TERMS = ColdRateLimit(factor=1.5, slack=5)
@@ -42,7 +42,7 @@
 
     def test_it_is_cold_from_the_moment_at_which_that_was_heard(self) -> None:
         self.cold.note_listed(runner("a", 5_000), 100.0)
-        self.assertEqual(self.cold.left_ms("a", 102.0), 3_000)
+        self.assertEqual(self.cold.cold_left_ms("a", 102.0), 3_000)
         self.assertTrue(self.cold.is_cold("a", 104.9))
         self.assertFalse(self.cold.is_cold("a", 105.0))
 
@@ -67,25 +67,25 @@
         self.assertFalse(self.cold.is_cold("a", 11.0))
 
     def test_runners_that_vanished_are_forgotten_at_some_number(self) -> None:
-        for number in range(MAX_GONE + 5):
+        for number in range(MAX_VANISHED + 5):
             self.cold.note_listed(runner(f"r{number}"), 0.0)
             self.cold.note_vanished(f"r{number}")
-        self.assertEqual(len(self.cold._gone), MAX_GONE)
-        self.assertEqual(len(self.cold._entries), MAX_GONE)
+        self.assertEqual(len(self.cold._vanished), MAX_VANISHED)
+        self.assertEqual(len(self.cold._entries), MAX_VANISHED)
 
     def test_a_word_that_was_kept_counts_in_full_until_it_is_told_anew(self) -> None:
         self.cold.note_persisted(runner("a", 3_000), 0.0)
-        self.assertEqual(self.cold.left_ms("a", 0.0), 3_000)
+        self.assertEqual(self.cold.cold_left_ms("a", 0.0), 3_000)
         self.cold.note_confirmed(runner("a", 500), 0.1)
-        self.assertEqual(self.cold.left_ms("a", 0.1), 500)
+        self.assertEqual(self.cold.cold_left_ms("a", 0.1), 500)
         self.cold.note_confirmed(runner("a", 900), 0.2)
-        self.assertEqual(self.cold.left_ms("a", 0.2), 400)
+        self.assertEqual(self.cold.cold_left_ms("a", 0.2), 400)
 
     def test_a_zone_that_was_opened_again_is_cold_but_for_newer_words(self) -> None:
         self.cold.note_listed(runner("old word"), 10.0)
         self.cold.note_listed(runner("elsewhere", zone="y"), 10.0)
         self.cold.note_listed(runner("new word"), 21.0)
-        self.assertEqual(self.cold.reopen("z", 20.0), ["old word"])
+        self.assertEqual(self.cold.note_reopened("z", 20.0), ["old word"])
         self.assertTrue(self.cold.is_cold("old word", 20.0 + START_S - 0.1))
         self.assertFalse(self.cold.is_cold("elsewhere", 22.0))
         self.assertFalse(self.cold.is_cold("new word", 22.0))
@@ -94,13 +94,13 @@
 
     def test_a_zone_that_was_opened_does_not_shorten_a_runners_own_time(self) -> None:
         self.cold.note_listed(runner("a", 60_000), 10.0)
-        self.assertEqual(self.cold.reopen("z", 20.0), [])
-        self.assertEqual(self.cold.left_ms("a", 20.0), 50_000)
+        self.assertEqual(self.cold.note_reopened("z", 20.0), [])
+        self.assertEqual(self.cold.cold_left_ms("a", 20.0), 50_000)
 
     def test_services_without_a_bound_are_never_cold(self) -> None:
         self.cold.note_listed(runner("a", 5_000, service="free"), 0.0)
         self.assertFalse(self.cold.is_cold("a", 1.0))
-        self.assertEqual(self.cold.left_ms("a", 1.0), 4_000)
+        self.assertEqual(self.cold.cold_left_ms("a", 1.0), 4_000)
         self.assertEqual(self.cold.num_cold(1.0), 0)
 
     def test_a_bound_that_comes_into_force_finds_those_that_are_cold(self) -> None:
@@ -112,8 +112,8 @@
     def test_those_whose_time_is_over_are_told_once(self) -> None:
         self.cold.note_listed(runner("a", 1_000), 0.0)
         self.cold.note_listed(runner("b", 3_000), 0.0)
-        self.assertEqual(self.cold.take_warm(2.0), ["a"])
-        self.assertEqual(self.cold.take_warm(2.0), [])
+        self.assertEqual(self.cold.pop_warm(2.0), ["a"])
+        self.assertEqual(self.cold.pop_warm(2.0), [])
 
 
 @dataclass
