--- a/src/bendshed/consensus/bootstrap.py
+++ b/src/bendshed/consensus/bootstrap.py
@@ -55,7 +55,7 @@
     async def run(self) -> None:
         """Bootstrap each group, or learn that it was."""
         started_s = asyncio.get_running_loop().time()
-        open_groups = [group for group in self._groups.numbers if not self._is_settled(group)]
+        open_groups = [group for group in self._groups.ids if not self._is_settled(group)]
         while open_groups:
             waited_s = asyncio.get_running_loop().time() - started_s
             if self._may_bootstrap(waited_s):
--- a/src/bendshed/consensus/retirement.py
+++ b/src/bendshed/consensus/retirement.py
@@ -125,7 +125,7 @@
         """Whether every group has let the machine go."""
         if not self._emptied.is_emptied(REPORTING_GROUP, node_id):
             return False
-        for group_id in self._groups.others(REPORTING_GROUP):
+        for group_id in self._groups.other_ids(REPORTING_GROUP):
             here = self._emptied.is_emptied(group_id, node_id)
             if not here and not await self._request_emptied(group_id, node_id):
                 return False
--- a/src/bendshed/placement/groups.py
+++ b/src/bendshed/placement/groups.py
@@ -24,7 +24,7 @@
     homes: tuple[str, ...] = ("",)
 
     @classmethod
-    def of(cls, places: Places, is_regional: bool = True) -> "TurnGroups":
+    def from_places(cls, places: Places, is_regional: bool = True) -> "TurnGroups":
         """One group for each declared region; one in all where at most one is declared.
 
         Args:
@@ -43,20 +43,20 @@
         return len(self.homes)
 
     @property
-    def numbers(self) -> range:
+    def ids(self) -> range:
         """All groups."""
         return range(self.count)
 
-    def others(self, group_id: int) -> list[int]:
+    def other_ids(self, group_id: int) -> list[int]:
         """All groups but one."""
-        return [number for number in self.numbers if number != group_id]
+        return [number for number in self.ids if number != group_id]
 
-    def at_home_in(self, zone: str) -> int:
+    def home_group_of_zone(self, zone: str) -> int:
         """The group that serves the callers of a zone; 0 where its region is no group's home."""
         region = self.places.region(zone)
         return self.homes.index(region) if region in self.homes else 0
 
-    def of_tenant(self, tenant: str) -> int:
+    def home_group_of_tenant(self, tenant: str) -> int:
         """Home group of a tenant: the one that holds its programs, turns and usage."""
         return group_of(tenant, self.count)
 
--- a/src/bendshed/platform/settings.py
+++ b/src/bendshed/platform/settings.py
@@ -133,7 +133,7 @@
         Where a region may be lost no group is at home in one: most of its voters would go too.
         """
         is_regional = self.policy.regional_groups and not self.faultTolerance.regions
-        return TurnGroups.of(Places(self.zones), is_regional)
+        return TurnGroups.from_places(Places(self.zones), is_regional)
 
     @property
     def apply_s(self) -> float:
--- a/src/bendshed/rehearsal/site/layout.py
+++ b/src/bendshed/rehearsal/site/layout.py
@@ -42,7 +42,7 @@
     @property
     def groups(self) -> TurnGroups:
         """The turn log's groups."""
-        return TurnGroups.of(self.places, self.is_regional)
+        return TurnGroups.from_places(self.places, self.is_regional)
 
     def zone(self, number: int, has_disk: bool) -> str:
         """Zone of a machine by its number."""
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -354,7 +354,7 @@
 
     def is_led(self) -> bool:
         """Whether each group of the turn log has a leader."""
-        return all(self.leader(group) is not None for group in self.layout.groups.numbers)
+        return all(self.leader(group) is not None for group in self.layout.groups.ids)
 
     def fronts_by_region(self) -> list[list[str]]:
         """Names of the fronts of each region."""
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -150,7 +150,7 @@
             lambda group: self.directory.node_ids_in(self._groups.home_zones(group)),
             self._requests.expected_round_trip_s,
         )
-        home_group = self._groups.at_home_in(place.zone)
+        home_group = self._groups.home_group_of_zone(place.zone)
         client = TurnClient(rng, leaders, self._refuses_alone, home_group)
         incarnation = f"{place.address}/{rng.getrandbits(48):012x}"
         quotas = QuotaClient(incarnation, client, metrics, self._groups)
@@ -242,7 +242,7 @@
         await self._knows_replicas.wait()
         client = self._turns.client
         loop = asyncio.get_running_loop()
-        others = self._groups.others(client.home_group)
+        others = self._groups.other_ids(client.home_group)
         looking = [loop.create_task(client.find_leader(group)) for group in others]
         try:
             await client.find_leader(client.home_group)
--- a/src/bendshed/services/quota_client.py
+++ b/src/bendshed/services/quota_client.py
@@ -99,7 +99,7 @@
             reported_total=self._allowances.reported(tenant),
             request_id=request.request_id,
             program_id=request.program_id,
-            group=self._groups.of_tenant(tenant),
+            group=self._groups.home_group_of_tenant(tenant),
         )
         timeout_s = min(ADMISSION_TIMEOUT_S, deadline_s - asyncio.get_running_loop().time())
         reply = await self._client.admit_call(encode_call_request(call), timeout_s)
@@ -117,7 +117,11 @@
         Call what is returned once the command is committed.
         """
         unreported = self._allowances.unreported(asyncio.get_running_loop().time())
-        rows = [row for row in unreported if self._groups.of_tenant(row.tenant) == command.group]
+        rows = [
+            row
+            for row in unreported
+            if self._groups.home_group_of_tenant(row.tenant) == command.group
+        ]
         command.spent.node = self._node
         command.spent.spent.extend(_to_wire(row) for row in rows)
         return lambda: self._allowances.note_reported(rows, asyncio.get_running_loop().time())
@@ -130,7 +134,9 @@
             if not self._allowances.must_report(loop.time(), REPORT_AFTER_S):
                 continue
             unreported = self._allowances.unreported(loop.time())
-            for group in sorted({self._groups.of_tenant(row.tenant) for row in unreported}):
+            for group in sorted(
+                {self._groups.home_group_of_tenant(row.tenant) for row in unreported}
+            ):
                 await self._report_to(group)
 
     async def _report_to(self, group: int) -> None:
--- a/src/bendshed/turns/group_locator.py
+++ b/src/bendshed/turns/group_locator.py
@@ -36,7 +36,7 @@
     def group_of(self, tenant: str, program_id: str, previous_turn: str) -> int:
         """Group to request first: the tenant's, the previous turn's, the program's, else home."""
         if tenant:
-            return self.groups.of_tenant(tenant)
+            return self.groups.home_group_of_tenant(tenant)
         known = self._turns.get((tenant, previous_turn)) if previous_turn else None
         if known is None:
             known = self._programs.get((tenant, program_id))
@@ -44,7 +44,7 @@
 
     def others(self, tenant: str, group: int) -> list[int]:
         """Further groups that may store a turn which ``group`` does not."""
-        return [] if tenant else self.groups.others(group)
+        return [] if tenant else self.groups.other_ids(group)
 
     def note_program(self, tenant: str, program_id: str, group: int) -> None:
         """A group has granted a turn of the program."""
--- a/src/bendshed/turns/load_exchange.py
+++ b/src/bendshed/turns/load_exchange.py
@@ -45,7 +45,7 @@
             await asyncio.sleep(REPORT_INTERVAL_S)
             led = self._host.led_groups()
             if led:
-                self._report(led[0], [n for n in self._groups.numbers if n not in led])
+                self._report(led[0], [n for n in self._groups.ids if n not in led])
 
     def _report(self, own_group: int, others: list[int]) -> None:
         """Send the whole load; an empty one once, so that idle leaders send nothing."""
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -199,7 +199,7 @@
     def _add_gauges(self, metrics: TurnLogMetrics, placement: TurnPlacement) -> None:
         ReplicaGauges(
             self.host,
-            tuple(self._groups.numbers),
+            tuple(self._groups.ids),
             self.directory,
             self._service,
             placement.cluster_load,
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -83,7 +83,7 @@
         self._metrics = metrics
         self._transport = transport
         self._send_elsewhere = send_to_group
-        self._groups = {number: LedGroup(number, host, make_quotas()) for number in groups.numbers}
+        self._groups = {number: LedGroup(number, host, make_quotas()) for number in groups.ids}
         self.shares = ShareGatherer(groups, self._send)
         host.on_role_changed = self._note_role
 
--- a/src/bendshed/turns/shares.py
+++ b/src/bendshed/turns/shares.py
@@ -81,7 +81,7 @@
         return task
 
     async def _gather(self, group_id: int, begin: wire.BeginTurn) -> GatheredShares:
-        others = self._groups.others(group_id)
+        others = self._groups.other_ids(group_id)
         replies = await asyncio.gather(*(self._take(group_id, other, begin) for other in others))
         answered = [reply for reply in replies if reply is not None]
         log.say(
--- a/tests/test_turn_groups.py
+++ b/tests/test_turn_groups.py
@@ -306,7 +306,7 @@
             assert machine.replica is not None
             for number, group in machine.replica.host.groups.items():
                 tenants = {tenant for tenant, _ in group.state.turns}  # type: ignore[attr-defined]
-                held = {self.layout.groups.of_tenant(tenant) for tenant in tenants}
+                held = {self.layout.groups.home_group_of_tenant(tenant) for tenant in tenants}
                 self.assertLessEqual(held, {number})
         self.assert_rules_hold()
 
@@ -326,7 +326,7 @@
                 self.world.kill(leaving)
                 del self.world.stores[leaving.name]
                 self.world.run_for(2.0)
-                for number in self.layout.groups.numbers:
+                for number in self.layout.groups.ids:
                     replica = self.leader(number).replica
                     assert replica is not None
                     members = replica.host.groups[number].replica.membership
@@ -351,17 +351,17 @@
 class GroupsOfPlacesTest(unittest.TestCase):
     def test_one_region_or_none_is_one_group(self) -> None:
         for region_of in ({}, {"a": "r", "b": "r"}, {"a": "", "b": "r"}):
-            groups = TurnGroups.of(Places(region_of))
+            groups = TurnGroups.from_places(Places(region_of))
             self.assertEqual((groups.count, groups.home_zones(0)), (1, None))
 
     def test_a_group_for_each_region_in_the_order_of_names(self) -> None:
-        groups = TurnGroups.of(Places({"a": "west", "b": "east", "c": "west"}))
+        groups = TurnGroups.from_places(Places({"a": "west", "b": "east", "c": "west"}))
         self.assertEqual(groups.homes, ("east", "west"))
         self.assertEqual(groups.home_zones(1), {"a", "c"})
-        self.assertEqual([groups.at_home_in(zone) for zone in "abc"], [1, 0, 1])
+        self.assertEqual([groups.home_group_of_zone(zone) for zone in "abc"], [1, 0, 1])
 
     def test_operators_may_have_one_group_all_the_same(self) -> None:
-        groups = TurnGroups.of(Places({"a": "west", "b": "east"}), is_regional=False)
+        groups = TurnGroups.from_places(Places({"a": "west", "b": "east"}), is_regional=False)
         self.assertEqual(groups.count, ONE_GROUP.count)
 
 
