--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -4,12 +4,12 @@
 from dataclasses import replace
 
 from bendshed.consensus.bootstrap import GroupBootstrap
-from bendshed.consensus.candidates import Candidates
 from bendshed.consensus.directory import HELLO_METHOD, ReplicaDirectory, from_wire, to_wire
 from bendshed.consensus.host import GroupHost, HostedGroup
 from bendshed.consensus.introductions import Introductions
 from bendshed.consensus.membership_plan import ReplicaFacts, plan_membership
 from bendshed.consensus.raft_types import Role
+from bendshed.consensus.replica_candidates import ReplicaCandidates
 from bendshed.consensus.replica_choice import VoterPlaces, rank_candidates
 from bendshed.consensus.retirement import EMPTIED_METHOD, RequestEmptied, RetirementReporter
 from bendshed.logs import PartLog
@@ -69,9 +69,9 @@
         self._groups = groups
         self._bootstrap = GroupBootstrap(host, storage, registry, directory, me, num_voters, groups)
         self._reporter = RetirementReporter(host, registry, directory, groups, request_emptied)
-        self._candidates = Candidates()
+        self._candidates = ReplicaCandidates()
         self._introductions = Introductions(
-            transport, directory, host, me, self._missed, self._candidates.note_answer
+            transport, directory, host, me, self._missed, self._candidates.record_answer
         )
         self._away_since: dict[int, tuple[float, int, int]] = {}
         self._handed_on_s = float("-inf")
@@ -206,8 +206,8 @@
         ranked = rank_candidates(group_id, places, free, voters, weak)
         sound = [node for node in voters if node not in weak and node not in facts.wiped]
         # While a machine is being taken in, no other is needed, and so none is waited for.
-        is_short = len(sound) < facts.count and not replica.membership.learners
-        candidates = self._candidates.answering_first(group_id, ranked, is_short)
+        is_voter_missing = len(sound) < facts.count and not replica.membership.learners
+        candidates = self._candidates.sort_responsive_first(group_id, ranked, is_voter_missing)
         if candidates is None and not facts.wiped:
             return
         wanted = plan_membership(replica.membership, replace(facts, candidates=candidates or []))
@@ -215,7 +215,7 @@
             self._rested[group_id] = seen
             return
         for node in set(replica.membership.learners) & set(facts.silent):
-            self._candidates.reject(node)
+            self._candidates.record_failure(node)
         if self._host.propose_membership(group_id, wanted):
             log.say(
                 "membership change proposed",
@@ -241,7 +241,7 @@
         caught_up = replica.followers.caught_up(
             membership.learners, replica.last_index, MAX_LEARNER_LAG
         )
-        self._candidates.note_caught_up(caught_up)
+        self._candidates.record_caught_up(caught_up)
         return ReplicaFacts(
             me=self.me.node_id,
             wiped=self._directory.wiped & set(members),
@@ -261,7 +261,7 @@
             for node in places.zone_of
             if node not in members
             and node not in retiring
-            and not self._candidates.is_left_alone(node)
+            and not self._candidates.is_backed_off(node)
         ]
 
     def num_sound_voters(self, group_id: int = 0) -> int:
