--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -224,7 +224,7 @@
         self.upstream.machine, self.upstream.num_relying = None, 0
         if self._is_lost_here:
             self._avoid(self._me, "the registry is lost here")
-        if self._directory.own is not None:
+        if self._directory.own_node is not None:
             self._num_failed = 0
         self._freshness.end()
 
@@ -298,7 +298,7 @@
         for node in update.directory.replicas:
             self._directory.put(node)
         if update.directory.retiring is not None:
-            self._directory.list_retiring(update.directory.retiring)
+            self._directory.set_retiring(update.directory.retiring)
 
     def _take_fronts(self, update: CatalogUpdate) -> None:
         for front in update.fronts:
--- a/src/bendshed/catalog/front_exchange.py
+++ b/src/bendshed/catalog/front_exchange.py
@@ -73,7 +73,7 @@
         for number in itertools.count():
             if self._is_registry_lost():
                 self._persistence.keep_fronts()
-            own = self._directory.own
+            own = self._directory.own_node
             if own is not None:
                 hello = to_wire(own).SerializeToString()
                 for front in self._due_fronts(is_late_round=number % LATE_GREETING_ROUNDS == 0):
--- a/src/bendshed/consensus/directory.py
+++ b/src/bendshed/consensus/directory.py
@@ -26,7 +26,7 @@
     identity is proven lost only by its machine's own word under another one.
 
     Attributes:
-        own: this process's announcement; ``None``: it holds no replica.
+        own_node: this process's announcement; ``None``: it holds no replica.
         by_name: the latest known announcement of each machine.
         wiped: identities whose disk is lost, as announcements say, which come in any order.
         proven_lost: those of them whose machine itself has answered under another identity.
@@ -36,7 +36,7 @@
 
     """
 
-    own: ReplicaNode | None = None
+    own_node: ReplicaNode | None = None
     by_name: dict[str, ReplicaNode] = field(default_factory=dict)
     wiped: set[str] = field(default_factory=set)
     proven_lost: set[str] = field(default_factory=set)
@@ -48,7 +48,7 @@
     def put(self, node: ReplicaNode) -> None:
         """Take an announcement."""
         self._identities.setdefault(node.name, set()).add(node.node_id)
-        if self._is_own_past(node):
+        if self._is_own_former_identity(node):
             self.wiped.add(node.node_id)
             self.proven_lost.add(node.node_id)
             return
@@ -69,28 +69,28 @@
         )
         self._notify()
 
-    def put_own_word(self, node: ReplicaNode) -> None:
+    def put_direct_reply(self, node: ReplicaNode) -> None:
         """Take what a machine itself has just replied.
 
         Announcements come in any order, so a live identity may count as lost. A process that
         answers under it proves that its disk is there.
         """
-        if node.node_id in self.wiped and not self._is_own_past(node):
+        if node.node_id in self.wiped and not self._is_own_former_identity(node):
             self.wiped.discard(node.node_id)
             log.say("replica machine is not lost: it answers", name=node.name, node=node.node_id)
         self.put(node)
         self.proven_lost.discard(node.node_id)
         self.proven_lost |= self._identities[node.name] - {node.node_id}
 
-    def list_retiring(self, names: Collection[str]) -> None:
+    def set_retiring(self, names: Collection[str]) -> None:
         """Take all wishes of operators that machines are emptied."""
         self.knows_retiring = True
         for name in [name for name in self.retiring if name not in names]:
             self.remove_retiring(name)
         for name in names:
-            self.put_retiring(name)
+            self.add_retiring(name)
 
-    def put_retiring(self, name: str) -> None:
+    def add_retiring(self, name: str) -> None:
         """An operator wants a machine emptied."""
         if name in self.retiring:
             return
@@ -114,9 +114,9 @@
         for notify in self.on_change:
             notify()
 
-    def _is_own_past(self, node: ReplicaNode) -> bool:
+    def _is_own_former_identity(self, node: ReplicaNode) -> bool:
         """The registry still holds this machine's announcement from before it lost its disk."""
-        own = self.own
+        own = self.own_node
         return own is not None and node.name == own.name and node.node_id != own.node_id
 
     def resolve(self, node_id: str) -> Address | None:
--- a/src/bendshed/consensus/introductions.py
+++ b/src/bendshed/consensus/introductions.py
@@ -59,7 +59,7 @@
             await asyncio.sleep(INTERVAL_S)
             missed = self._missed()
             for node in list(self._directory.by_name.values()):
-                if node.node_id in missed and node != self._directory.own:
+                if node.node_id in missed and node != self._directory.own_node:
                     self._begin_to_ask(node)
 
     def _begin_to_ask(self, node: ReplicaNode) -> None:
@@ -84,7 +84,7 @@
         # Another word that came meanwhile may be newer than this one: the machine is asked again.
         if reply and self._directory.by_name.get(node.name) == node:
             found = from_wire(wire.ReplicaHello.FromString(reply))
-            self._directory.put_own_word(found)
+            self._directory.put_direct_reply(found)
             self._on_answer(found.node_id)
 
     async def _answer(self, payload: bytes) -> bytes:
--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -80,7 +80,7 @@
 
     def start(self) -> None:
         """Begin."""
-        self._directory.own = self.me
+        self._directory.own_node = self.me
         self._directory.put(self.me)
         self._transport.one_way_handlers[HELLO_METHOD] = self._take_hello
         self._transport.handlers[EMPTIED_METHOD] = self._reporter.answer
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -162,11 +162,11 @@
         self._node.directory.put(read_replica(item))
 
     def _list_retirements(self, listed: ObjectList) -> None:
-        self._node.directory.list_retiring([read_retirement(item).name for item in listed.items])
+        self._node.directory.set_retiring([read_retirement(item).name for item in listed.items])
 
     def _on_retirement(self, event: ObjectEvent) -> None:
         wish = read_retirement(event.object)
         if event.is_gone:
             self._node.directory.remove_retiring(wish.name)
         else:
-            self._node.directory.put_retiring(wish.name)
+            self._node.directory.add_retiring(wish.name)
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -338,7 +338,7 @@
         machine.replica.follower.note_known(self.document.version, self._revision)
         for node in self.registry.announced.values():
             machine.replica.directory.put(node)
-        machine.replica.directory.list_retiring(list(self.registry.retirements))
+        machine.replica.directory.set_retiring(list(self.registry.retirements))
 
     # --- time ----------------------------------------------------------------------------
 
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -219,7 +219,7 @@
 
     def _other_replicas(self) -> list[Address]:
         nodes = self.directory.by_name.values()
-        return [node.address for node in nodes if node != self.directory.own]
+        return [node.address for node in nodes if node != self.directory.own_node]
 
     def _standing_order(self, group_id: int) -> StandingOrder:
         """In which order a group's voters stand for election."""
--- a/tests/test_introductions.py
+++ b/tests/test_introductions.py
@@ -20,7 +20,7 @@
 
 class IntroductionsTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        self.directory = ReplicaDirectory(own=ME)
+        self.directory = ReplicaDirectory(own_node=ME)
         self.directory.put(ME)
         self.transport = mock.Mock(handlers={}, request=mock.AsyncMock())
         self.host = mock.Mock(flush=mock.AsyncMock())
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -37,7 +37,7 @@
     def test_an_old_announcement_does_not_supersede_this_process(self) -> None:
         me = ReplicaNode("store-1", "new", Address("10.0.0.1", 7000), "a")
         old = ReplicaNode("store-1", "old", Address("10.0.0.1", 7000), "a")
-        directory = ReplicaDirectory(own=me)
+        directory = ReplicaDirectory(own_node=me)
         directory.put(me)
         directory.put(old)
         self.assertEqual(directory.by_name["store-1"], me)
