--- a/src/bendshed/consensus/election_timer.py
+++ b/src/bendshed/consensus/election_timer.py
@@ -6,39 +6,44 @@
 
 ELECTION_TICKS_MIN = 10
 ELECTION_TICKS_MAX = 20
-RANK_TICKS = 3
+RANK_DELAY_TICKS = 3
 """Ticks between two followers' first tries: time enough for an election within a region to end."""
-FAR_RANK_TICKS = 5
+CROSS_REGION_RANK_DELAY_TICKS = 5
 """The same where votes may have to come from another region: two round trips of 60 ms fit."""
 RANK_JITTER_TICKS = 2
-START_TICKS = 2
-START_RANK_TICKS = 2
-START_TRIES = 6
+STARTUP_DELAY_TICKS = 2
+STARTUP_RANK_DELAY_TICKS = 2
+STARTUP_ATTEMPTS = 6
 """A replica that has just started requests votes at once, by rank, and repeats them quickly: a
 restart of all waits for nothing, and a leader that others hear is not disturbed (pre-vote)."""
 
 
 @dataclass(frozen=True, slots=True)
-class StandingOrder:
+class ElectionOrder:
     """In which order voters stand for election: those at home first.
 
     Attributes:
         is_home: whether a voter is located in the group's region.
-        rank_ticks: between two first tries behind a leader.
-        start_rank_ticks: the same after a start.
-        most_ticks: no first try waits longer.
+        rank_delay_ticks: between two first tries behind a leader.
+        startup_rank_delay_ticks: the same after a start.
+        max_delay_ticks: no first try waits longer.
 
     """
 
     is_home: Callable[[str], bool]
-    rank_ticks: int = RANK_TICKS
-    start_rank_ticks: int = START_RANK_TICKS
-    most_ticks: int = ELECTION_TICKS_MAX
+    rank_delay_ticks: int = RANK_DELAY_TICKS
+    startup_rank_delay_ticks: int = STARTUP_RANK_DELAY_TICKS
+    max_delay_ticks: int = ELECTION_TICKS_MAX
 
     @classmethod
-    def over_regions(cls, is_home: Callable[[str], bool]) -> "StandingOrder":
+    def across_regions(cls, is_home: Callable[[str], bool]) -> "ElectionOrder":
         """For a group with voters in other regions."""
-        return cls(is_home, FAR_RANK_TICKS, FAR_RANK_TICKS, 2 * ELECTION_TICKS_MAX)
+        return cls(
+            is_home,
+            CROSS_REGION_RANK_DELAY_TICKS,
+            CROSS_REGION_RANK_DELAY_TICKS,
+            2 * ELECTION_TICKS_MAX,
+        )
 
     def rank(self, me: str, voters: Collection[str]) -> int:
         """Place of a voter among some; the last place for one that is not among them."""
@@ -46,13 +51,13 @@
         return ordered.index(me) if me in ordered else len(ordered)
 
 
-WITHIN_A_REGION = StandingOrder(lambda _node: True)
+SINGLE_REGION_ORDER = ElectionOrder(lambda _node: True)
 
 
 class ElectionTimer:
     """Followers of one leader wait by rank, so that one stands first; further tries are random."""
 
-    def __init__(self, rng: random.Random, order: StandingOrder = WITHIN_A_REGION) -> None:
+    def __init__(self, rng: random.Random, order: ElectionOrder = SINGLE_REGION_ORDER) -> None:
         self._rng = rng
         self._order = order
         self._ticks = 0
@@ -62,9 +67,9 @@
 
     def start(self, me: str, voters: Collection[str]) -> None:
         """Begin a process that holds a vote: the first tries come quickly, by rank."""
-        self._num_start_tries = START_TRIES
+        self._num_start_tries = STARTUP_ATTEMPTS
         rank = self._order.rank(me, voters) if me in voters else 0
-        self._due_ticks = START_TICKS + rank * self._order.start_rank_ticks
+        self._due_ticks = STARTUP_DELAY_TICKS + rank * self._order.startup_rank_delay_ticks
 
     @property
     def is_due(self) -> bool:
@@ -90,7 +95,7 @@
         self._due_ticks = self._rng.randrange(ELECTION_TICKS_MIN, ELECTION_TICKS_MAX)
         if self._num_start_tries:
             self._num_start_tries -= 1
-            self._due_ticks = self._rng.randrange(START_TICKS, ELECTION_TICKS_MIN)
+            self._due_ticks = self._rng.randrange(STARTUP_DELAY_TICKS, ELECTION_TICKS_MIN)
 
     def follow(self, leader_id: str, me: str, voters: Collection[str]) -> None:
         """Begin again behind a leader, by rank among its followers; without one, at random."""
@@ -99,9 +104,9 @@
             self._num_start_tries = 0
         self.reset()
         if leader_id and me in successors:
-            rank_ticks = self._order.rank(me, successors) * self._order.rank_ticks
-            wait = ELECTION_TICKS_MIN + rank_ticks + self._rng.randrange(RANK_JITTER_TICKS)
-            self._due_ticks = min(wait, self._order.most_ticks)
+            rank_delay_ticks = self._order.rank(me, successors) * self._order.rank_delay_ticks
+            wait = ELECTION_TICKS_MIN + rank_delay_ticks + self._rng.randrange(RANK_JITTER_TICKS)
+            self._due_ticks = min(wait, self._order.max_delay_ticks)
 
     def leader_must_check(self) -> bool:
         """Whether a leader must check again that a majority replies."""
--- a/src/bendshed/consensus/host.py
+++ b/src/bendshed/consensus/host.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from bendshed.consensus import raft_types as raft
-from bendshed.consensus.election_timer import WITHIN_A_REGION, StandingOrder
+from bendshed.consensus.election_timer import SINGLE_REGION_ORDER, ElectionOrder
 from bendshed.consensus.raft import RaftReplica
 from bendshed.consensus.stall import StallWatch
 from bendshed.logs import PartLog
@@ -102,7 +102,7 @@
         compact_after_entries: int = COMPACT_AFTER_ENTRIES,
         compact_after_bytes: int = COMPACT_AFTER_BYTES,
         is_candidate_at_once: bool = True,
-        order_of: Callable[[int], StandingOrder] = lambda _group: WITHIN_A_REGION,
+        order_of: Callable[[int], ElectionOrder] = lambda _group: SINGLE_REGION_ORDER,
     ) -> None:
         self.node_id = storage.node_id()
         self.groups: dict[int, HostedGroup] = {}
--- a/src/bendshed/consensus/raft.py
+++ b/src/bendshed/consensus/raft.py
@@ -11,9 +11,9 @@
 
 from bendshed.consensus.election_timer import (
     ELECTION_TICKS_MIN,
-    WITHIN_A_REGION,
+    SINGLE_REGION_ORDER,
+    ElectionOrder,
     ElectionTimer,
-    StandingOrder,
 )
 from bendshed.consensus.followers import FollowerTable, Progress
 from bendshed.consensus.quorum import quorum_size
@@ -61,7 +61,7 @@
         stored: StoredGroup,
         rng: random.Random,
         is_candidate_at_once: bool = True,
-        order: StandingOrder = WITHIN_A_REGION,
+        order: ElectionOrder = SINGLE_REGION_ORDER,
     ) -> None:
         self.node_id = node_id
         self.group_id = stored.group_id
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -9,7 +9,7 @@
 from bendshed.catalog.replica_parts import CatalogSurroundings, ReplicaCatalogParts
 from bendshed.catalog.times import CatalogTimes
 from bendshed.consensus.directory import ReplicaDirectory
-from bendshed.consensus.election_timer import WITHIN_A_REGION, StandingOrder
+from bendshed.consensus.election_timer import SINGLE_REGION_ORDER, ElectionOrder
 from bendshed.consensus.host import GroupHost
 from bendshed.consensus.supervisor import ReplicaSupervisor
 from bendshed.logs import PartLog
@@ -221,16 +221,16 @@
         nodes = self.directory.by_name.values()
         return [node.address for node in nodes if node != self.directory.own_node]
 
-    def _standing_order(self, group_id: int) -> StandingOrder:
+    def _standing_order(self, group_id: int) -> ElectionOrder:
         """In which order a group's voters stand for election."""
         home_zones = self._groups.home_zones(group_id)
         if home_zones is None:
-            return WITHIN_A_REGION
+            return SINGLE_REGION_ORDER
 
         def is_home(node_id: str) -> bool:
             return node_id in self.directory.node_ids_in(home_zones)
 
-        return StandingOrder.over_regions(is_home)
+        return ElectionOrder.across_regions(is_home)
 
     def note_registry(self, is_lost: bool) -> None:
         """Whether the registry answers this machine itself; else other nodes go elsewhere."""
