--- a/src/bendshed/consensus/election_timer.py
+++ b/src/bendshed/consensus/election_timer.py
@@ -45,10 +45,10 @@
             2 * ELECTION_TICKS_MAX,
         )
 
-    def rank(self, me: str, voters: Collection[str]) -> int:
+    def rank(self, node_id: str, voters: Collection[str]) -> int:
         """Place of a voter among some; the last place for one that is not among them."""
         ordered = sorted(voters, key=lambda node: (not self.is_home(node), node))
-        return ordered.index(me) if me in ordered else len(ordered)
+        return ordered.index(node_id) if node_id in ordered else len(ordered)
 
 
 SINGLE_REGION_ORDER = ElectionOrder(lambda _node: True)
@@ -60,57 +60,57 @@
     def __init__(self, rng: random.Random, order: ElectionOrder = SINGLE_REGION_ORDER) -> None:
         self._rng = rng
         self._order = order
-        self._ticks = 0
-        self._due_ticks = 0
-        self._num_start_tries = 0
+        self._elapsed_ticks = 0
+        self._timeout_ticks = 0
+        self._startup_attempts_left = 0
         self.reset()
 
-    def start(self, me: str, voters: Collection[str]) -> None:
+    def start(self, node_id: str, voters: Collection[str]) -> None:
         """Begin a process that holds a vote: the first tries come quickly, by rank."""
-        self._num_start_tries = STARTUP_ATTEMPTS
-        rank = self._order.rank(me, voters) if me in voters else 0
-        self._due_ticks = STARTUP_DELAY_TICKS + rank * self._order.startup_rank_delay_ticks
+        self._startup_attempts_left = STARTUP_ATTEMPTS
+        rank = self._order.rank(node_id, voters) if node_id in voters else 0
+        self._timeout_ticks = STARTUP_DELAY_TICKS + rank * self._order.startup_rank_delay_ticks
 
     @property
     def is_due(self) -> bool:
         """No heartbeat came for as long as this replica waits."""
-        return self._ticks >= self._due_ticks
+        return self._elapsed_ticks >= self._timeout_ticks
 
     @property
     def has_recent_heartbeat(self) -> bool:
         """A heartbeat came within the shortest wait: others must not disturb the leader."""
-        return self._ticks < ELECTION_TICKS_MIN
+        return self._elapsed_ticks < ELECTION_TICKS_MIN
 
     def tick(self) -> None:
         """One unit of time has passed."""
-        self._ticks += 1
+        self._elapsed_ticks += 1
 
-    def hear(self) -> None:
+    def record_heartbeat(self) -> None:
         """A heartbeat came."""
-        self._ticks = 0
+        self._elapsed_ticks = 0
 
     def reset(self) -> None:
         """Begin again, with another length."""
-        self._ticks = 0
-        self._due_ticks = self._rng.randrange(ELECTION_TICKS_MIN, ELECTION_TICKS_MAX)
-        if self._num_start_tries:
-            self._num_start_tries -= 1
-            self._due_ticks = self._rng.randrange(STARTUP_DELAY_TICKS, ELECTION_TICKS_MIN)
+        self._elapsed_ticks = 0
+        self._timeout_ticks = self._rng.randrange(ELECTION_TICKS_MIN, ELECTION_TICKS_MAX)
+        if self._startup_attempts_left:
+            self._startup_attempts_left -= 1
+            self._timeout_ticks = self._rng.randrange(STARTUP_DELAY_TICKS, ELECTION_TICKS_MIN)
 
-    def follow(self, leader_id: str, me: str, voters: Collection[str]) -> None:
+    def follow(self, leader_id: str, node_id: str, voters: Collection[str]) -> None:
         """Begin again behind a leader, by rank among its followers; without one, at random."""
         successors = set(voters) - {leader_id}
         if leader_id:
-            self._num_start_tries = 0
+            self._startup_attempts_left = 0
         self.reset()
-        if leader_id and me in successors:
-            rank_delay_ticks = self._order.rank(me, successors) * self._order.rank_delay_ticks
+        if leader_id and node_id in successors:
+            rank_delay_ticks = self._order.rank(node_id, successors) * self._order.rank_delay_ticks
             wait = ELECTION_TICKS_MIN + rank_delay_ticks + self._rng.randrange(RANK_JITTER_TICKS)
-            self._due_ticks = min(wait, self._order.max_delay_ticks)
+            self._timeout_ticks = min(wait, self._order.max_delay_ticks)
 
-    def leader_must_check(self) -> bool:
+    def is_quorum_check_due(self) -> bool:
         """Whether a leader must check again that a majority replies."""
-        if self._ticks < ELECTION_TICKS_MAX:
+        if self._elapsed_ticks < ELECTION_TICKS_MAX:
             return False
-        self._ticks = 0
+        self._elapsed_ticks = 0
         return True
--- a/src/bendshed/consensus/raft.py
+++ b/src/bendshed/consensus/raft.py
@@ -334,7 +334,7 @@
     def _tick_leader(self) -> None:
         self.followers.tick()
         self._timer.tick()
-        if self._timer.leader_must_check():
+        if self._timer.is_quorum_check_due():
             self._transfer_target = ""
             if not self._has_majority():
                 self._become_follower(self.term, "")
@@ -490,7 +490,7 @@
     # --- small pieces --------------------------------------------------------------------
 
     def _hear_leader(self, leader_id: str) -> None:
-        self._timer.hear()
+        self._timer.record_heartbeat()
         if self.role is not Role.FOLLOWER or self.leader_id != leader_id:
             self._become_follower(self.term, leader_id)
 
