--- a/src/bendshed/consensus/followers.py
+++ b/src/bendshed/consensus/followers.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Iterable, Iterator
 from dataclasses import dataclass, field
 
-RESEND_TICKS = 6
+RESEND_TIMEOUT_TICKS = 6
 """Rejections within two heartbeats of a resend answer messages that were sent before it: a follower
 that lacks one of hundreds in flight rejects all that come behind it."""
 
@@ -15,27 +15,27 @@
     Attributes:
         next_index: first entry to send next.
         match_index: last entry known to be durable there.
-        ticks_silent: ticks since its last reply.
-        snapshot_sent: index of a snapshot under way; 0: none.
-        resent_from: first entry that was sent again after a rejection; 0: none since it caught up.
+        ticks_since_reply: ticks since its last reply.
+        pending_snapshot_index: index of a snapshot under way; 0: none.
+        resend_index: first entry that was sent again after a rejection; 0: none since it caught up.
         ticks_since_resend: ticks since then.
 
     """
 
     next_index: int
     match_index: int = 0
-    ticks_silent: int = 0
-    snapshot_sent: int = 0
-    resent_from: int = 0
+    ticks_since_reply: int = 0
+    pending_snapshot_index: int = 0
+    resend_index: int = 0
     ticks_since_resend: int = 0
 
-    def is_under_way(self, first_index: int) -> bool:
+    def is_resend_in_flight(self, first_index: int) -> bool:
         """Whether entries from this one on were sent again so lately that they may arrive yet."""
-        return self.resent_from == first_index and self.ticks_since_resend < RESEND_TICKS
+        return self.resend_index == first_index and self.ticks_since_resend < RESEND_TIMEOUT_TICKS
 
-    def note_resend(self, first_index: int) -> None:
+    def record_resend(self, first_index: int) -> None:
         """Entries from this one on are sent again."""
-        self.resent_from = first_index
+        self.resend_index = first_index
         self.ticks_since_resend = 0
 
 
@@ -72,7 +72,7 @@
         """This replica does not lead any more."""
         self._progress = {}
 
-    def follow(self, followers: Collection[str], next_index: int) -> None:
+    def update_members(self, followers: Collection[str], next_index: int) -> None:
         """The membership changed: retain what is known of those that stay."""
         for node in followers:
             self._progress.setdefault(node, Progress(next_index))
@@ -82,30 +82,32 @@
     def tick(self) -> None:
         """One unit of time has passed."""
         for progress in self._progress.values():
-            progress.ticks_silent += 1
+            progress.ticks_since_reply += 1
             progress.ticks_since_resend += 1
 
     def silent(self, nodes: Iterable[str], ticks: float) -> set[str]:
         """Followers among ``nodes`` without a reply for more than ``ticks``."""
-        return {n for n in nodes if n in self._progress and self._progress[n].ticks_silent > ticks}
+        return {
+            n for n in nodes if n in self._progress and self._progress[n].ticks_since_reply > ticks
+        }
 
-    def replied(self, voters: Iterable[str], ticks: int) -> list[str]:
+    def recently_replied(self, voters: Iterable[str], ticks: int) -> list[str]:
         """Voters that replied within ``ticks``, this replica among them."""
         return [
             node
             for node in voters
             if node == self.me
-            or (node in self._progress and self._progress[node].ticks_silent < ticks)
+            or (node in self._progress and self._progress[node].ticks_since_reply < ticks)
         ]
 
     def most_advanced(self, voters: Iterable[str], ticks: int) -> str | None:
         """Follower that replied lately and holds the most of the log."""
-        alive = [node for node in self.replied(voters, ticks) if node != self.me]
+        alive = [node for node in self.recently_replied(voters, ticks) if node != self.me]
         if not alive:
             return None
         return max(sorted(alive), key=lambda node: self._progress[node].match_index)
 
-    def durable_at(self, voters: Collection[str], own_index: int, quorum: int) -> int:
+    def quorum_index(self, voters: Collection[str], own_index: int, quorum: int) -> int:
         """Highest index that a quorum of the voters holds durably; 0: there are too few."""
         if len(voters) < quorum:
             return 0
--- a/src/bendshed/consensus/raft.py
+++ b/src/bendshed/consensus/raft.py
@@ -225,7 +225,10 @@
         return bool(self.leader_id) and self._timer.has_recent_heartbeat
 
     def _has_majority(self) -> bool:
-        return len(self.followers.replied(self._survivors, ELECTION_TICKS_MIN)) >= self._quorum
+        return (
+            len(self.followers.recently_replied(self._survivors, ELECTION_TICKS_MIN))
+            >= self._quorum
+        )
 
     @property
     def _quorum(self) -> int:
@@ -377,10 +380,10 @@
         self._send_now(message)
 
     def _send_snapshot(self, node: str, progress: Progress, heartbeat: bool) -> None:
-        is_sent = progress.snapshot_sent == self.snapshot_index
-        if is_sent and (not heartbeat or progress.ticks_silent % 10):
+        is_sent = progress.pending_snapshot_index == self.snapshot_index
+        if is_sent and (not heartbeat or progress.ticks_since_reply % 10):
             return
-        progress.snapshot_sent = self.snapshot_index
+        progress.pending_snapshot_index = self.snapshot_index
         message = self._message(wire.CONSENSUS_KIND_SNAPSHOT, node)
         message.snapshot.CopyFrom(self.log.snapshot)
         self._send_now(message)
@@ -429,20 +432,20 @@
         progress = self.followers.get(message.sender)
         if self.role is not Role.LEADER or message.term != self.term or progress is None:
             return
-        progress.ticks_silent = 0
+        progress.ticks_since_reply = 0
         if not message.granted:
             missing = max(progress.match_index, message.previous_index) + 1
-            if not progress.is_under_way(missing):
-                progress.note_resend(missing)
+            if not progress.is_resend_in_flight(missing):
+                progress.record_resend(missing)
                 progress.next_index = missing
                 self._replicate(message.sender, heartbeat=True)
             return
-        progress.snapshot_sent = 0
+        progress.pending_snapshot_index = 0
         progress.match_index = max(progress.match_index, message.previous_index)
         progress.next_index = max(progress.next_index, progress.match_index + 1)
-        if progress.resent_from:
+        if progress.resend_index:
             is_behind = progress.match_index < self.log.last_index
-            progress.note_resend(progress.match_index + 1 if is_behind else 0)
+            progress.record_resend(progress.match_index + 1 if is_behind else 0)
         self._advance_commit()
         if self.role is Role.LEADER:
             self._maybe_send_timeout_now(message.sender)
@@ -455,7 +458,7 @@
             self._send_now(self._message(wire.CONSENSUS_KIND_TIMEOUT_NOW, node))
 
     def _advance_commit(self) -> None:
-        candidate = self.followers.durable_at(self._survivors, self.persisted_index, self._quorum)
+        candidate = self.followers.quorum_index(self._survivors, self.persisted_index, self._quorum)
         if candidate > self.commit_index and self.log.term_at(candidate) == self.term:
             self._commit_to(candidate)
             if not self.is_voter and self.membership_settled:
@@ -497,7 +500,7 @@
     def _adopt_membership(self, membership: wire.GroupMembership) -> None:
         self.membership = membership
         if self.role is Role.LEADER:
-            self.followers.follow(self._peers(), self.log.last_index)
+            self.followers.update_members(self._peers(), self.log.last_index)
 
     def _peers(self) -> list[str]:
         members = (*self.membership.voters, *self.membership.learners)
