--- a/src/bendshed/consensus/followers.py
+++ b/src/bendshed/consensus/followers.py
@@ -44,11 +44,11 @@
     """The leader's followers by node id; empty at any other replica.
 
     Attributes:
-        me: the replica itself, never a follower.
+        node_id: the replica itself, never a follower.
 
     """
 
-    me: str
+    node_id: str
     _progress: dict[str, Progress] = field(default_factory=dict)
 
     def __iter__(self) -> Iterator[str]:
@@ -96,13 +96,13 @@
         return [
             node
             for node in voters
-            if node == self.me
+            if node == self.node_id
             or (node in self._progress and self._progress[node].ticks_since_reply < ticks)
         ]
 
     def most_advanced(self, voters: Iterable[str], ticks: int) -> str | None:
         """Follower that replied lately and holds the most of the log."""
-        alive = [node for node in self.recently_replied(voters, ticks) if node != self.me]
+        alive = [node for node in self.recently_replied(voters, ticks) if node != self.node_id]
         if not alive:
             return None
         return max(sorted(alive), key=lambda node: self._progress[node].match_index)
@@ -112,7 +112,8 @@
         if len(voters) < quorum:
             return 0
         matches = sorted(
-            own_index if node == self.me else self._progress[node].match_index for node in voters
+            own_index if node == self.node_id else self._progress[node].match_index
+            for node in voters
         )
         return matches[len(matches) - quorum]
 
