--- a/src/bendshed/consensus/host.py
+++ b/src/bendshed/consensus/host.py
@@ -16,7 +16,7 @@
 from bendshed.consensus import raft_types as raft
 from bendshed.consensus.election_timer import SINGLE_REGION_ORDER, ElectionOrder
 from bendshed.consensus.raft import RaftReplica
-from bendshed.consensus.stall import StallWatch
+from bendshed.consensus.stall import StallDetector
 from bendshed.logs import PartLog
 from bendshed.model.address import Address
 from bendshed.ports.log_storage import GroupWrite, LogStorage, StorageFailed, StoredGroup
@@ -108,7 +108,7 @@
         self.groups: dict[int, HostedGroup] = {}
         self.on_role_changed: Callable[[int, raft.RoleChanged], None] = lambda _group, _change: None
         self.on_foreign_message: Callable[[str], None] = lambda _sender: None
-        self.stalls = StallWatch()
+        self.stall_detector = StallDetector()
         self._storage = storage
         self._transport = transport
         self._rng = rng
@@ -232,7 +232,7 @@
         while True:
             due_s = loop.time() + self._tick_s
             await asyncio.sleep(self._tick_s)
-            self.stalls.note_tick(loop.time() - due_s)
+            self.stall_detector.record_tick(loop.time() - due_s)
             for group in list(self.groups.values()):
                 self._perform(group, group.replica.tick())
                 self._compact_if_long(group)
@@ -334,9 +334,9 @@
             messages, self._after_writes = self._after_writes, []
             if writes:
                 self._writing = True
-                self.stalls.begin_sync(asyncio.get_running_loop().time())
+                self.stall_detector.begin_sync(asyncio.get_running_loop().time())
                 await self._commit_until_done(writes)
-                self.stalls.end_sync()
+                self.stall_detector.end_sync()
                 self._writing = False
                 self._durable.set()
                 self._durable = asyncio.Event()
--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -148,7 +148,7 @@
     def _hand_on_when_stalled(self) -> None:
         """Hand leadership over while this machine's disk or loop stalls."""
         now_s = asyncio.get_running_loop().time()
-        stall = self._host.stalls.stall(now_s)
+        stall = self._host.stall_detector.detect(now_s)
         led = self._host.led_groups()
         if stall is None or not led or now_s < self._handed_on_s + HAND_ON_AGAIN_S:
             return
--- a/tests/test_disk_stall.py
+++ b/tests/test_disk_stall.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from bendshed.consensus.stall import LATE_TICK_S, WATCHED_TICKS, Stall, StallWatch
+from bendshed.consensus.stall import MAX_MEAN_TICK_DELAY_S, TICK_WINDOW, Stall, StallDetector
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.sim_world import SimMachine, SiteWorld
 
@@ -56,13 +56,13 @@
         self.assert_serves()
 
     def test_a_late_loop_is_told_from_a_single_late_tick(self) -> None:
-        watch = StallWatch()
-        for late_s in (0.0,) * 39 + (2.0,):
-            watch.note_tick(late_s)
-        self.assertIsNone(watch.stall(0.0))
-        for _ in range(WATCHED_TICKS):
-            watch.note_tick(LATE_TICK_S)
-        self.assertIs(watch.stall(0.0), Stall.LOOP)
+        detector = StallDetector()
+        for delay_s in (0.0,) * 39 + (2.0,):
+            detector.record_tick(delay_s)
+        self.assertIsNone(detector.detect(0.0))
+        for _ in range(TICK_WINDOW):
+            detector.record_tick(MAX_MEAN_TICK_DELAY_S)
+        self.assertIs(detector.detect(0.0), Stall.LOOP)
 
     def test_a_stalled_follower_costs_nothing(self) -> None:
         self.stall(next(store for store in self.voters() if store is not self.leader()))
