--- a/src/bendshed/consensus/group_client.py
+++ b/src/bendshed/consensus/group_client.py
@@ -17,12 +17,12 @@
 SILENT_S = 1.0
 """A node that gave no answer is not tried for this long while others can be. One whose machine
 refuses the connection costs nothing to try, and may be about to start."""
-FAR_TRIPS = 3.0
+EXTRA_TIMEOUT_ROUND_TRIPS = 3.0
 """Where the leader is far, its bound has so many round trips more: one for the direct
 path, two for a relayed one when that times out (`paths/`)."""
-LEAST_TRIPS = 2.0
+MIN_CONCLUSIVE_ROUND_TRIPS = 2.0
 """A node that had less time than so many round trips may be well though it gave no answer."""
-LEAST_S = 0.06
+MIN_CONCLUSIVE_TIMEOUT_S = 0.06
 """The same for a near one, whose commit may wait for replicas that are far."""
 RETRY_MIN_S = 0.02
 RETRY_MAX_S = 0.2
@@ -60,7 +60,7 @@
         group_count: int,
         resolve: Callable[[str], Address | None],
         disk_nodes: Callable[[], list[str]],
-        likely_nodes: Callable[[int], list[str]] = lambda _group: [],
+        likely_leaders: Callable[[int], list[str]] = lambda _group: [],
         expected_round_trip_s: Callable[[Address], float] = lambda _peer: 0.0,
     ) -> None:
         self.leaders: dict[int, str] = {}
@@ -70,7 +70,7 @@
         self._rng = rng
         self._resolve = resolve
         self._disk_nodes = disk_nodes
-        self._likely_nodes = likely_nodes
+        self._likely_leaders = likely_leaders
         self._silent_until_s: dict[str, float] = {}
 
     async def command(
@@ -137,11 +137,13 @@
             self._forget(group_id, target)
             return None
         expected_round_trip_s = self._expected_round_trip_s(address)
-        given_s = min(timeout_s + FAR_TRIPS * expected_round_trip_s, most_s)
+        given_s = min(timeout_s + EXTRA_TIMEOUT_ROUND_TRIPS * expected_round_trip_s, most_s)
         try:
             content = await self._transport.request(address, method, payload, given_s)
         except PeerUnreachable as error:
-            if error.is_silent and given_s < max(LEAST_TRIPS * expected_round_trip_s, LEAST_S):
+            if error.is_silent and given_s < max(
+                MIN_CONCLUSIVE_ROUND_TRIPS * expected_round_trip_s, MIN_CONCLUSIVE_TIMEOUT_S
+            ):
                 return None
             self._forget(group_id, target)
             if error.is_silent:
@@ -155,7 +157,7 @@
         address = self._resolve(self.leaders.get(group_id, ""))
         return self._expected_round_trip_s(address) if address is not None else 0.0
 
-    def follow_hint(self, group_id: int, hint: str, said_by: str) -> None:
+    def follow_hint(self, group_id: int, hint: str, hinted_by: str) -> None:
         """A node that does not lead the group named who may; empty: nobody known.
 
         Followers name a dead leader until they miss it, so one that was silent within ``SILENT_S``
@@ -164,7 +166,7 @@
         if hint and not self._is_silent(hint):
             self.leaders[group_id] = hint
         else:
-            self._forget(group_id, said_by)
+            self._forget(group_id, hinted_by)
 
     def _forget(self, group_id: int, node_id: str) -> None:
         if self.leaders.get(group_id) == node_id:
@@ -178,7 +180,7 @@
         known = self.leaders.get(group_id)
         if known is not None:
             return known
-        likely = [node for node in self._likely_nodes(group_id) if not self._is_silent(node)]
+        likely = [node for node in self._likely_leaders(group_id) if not self._is_silent(node)]
         candidates = likely or self._disk_nodes()
         answering = [node for node in candidates if not self._is_silent(node)]
         return self._rng.choice(answering or candidates) if candidates else ""
--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -10,7 +10,7 @@
 from typing import assert_never
 
 from bendshed.admission.retry_schedule import retry_after_s
-from bendshed.consensus.group_client import FAR_TRIPS
+from bendshed.consensus.group_client import EXTRA_TIMEOUT_ROUND_TRIPS
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.logs import PartLog
 from bendshed.model.permit import TimedPermit
@@ -149,7 +149,7 @@
     def _timeout_s(self, left_s: float) -> float:
         is_lost = self._client.lost_since_s is not None
         timeout_s = LOST_PERMIT_TIMEOUT_S if is_lost else PERMIT_TIMEOUT_S
-        timeout_s += FAR_TRIPS * self._client.expected_round_trip_home_s
+        timeout_s += EXTRA_TIMEOUT_ROUND_TRIPS * self._client.expected_round_trip_home_s
         return min(timeout_s, left_s)
 
     def _count(self, end: PermitEnd) -> None:
--- a/src/bendshed/turns/client.py
+++ b/src/bendshed/turns/client.py
@@ -25,7 +25,7 @@
 
 COMMAND_TRY_S = 0.3
 """Longest wait of one try for a commit, which takes some ms. A leader in another zone or region has
-more (``group_client.FAR_TRIPS``)."""
+more (``group_client.EXTRA_TIMEOUT_ROUND_TRIPS``)."""
 QUESTION_TRY_S = 0.2
 """The same for what is answered without a commit, or with one for a call."""
 LOSS_LOGGED_S = 0.3
--- a/src/bendshed/turns/group_peers.py
+++ b/src/bendshed/turns/group_peers.py
@@ -4,7 +4,7 @@
 import random
 
 from bendshed.consensus.directory import ReplicaDirectory
-from bendshed.consensus.group_client import FAR_TRIPS, GroupClient, GroupUnavailable
+from bendshed.consensus.group_client import EXTRA_TIMEOUT_ROUND_TRIPS, GroupClient, GroupUnavailable
 from bendshed.consensus.retirement import EMPTIED_METHOD
 from bendshed.model.address import Address
 from bendshed.paths.neighbours import Neighbours
@@ -48,7 +48,7 @@
 
         ``timeout_s`` is for a neighbour; a far leader has more.
         """
-        timeout_s += FAR_TRIPS * self._client.round_trip_to_leader_s(command.group)
+        timeout_s += EXTRA_TIMEOUT_ROUND_TRIPS * self._client.round_trip_to_leader_s(command.group)
         try:
             return await self._turns.command(command, timeout_s)
         except GroupUnavailable:
--- a/tests/test_group_client.py
+++ b/tests/test_group_client.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from bendshed.consensus.group_client import FAR_TRIPS, GroupClient
+from bendshed.consensus.group_client import EXTRA_TIMEOUT_ROUND_TRIPS, GroupClient
 from bendshed.model.address import Address
 from bendshed.ports.transport import PeerUnreachable
 from bendshed.rehearsal.simulator.loop import VirtualTimeLoop
@@ -51,7 +51,7 @@
     def test_a_far_leader_has_more_time_and_never_more_than_is_left(self) -> None:
         self.assertEqual(self.ask(0.2, 9.0), 0.2)
         self.round_trip_s = WAY_S
-        self.assertAlmostEqual(self.ask(0.2, 9.0), 0.2 + FAR_TRIPS * WAY_S)
+        self.assertAlmostEqual(self.ask(0.2, 9.0), 0.2 + EXTRA_TIMEOUT_ROUND_TRIPS * WAY_S)
         self.assertEqual(self.ask(0.2, 0.25), 0.25)
 
     def test_a_leader_that_had_no_time_to_answer_is_not_forgotten(self) -> None:
