--- a/src/bendshed/consensus/group_client.py
+++ b/src/bendshed/consensus/group_client.py
@@ -14,7 +14,7 @@
 COMMAND_METHOD = "group.command"
 REPLY_MARGIN_S = 1.0
 """Time that a leader may take beyond the wait of a request."""
-SILENT_S = 1.0
+SILENT_NODE_BACKOFF_S = 1.0
 """A node that gave no answer is not tried for this long while others can be. One whose machine
 refuses the connection costs nothing to try, and may be about to start."""
 EXTRA_TIMEOUT_ROUND_TRIPS = 3.0
@@ -71,7 +71,7 @@
         self._resolve = resolve
         self._disk_nodes = disk_nodes
         self._likely_leaders = likely_leaders
-        self._silent_until_s: dict[str, float] = {}
+        self._backoff_until_s: dict[str, float] = {}
 
     async def command(
         self, key: str, command: wire.ProgramCommand, timeout_s: float, wait_s: float = 0.0
@@ -89,20 +89,20 @@
             group_id=group_of(key, self.group_count), command=command, wait_ms=int(wait_s * 1000)
         )
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + timeout_s
-        while loop.time() < give_up_at:
-            reply = await self._try_once(request, give_up_at - loop.time(), wait_s)
+        deadline_s = loop.time() + timeout_s
+        while loop.time() < deadline_s:
+            reply = await self._try_once(request, deadline_s - loop.time(), wait_s)
             if reply is not None and reply.is_leader:
                 return reply.result
             await asyncio.sleep(self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S))
         raise GroupUnavailable(f"group {request.group_id} has no leader that answers")
 
     async def _try_once(
-        self, request: wire.GroupRequest, left_s: float, wait_s: float
+        self, request: wire.GroupRequest, remaining_s: float, wait_s: float
     ) -> wire.GroupReply | None:
         timeout_s = wait_s + REPLY_MARGIN_S
         answer = await self.request_leader(
-            request.group_id, COMMAND_METHOD, request.SerializeToString(), timeout_s, left_s
+            request.group_id, COMMAND_METHOD, request.SerializeToString(), timeout_s, remaining_s
         )
         if answer is None:
             return None
@@ -119,7 +119,7 @@
         method: str,
         payload: bytes,
         timeout_s: float,
-        most_s: float = math.inf,
+        max_timeout_s: float = math.inf,
     ) -> LeaderAnswer | None:
         """Send the supposed leader of a group a request; ``None``: no answer, it is forgotten.
 
@@ -128,28 +128,32 @@
             method: of the request.
             payload: of the request.
             timeout_s: for an answer of a neighbour; a far leader has more.
-            most_s: no answer helps after this long.
+            max_timeout_s: no answer helps after this long.
 
         """
-        target = self._target(group_id)
+        target = self._choose_target(group_id)
         address = self._resolve(target) if target else None
         if address is None:
             self._forget(group_id, target)
             return None
         expected_round_trip_s = self._expected_round_trip_s(address)
-        given_s = min(timeout_s + EXTRA_TIMEOUT_ROUND_TRIPS * expected_round_trip_s, most_s)
+        request_timeout_s = min(
+            timeout_s + EXTRA_TIMEOUT_ROUND_TRIPS * expected_round_trip_s, max_timeout_s
+        )
         try:
-            content = await self._transport.request(address, method, payload, given_s)
+            content = await self._transport.request(address, method, payload, request_timeout_s)
         except PeerUnreachable as error:
-            if error.is_silent and given_s < max(
+            if error.is_silent and request_timeout_s < max(
                 MIN_CONCLUSIVE_ROUND_TRIPS * expected_round_trip_s, MIN_CONCLUSIVE_TIMEOUT_S
             ):
                 return None
             self._forget(group_id, target)
             if error.is_silent:
-                self._silent_until_s[target] = asyncio.get_running_loop().time() + SILENT_S
+                self._backoff_until_s[target] = (
+                    asyncio.get_running_loop().time() + SILENT_NODE_BACKOFF_S
+                )
             return None
-        self._silent_until_s.pop(target, None)
+        self._backoff_until_s.pop(target, None)
         return LeaderAnswer(target, content)
 
     def round_trip_to_leader_s(self, group_id: int) -> float:
@@ -160,10 +164,11 @@
     def follow_hint(self, group_id: int, hint: str, hinted_by: str) -> None:
         """A node that does not lead the group named who may; empty: nobody known.
 
-        Followers name a dead leader until they miss it, so one that was silent within ``SILENT_S``
+        Followers name a dead leader until they miss it, so one that was silent within
+        ``SILENT_NODE_BACKOFF_S``
         is not tried again for their hint.
         """
-        if hint and not self._is_silent(hint):
+        if hint and not self._is_backed_off(hint):
             self.leaders[group_id] = hint
         else:
             self._forget(group_id, hinted_by)
@@ -172,15 +177,15 @@
         if self.leaders.get(group_id) == node_id:
             del self.leaders[group_id]
 
-    def _is_silent(self, node_id: str) -> bool:
-        until_s = self._silent_until_s.get(node_id, 0.0)
+    def _is_backed_off(self, node_id: str) -> bool:
+        until_s = self._backoff_until_s.get(node_id, 0.0)
         return asyncio.get_running_loop().time() < until_s
 
-    def _target(self, group_id: int) -> str:
+    def _choose_target(self, group_id: int) -> str:
         known = self.leaders.get(group_id)
         if known is not None:
             return known
-        likely = [node for node in self._likely_leaders(group_id) if not self._is_silent(node)]
+        likely = [node for node in self._likely_leaders(group_id) if not self._is_backed_off(node)]
         candidates = likely or self._disk_nodes()
-        answering = [node for node in candidates if not self._is_silent(node)]
+        answering = [node for node in candidates if not self._is_backed_off(node)]
         return self._rng.choice(answering or candidates) if candidates else ""
