--- a/src/bendshed/consensus/host.py
+++ b/src/bendshed/consensus/host.py
@@ -27,7 +27,7 @@
 CONSENSUS_METHOD = "consensus.batch"
 COMPACT_AFTER_ENTRIES = 2_000
 COMPACT_AFTER_BYTES = 32 * 1024 * 1024
-COMPACT_STAGGER = 5
+COMPACT_STAGGER_STEPS = 5
 """Replicas compact at different lengths, so that a majority never writes snapshots at once."""
 COMMIT_RETRY_S = 0.2
 
@@ -101,13 +101,13 @@
         resolve: Callable[[str], Address | None],
         compact_after_entries: int = COMPACT_AFTER_ENTRIES,
         compact_after_bytes: int = COMPACT_AFTER_BYTES,
-        is_candidate_at_once: bool = True,
-        order_of: Callable[[int], ElectionOrder] = lambda _group: SINGLE_REGION_ORDER,
+        campaigns_at_start: bool = True,
+        election_order_of: Callable[[int], ElectionOrder] = lambda _group: SINGLE_REGION_ORDER,
     ) -> None:
         self.node_id = storage.node_id()
         self.groups: dict[int, HostedGroup] = {}
         self.on_role_changed: Callable[[int, raft.RoleChanged], None] = lambda _group, _change: None
-        self.on_foreign_message: Callable[[str], None] = lambda _sender: None
+        self.on_misaddressed_message: Callable[[str], None] = lambda _sender: None
         self.stall_detector = StallDetector()
         self._storage = storage
         self._transport = transport
@@ -117,11 +117,11 @@
         self._resolve = resolve
         self._compact_after_entries = staggered(compact_after_entries, self.node_id)
         self._compact_after_bytes = staggered(compact_after_bytes, self.node_id)
-        self._is_candidate_at_once = is_candidate_at_once
-        self._order_of = order_of
+        self._campaigns_at_start = campaigns_at_start
+        self._election_order_of = election_order_of
         self._writes: list[GroupWrite] = []
-        self._after_writes: list[wire.ConsensusMessage] = []
-        self._writing = False
+        self._messages_after_writes: list[wire.ConsensusMessage] = []
+        self._is_committing = False
         self._work = asyncio.Event()
         self._durable = asyncio.Event()
         self._outbox: dict[str, list[wire.ConsensusMessage]] = {}
@@ -154,15 +154,15 @@
 
     async def flush(self) -> None:
         """Wait until everything written so far is durable."""
-        while self._writes or self._writing:
+        while self._writes or self._is_committing:
             await self._durable.wait()
 
     def _add(self, stored: StoredGroup) -> HostedGroup:
         state = self._new_state(stored.group_id)
         if stored.snapshot.state:
             state.restore(stored.snapshot.state)
-        order = self._order_of(stored.group_id)
-        replica = RaftReplica(self.node_id, stored, self._rng, self._is_candidate_at_once, order)
+        order = self._election_order_of(stored.group_id)
+        replica = RaftReplica(self.node_id, stored, self._rng, self._campaigns_at_start, order)
         group = HostedGroup(replica, state)
         self.groups[stored.group_id] = group
         return group
@@ -206,20 +206,20 @@
         self._perform(group, effects)
         return index > 0
 
-    def hand_over_all(self) -> None:
+    def transfer_all_leadership(self) -> None:
         """Ask another voter to lead each group that this node leads; one at home if one is well."""
         for group_id, group in self.groups.items():
-            is_home = self._order_of(group_id).is_home
+            is_home = self._election_order_of(group_id).is_home
             home = [node for node in group.replica.membership.voters if is_home(node)]
-            if not self.hand_over(group_id, home):
-                self.hand_over(group_id, group.replica.membership.voters)
+            if not self.transfer_leadership(group_id, home):
+                self.transfer_leadership(group_id, group.replica.membership.voters)
 
-    def hand_over(self, group_id: int, among: Collection[str]) -> bool:
+    def transfer_leadership(self, group_id: int, among: Collection[str]) -> bool:
         """Request one of some voters to lead a group; ``False``: none of them replies."""
         group = self.groups[group_id]
         effects = group.replica.transfer_leadership(among)
         self._perform(group, effects)
-        return group.replica.is_handing_over
+        return group.replica.is_transferring_leadership
 
     def led_groups(self) -> list[int]:
         """Groups that this node leads."""
@@ -247,7 +247,7 @@
     def _receive_batch(self, payload: bytes) -> None:
         for message in wire.ConsensusBatch.FromString(payload).messages:
             if message.receiver != self.node_id:
-                self.on_foreign_message(message.sender)
+                self.on_misaddressed_message(message.sender)
                 continue
             group = self.groups.get(message.group_id)
             if group is None:
@@ -277,7 +277,7 @@
                     self._apply(group, entries)
                 case raft.Restore(snapshot):
                     group.state.restore(snapshot.state)
-                    self._announce_change(group)
+                    self._signal_change(group)
                 case raft.RoleChanged(role, term, leader):
                     log.say(
                         "role changed",
@@ -287,11 +287,11 @@
                         leader=leader,
                     )
                     self.on_role_changed(group.replica.group_id, effect)
-                    self._announce_change(group)
+                    self._signal_change(group)
 
     def _send(self, message: wire.ConsensusMessage, after_persist: bool) -> None:
-        if after_persist and (self._writes or self._writing):
-            self._after_writes.append(message)
+        if after_persist and (self._writes or self._is_committing):
+            self._messages_after_writes.append(message)
             self._work.set()
             return
         if not self._outbox:
@@ -320,9 +320,9 @@
                 future.set_result(result)
             else:
                 future.set_exception(NotCommitted(f"entry {entry.index}"))
-        self._announce_change(group)
+        self._signal_change(group)
 
-    def _announce_change(self, group: HostedGroup) -> None:
+    def _signal_change(self, group: HostedGroup) -> None:
         group.changed.set()
         group.changed = asyncio.Event()
 
@@ -331,20 +331,20 @@
             await self._work.wait()
             self._work.clear()
             writes, self._writes = self._writes, []
-            messages, self._after_writes = self._after_writes, []
+            messages, self._messages_after_writes = self._messages_after_writes, []
             if writes:
-                self._writing = True
+                self._is_committing = True
                 self.stall_detector.begin_sync(asyncio.get_running_loop().time())
-                await self._commit_until_done(writes)
+                await self._commit_with_retries(writes)
                 self.stall_detector.end_sync()
-                self._writing = False
+                self._is_committing = False
                 self._durable.set()
                 self._durable = asyncio.Event()
             for message in messages:
                 self._send(message, after_persist=False)
             self._report_persisted(writes)
 
-    async def _commit_until_done(self, writes: list[GroupWrite]) -> None:
+    async def _commit_with_retries(self, writes: list[GroupWrite]) -> None:
         """Commit; a disk that is full or fails is tried again, and nothing counts meanwhile."""
         failures = 0
         while True:
@@ -370,5 +370,5 @@
 
 def staggered(limit: int, node_id: str) -> int:
     """A node's stagger above a limit, from 0 to two fifths of it, by its identity."""
-    step = xxhash.xxh3_64_intdigest(node_id.encode()) % COMPACT_STAGGER
-    return limit + limit * step // (2 * COMPACT_STAGGER)
+    step = xxhash.xxh3_64_intdigest(node_id.encode()) % COMPACT_STAGGER_STEPS
+    return limit + limit * step // (2 * COMPACT_STAGGER_STEPS)
--- a/src/bendshed/consensus/raft.py
+++ b/src/bendshed/consensus/raft.py
@@ -60,7 +60,7 @@
         node_id: str,
         stored: StoredGroup,
         rng: random.Random,
-        is_candidate_at_once: bool = True,
+        campaigns_at_start: bool = True,
         order: ElectionOrder = SINGLE_REGION_ORDER,
     ) -> None:
         self.node_id = node_id
@@ -80,7 +80,7 @@
         self._ticks_since_heartbeat = 0
         self._transfer_target = ""
         self.membership = self.log.membership_at(self.log.last_index)
-        if is_candidate_at_once:
+        if campaigns_at_start:
             self._timer.start(node_id, self.membership.voters)
         self._effects: list[Effect] = []
 
@@ -123,7 +123,7 @@
         return not any(entry.kind == wire.ENTRY_KIND_MEMBERSHIP for entry in pending)
 
     @property
-    def is_handing_over(self) -> bool:
+    def is_transferring_leadership(self) -> bool:
         """Whether this leader waits for another voter to take over."""
         return bool(self._transfer_target)
 
--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -84,7 +84,7 @@
         self._directory.put(self.me)
         self._transport.one_way_handlers[HELLO_METHOD] = self._take_hello
         self._transport.handlers[EMPTIED_METHOD] = self._reporter.answer
-        self._host.on_foreign_message = self._introduce_to
+        self._host.on_misaddressed_message = self._introduce_to
         self._introductions.start()
         self._tasks = [
             start_loop(self._bootstrap.announce(), "supervisor"),
@@ -154,7 +154,7 @@
             return
         self._handed_on_s = now_s
         log.say("handing leadership over: disk or loop stalled", reason=stall.value, groups=led)
-        self._host.hand_over_all()
+        self._host.transfer_all_leadership()
 
     def _supervise_group(self, group_id: int, group: HostedGroup) -> None:
         """Hand over where another should lead, else change the members if need be."""
@@ -162,7 +162,7 @@
         retiring = self._directory.retiring_ids()
         staying = [node for node in voters if node not in retiring]
         if self.me.node_id in retiring and staying:
-            self._host.hand_over(group_id, staying)
+            self._host.transfer_leadership(group_id, staying)
             return
         self._lead_from_home(group_id, group, staying)
         if group.replica.membership_settled:
@@ -188,7 +188,7 @@
                 group=group_id,
                 voters=ready,
             )
-            self._host.hand_over(group_id, ready)
+            self._host.transfer_leadership(group_id, ready)
 
     def _places(self, group_id: int) -> VoterPlaces:
         zone_of = {node.node_id: node.zone for node in self._directory.by_name.values()}
--- a/src/bendshed/node.py
+++ b/src/bendshed/node.py
@@ -204,7 +204,7 @@
         log.say("drains", calls=len(self.executor.live))
         self.membership.leave()
         if self.host is not None:
-            self.host.hand_over_all()
+            self.host.transfer_all_leadership()
         await self.executor.drain()
         await self._wait_until_spared()
 
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -150,8 +150,8 @@
             TurnLogState,
             self.directory.resolve,
             COMPACT_AFTER_ENTRIES,
-            is_candidate_at_once=policy.quick_election,
-            order_of=self._standing_order,
+            campaigns_at_start=policy.quick_election,
+            election_order_of=self._standing_order,
         )
 
     def _build_supervisor(
@@ -273,5 +273,5 @@
         loop = asyncio.get_running_loop()
         until_s = loop.time() + HAND_OVER_S
         while self.host.led_groups() and loop.time() < until_s:
-            self.host.hand_over_all()
+            self.host.transfer_all_leadership()
             await asyncio.sleep(HAND_OVER_CHECK_S)
