--- a/src/bendshed/consensus/host.py
+++ b/src/bendshed/consensus/host.py
@@ -115,8 +115,8 @@
         self._tick_s = tick_s
         self._new_state = new_state
         self._resolve = resolve
-        self._compact_after_entries = staggered(compact_after_entries, self.node_id)
-        self._compact_after_bytes = staggered(compact_after_bytes, self.node_id)
+        self._compact_after_entries = stagger_limit(compact_after_entries, self.node_id)
+        self._compact_after_bytes = stagger_limit(compact_after_bytes, self.node_id)
         self._campaigns_at_start = campaigns_at_start
         self._election_order_of = election_order_of
         self._writes: list[GroupWrite] = []
@@ -368,7 +368,7 @@
                 self._perform(group, group.replica.persisted(last.index, last.term))
 
 
-def staggered(limit: int, node_id: str) -> int:
+def stagger_limit(limit: int, node_id: str) -> int:
     """A node's stagger above a limit, from 0 to two fifths of it, by its identity."""
     step = xxhash.xxh3_64_intdigest(node_id.encode()) % COMPACT_STAGGER_STEPS
     return limit + limit * step // (2 * COMPACT_STAGGER_STEPS)
--- a/tests/test_compaction.py
+++ b/tests/test_compaction.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from bendshed.consensus.host import staggered
+from bendshed.consensus.host import stagger_limit
 from bendshed.consensus.raft_types import ReplicaLog
 from bendshed.rehearsal.site.sim_world import SiteWorld
 from bendshed.turns import node as turn_log_node
@@ -49,6 +49,6 @@
         self.assertEqual((log.num_bytes, len(log.entries)), (500, 5))
 
     def test_nodes_compact_at_different_lengths(self) -> None:
-        lengths = {staggered(1000, f"node-{number}") for number in range(40)}
+        lengths = {stagger_limit(1000, f"node-{number}") for number in range(40)}
         self.assertGreater(len(lengths), 3)
         self.assertTrue(all(1000 <= length <= 1400 for length in lengths))
