--- a/src/bendshed/consensus/membership_plan.py
+++ b/src/bendshed/consensus/membership_plan.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass, field
 
-from bendshed.consensus.replica_choice import VoterPlaces
+from bendshed.consensus.replica_choice import VoterTopology
 from bendshed.wire.consensus_pb2 import GroupMembership
 
 
@@ -31,7 +31,7 @@
     caught_up: Collection[str]
     candidates: Sequence[str]
     count: int
-    places: VoterPlaces = field(default_factory=lambda: VoterPlaces({}))
+    topology: VoterTopology = field(default_factory=lambda: VoterTopology({}))
     unheard: Collection[str] = ()
 
     def may_let_go(self, voters: Collection[str], node: str) -> bool:
@@ -108,7 +108,7 @@
         return None  # the leader itself is to go; it hands over first
     silent = [node for node in removable if node in facts.silent]
     others = silent or removable or [node for node in present.voters if node != facts.me]
-    leaving = facts.places.best_without(present.voters, others)
+    leaving = facts.topology.choose_removal(present.voters, others)
     return _without(present, leaving) if facts.may_let_go(present.voters, leaving) else None
 
 
@@ -135,11 +135,13 @@
     others = [voter for voter in voters if voter != facts.me]
     if not others:
         return False
-    leaving = facts.places.best_without([*voters, node], others)
+    leaving = facts.topology.choose_removal([*voters, node], others)
     exchanged = [node, *(voter for voter in voters if voter != leaving)]
-    badness = facts.places.badness
-    surplus_meanwhile = badness([*voters, node])[0]
-    return surplus_meanwhile <= badness(voters)[0] and badness(exchanged) < badness(voters)
+    placement_cost = facts.topology.placement_cost
+    surplus_meanwhile = placement_cost([*voters, node])[0]
+    return surplus_meanwhile <= placement_cost(voters)[0] and placement_cost(
+        exchanged
+    ) < placement_cost(voters)
 
 
 def _empty_without_successor(
--- a/src/bendshed/consensus/replica_choice.py
+++ b/src/bendshed/consensus/replica_choice.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VoterPlaces:
+class VoterTopology:
     """What makes one set of voters better than another.
 
     A zone may be lost whole, so none should hold more voters than the group can lose. Beyond that
@@ -37,7 +37,7 @@
             return True
         return self.zone_of[node] in self.home_zones
 
-    def badness(self, voters: Collection[str]) -> tuple[int, int, int]:
+    def placement_cost(self, voters: Collection[str]) -> tuple[int, int, int]:
         """How badly voters are spread; less is better.
 
         First the voters that a zone holds beyond those that may be lost, then those away from
@@ -49,10 +49,12 @@
         num_away = sum(1 for node in voters if not self.is_home(node))
         return surplus, num_away, sum(count * count for count in by_zone.values())
 
-    def best_without(self, voters: Sequence[str], removable: Sequence[str]) -> str:
+    def choose_removal(self, voters: Sequence[str], removable: Sequence[str]) -> str:
         """Voter whose removal leaves the best set; of equals the one that joined last."""
         newest_first = reversed(removable)
-        return min(newest_first, key=lambda node: self.badness([v for v in voters if v != node]))
+        return min(
+            newest_first, key=lambda node: self.placement_cost([v for v in voters if v != node])
+        )
 
 
 def choose_replicas(
@@ -70,28 +72,28 @@
         home_zones: zones of the group's region; ``None``: all are.
 
     """
-    places = VoterPlaces({node.node_id: node.zone for node in nodes}, home_zones)
-    ranked = rendezvous_rank(f"group-{group_id}", places.zone_of)
+    topology = VoterTopology({node.node_id: node.zone for node in nodes}, home_zones)
+    ranked = rendezvous_rank(f"group-{group_id}", topology.zone_of)
     num_losable = (count - 1) // 2
     chosen: list[str] = []
     while len(chosen) < min(count, len(ranked)):
-        by_zone = Counter(places.zone_of[node] for node in chosen)
+        by_zone = Counter(topology.zone_of[node] for node in chosen)
         left = [node for node in ranked if node not in chosen]
-        chosen.append(min(left, key=lambda node: _place_key(node, places, by_zone, num_losable)))
+        chosen.append(min(left, key=lambda node: _place_key(node, topology, by_zone, num_losable)))
     return chosen
 
 
 def _place_key(
-    node: str, places: VoterPlaces, by_zone: "Counter[str]", num_losable: int
+    node: str, topology: VoterTopology, by_zone: "Counter[str]", num_losable: int
 ) -> tuple[bool, bool, int]:
     """The next voter has the least: its zone has room, it is at home, its zone holds few."""
-    num_there = by_zone[places.zone_of[node]]
-    return num_there >= max(1, num_losable), not places.is_home(node), num_there
+    num_there = by_zone[topology.zone_of[node]]
+    return num_there >= max(1, num_losable), not topology.is_home(node), num_there
 
 
 def rank_candidates(
     group_id: int,
-    places: VoterPlaces,
+    topology: VoterTopology,
     free: Collection[str],
     voters: Collection[str],
     weak: Collection[str] = (),
@@ -114,7 +116,7 @@
     return sorted(
         ranked,
         key=lambda node: (
-            places.badness([*voters, node])[0],
-            places.badness([*staying, node]),
+            topology.placement_cost([*voters, node])[0],
+            topology.placement_cost([*staying, node]),
         ),
     )
--- a/src/bendshed/consensus/replica_placement.py
+++ b/src/bendshed/consensus/replica_placement.py
@@ -8,7 +8,7 @@
 from bendshed.consensus.raft_types import Role
 from bendshed.consensus.replica_choice import (
     DiskNode,
-    VoterPlaces,
+    VoterTopology,
     choose_replicas,
     rank_candidates,
 )
@@ -132,7 +132,7 @@
     ) -> ReplicaFacts:
         membership = replica.membership
         members = [*membership.voters, *membership.learners]
-        places = VoterPlaces({node_id: node.zone for node_id, node in live.items()})
+        topology = VoterTopology({node_id: node.zone for node_id, node in live.items()})
         free = [node for node in live if node not in members]
         voters = list(membership.voters)
         unheard = replica.followers.silent(members, UNHEARD_TICKS)
@@ -145,9 +145,9 @@
             caught_up=replica.followers.caught_up(
                 membership.learners, replica.last_index, MAX_LEARNER_LAG
             ),
-            candidates=rank_candidates(group_id, places, free, voters, gone),
+            candidates=rank_candidates(group_id, topology, free, voters, gone),
             count=self._settings.replicas,
-            places=places,
+            topology=topology,
         )
 
     def _long_missing(self, live: dict[str, DiskNode]) -> set[str]:
--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -10,7 +10,7 @@
 from bendshed.consensus.membership_plan import ReplicaFacts, plan_membership
 from bendshed.consensus.raft_types import Role
 from bendshed.consensus.replica_candidates import ReplicaCandidates
-from bendshed.consensus.replica_choice import VoterPlaces, rank_candidates
+from bendshed.consensus.replica_choice import VoterTopology, rank_candidates
 from bendshed.consensus.retirement import EMPTIED_METHOD, RequestEmptied, RetirementReporter
 from bendshed.logs import PartLog
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
@@ -170,8 +170,8 @@
 
     def _lead_from_home(self, group_id: int, group: HostedGroup, staying: list[str]) -> None:
         """Away from home, hand over to a voter there that has kept up for ``HOME_WATCH_S``."""
-        places = self._places(group_id)
-        if places.is_home(self.me.node_id):
+        topology = self._topology(group_id)
+        if topology.is_home(self.me.node_id):
             self._away_since.pop(group_id, None)
             return
         now_s, replica = asyncio.get_running_loop().time(), group.replica
@@ -180,7 +180,7 @@
         if term == replica.term and now_s < since_s + HOME_WATCH_S:
             return
         self._away_since[group_id] = here
-        home = [node for node in staying if places.is_home(node)]
+        home = [node for node in staying if topology.is_home(node)]
         ready = [node for node in home if replica.followers[node].match_index >= index]
         if term == replica.term and ready:
             log.say(
@@ -190,9 +190,9 @@
             )
             self._host.transfer_leadership(group_id, ready)
 
-    def _places(self, group_id: int) -> VoterPlaces:
+    def _topology(self, group_id: int) -> VoterTopology:
         zone_of = {node.node_id: node.zone for node in self._directory.by_name.values()}
-        return VoterPlaces(zone_of, self._groups.home_zones(group_id))
+        return VoterTopology(zone_of, self._groups.home_zones(group_id))
 
     def _change_membership(self, group_id: int, group: HostedGroup) -> None:
         """Take the next step, if any; the plan is made again only when its inputs changed."""
@@ -201,9 +201,9 @@
         seen = (tuple(replica.membership.voters), tuple(replica.membership.learners), facts)
         if self._rested.get(group_id) == seen:
             return
-        places, weak = facts.places, {*facts.silent, *facts.retiring}
+        topology, weak = facts.topology, {*facts.silent, *facts.retiring}
         free, voters = facts.candidates, replica.membership.voters
-        ranked = rank_candidates(group_id, places, free, voters, weak)
+        ranked = rank_candidates(group_id, topology, free, voters, weak)
         sound = [node for node in voters if node not in weak and node not in facts.wiped]
         # While a machine is being taken in, no other is needed, and so none is waited for.
         is_voter_missing = len(sound) < facts.count and not replica.membership.learners
@@ -222,7 +222,7 @@
                 group=group_id,
                 voters=list(wanted.voters),
                 learners=list(wanted.learners),
-                zones=[facts.places.zone_of.get(node, "") for node in wanted.voters],
+                zones=[facts.topology.zone_of.get(node, "") for node in wanted.voters],
                 wiped=sorted(facts.wiped),
                 silent=sorted(facts.silent),
                 retiring=sorted(facts.retiring),
@@ -236,8 +236,8 @@
         members = [*membership.voters, *membership.learners]
         silent = replica.followers.silent(members, SILENT_S / self._tick_s)
         retiring = self._directory.retiring_ids()
-        places = self._places(group_id)
-        free = self._free(places, members, retiring)
+        topology = self._topology(group_id)
+        free = self._free(topology, members, retiring)
         caught_up = replica.followers.caught_up(
             membership.learners, replica.last_index, MAX_LEARNER_LAG
         )
@@ -251,14 +251,14 @@
             caught_up=caught_up,
             candidates=free,
             count=self._num_voters,
-            places=places,
+            topology=topology,
         )
 
-    def _free(self, places: VoterPlaces, members: list[str], retiring: set[str]) -> list[str]:
+    def _free(self, topology: VoterTopology, members: list[str], retiring: set[str]) -> list[str]:
         """Machines that may be taken in."""
         return [
             node
-            for node in places.zone_of
+            for node in topology.zone_of
             if node not in members
             and node not in retiring
             and not self._candidates.is_backed_off(node)
--- a/tests/region_defects.py
+++ b/tests/region_defects.py
@@ -8,7 +8,7 @@
 from bendshed.admission import program_budget
 from bendshed.admission.program_budget import ProgramBudget
 from bendshed.consensus import bootstrap as founding
-from bendshed.consensus.replica_choice import DiskNode, VoterPlaces
+from bendshed.consensus.replica_choice import DiskNode, VoterTopology
 from bendshed.rehearsal.site.layout import THREE_ZONES, TWO_REGIONS, SiteLayout
 from bendshed.rehearsal.site.oracle import Rule, Violation
 from bendshed.rehearsal.site.programs import ProgramPlan
@@ -32,7 +32,7 @@
 
 
 def region(site: SiteWorld, machine: SimMachine) -> str:
-    return site.layout.places.region(machine.zone)
+    return site.layout.topology.region(machine.zone)
 
 
 def cut_regions(site: SiteWorld) -> None:
@@ -171,7 +171,7 @@
     stack = contextlib.ExitStack()
     stack.enter_context(mock.patch.object(founding, "choose_replicas", _by_name))
     stack.enter_context(
-        mock.patch.object(VoterPlaces, "badness", lambda _places, _voters: (0, 0, 0))
+        mock.patch.object(VoterTopology, "placement_cost", lambda _topology, _voters: (0, 0, 0))
     )
     return stack
 
--- a/tests/test_voter_places.py
+++ b/tests/test_voter_places.py
@@ -8,7 +8,7 @@
 from bendshed.consensus.membership_plan import ReplicaFacts, plan_membership
 from bendshed.consensus.replica_choice import (
     DiskNode,
-    VoterPlaces,
+    VoterTopology,
     choose_replicas,
     rank_candidates,
 )
@@ -42,7 +42,7 @@
     retiring: Collection[str] = (),
 ) -> Iterator[GroupMembership]:
     """Memberships until the plan has nothing more to do; learners catch up at once."""
-    places = VoterPlaces(zone_of, home)
+    topology = VoterTopology(zone_of, home)
     present = GroupMembership(voters=voters)
     for _ in range(60):
         known = {*present.voters, *present.learners}
@@ -54,9 +54,9 @@
             silent=silent,
             retiring=retiring,
             caught_up=present.learners,
-            candidates=rank_candidates(0, places, free, present.voters, weak),
+            candidates=rank_candidates(0, topology, free, present.voters, weak),
             count=COUNT,
-            places=places,
+            topology=topology,
         )
         wanted = plan_membership(present, facts)
         if wanted is None:
@@ -152,7 +152,7 @@
     def test_a_learner_that_nobody_needs_any_more_goes(self) -> None:
         voters = self.founded(1)
         free = next(node for node in TEN_IN_THREE if node not in voters)
-        facts = ReplicaFacts(voters[0], (), (), (), (), (), COUNT, VoterPlaces(TEN_IN_THREE))
+        facts = ReplicaFacts(voters[0], (), (), (), (), (), COUNT, VoterTopology(TEN_IN_THREE))
         wanted = plan_membership(GroupMembership(voters=voters, learners=[free]), facts)
         assert wanted is not None
         self.assertEqual((list(wanted.voters), list(wanted.learners)), (voters, []))
