--- a/src/bendshed/consensus/replica_choice.py
+++ b/src/bendshed/consensus/replica_choice.py
@@ -44,10 +44,10 @@
         home, then how unevenly zones are filled.
         """
         by_zone = Counter(self.zone_of.get(node, node) for node in voters)
-        num_losable = (len(voters) - 1) // 2
-        surplus = sum(max(0, count - num_losable) for count in by_zone.values())
-        num_away = sum(1 for node in voters if not self.is_home(node))
-        return surplus, num_away, sum(count * count for count in by_zone.values())
+        num_tolerated_losses = (len(voters) - 1) // 2
+        surplus = sum(max(0, count - num_tolerated_losses) for count in by_zone.values())
+        num_outside_home = sum(1 for node in voters if not self.is_home(node))
+        return surplus, num_outside_home, sum(count * count for count in by_zone.values())
 
     def choose_removal(self, voters: Sequence[str], removable: Sequence[str]) -> str:
         """Voter whose removal leaves the best set; of equals the one that joined last."""
@@ -60,7 +60,7 @@
 def choose_replicas(
     group_id: int,
     nodes: Collection[DiskNode],
-    count: int,
+    num_voters: int,
     home_zones: Collection[str] | None = None,
 ) -> list[str]:
     """Voters of a new group.
@@ -68,55 +68,61 @@
     Args:
         group_id: decides between equals.
         nodes: that can hold replicas.
-        count: wanted voters.
+        num_voters: wanted voters.
         home_zones: zones of the group's region; ``None``: all are.
 
     """
     topology = VoterTopology({node.node_id: node.zone for node in nodes}, home_zones)
     ranked = rendezvous_rank(f"group-{group_id}", topology.zone_of)
-    num_losable = (count - 1) // 2
+    num_tolerated_losses = (num_voters - 1) // 2
     chosen: list[str] = []
-    while len(chosen) < min(count, len(ranked)):
+    while len(chosen) < min(num_voters, len(ranked)):
         by_zone = Counter(topology.zone_of[node] for node in chosen)
-        left = [node for node in ranked if node not in chosen]
-        chosen.append(min(left, key=lambda node: _place_key(node, topology, by_zone, num_losable)))
+        remaining = [node for node in ranked if node not in chosen]
+        chosen.append(
+            min(
+                remaining,
+                key=lambda node: _placement_key(node, topology, by_zone, num_tolerated_losses),
+            )
+        )
     return chosen
 
 
-def _place_key(
-    node: str, topology: VoterTopology, by_zone: "Counter[str]", num_losable: int
+def _placement_key(
+    node: str, topology: VoterTopology, by_zone: "Counter[str]", num_tolerated_losses: int
 ) -> tuple[bool, bool, int]:
     """The next voter has the least: its zone has room, it is at home, its zone holds few."""
     num_there = by_zone[topology.zone_of[node]]
-    return num_there >= max(1, num_losable), not topology.is_home(node), num_there
+    return num_there >= max(1, num_tolerated_losses), not topology.is_home(node), num_there
 
 
 def rank_candidates(
     group_id: int,
     topology: VoterTopology,
-    free: Collection[str],
+    available: Collection[str],
     voters: Collection[str],
-    weak: Collection[str] = (),
+    to_replace: Collection[str] = (),
 ) -> list[str]:
     """Nodes that may take a replica, best first; of equals by rank.
 
-    Both moments count: while the newcomer votes beside all present voters, and when the weak ones
+    Both moments count: while the newcomer votes beside all present voters, and when the to_replace
+    ones
     are gone.
 
     Args:
         group_id: decides the rank.
         places: zones of all nodes.
-        free: nodes that hold no replica and may.
-        voters: present voters, the weak ones too.
-        weak: voters that are to go.
+        available: nodes that hold no replica and may.
+        voters: present voters, the to_replace ones too.
+        to_replace: voters that are to go.
 
     """
-    staying = [node for node in voters if node not in weak]
-    ranked = rendezvous_rank(f"group-{group_id}", free)
+    kept = [node for node in voters if node not in to_replace]
+    ranked = rendezvous_rank(f"group-{group_id}", available)
     return sorted(
         ranked,
         key=lambda node: (
             topology.placement_cost([*voters, node])[0],
-            topology.placement_cost([*staying, node]),
+            topology.placement_cost([*kept, node]),
         ),
     )
