--- a/src/bendshed/consensus/membership_plan.py
+++ b/src/bendshed/consensus/membership_plan.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaFacts:
+class PlanInputs:
     """What the leader knows when it decides.
 
     Attributes:
@@ -48,7 +48,7 @@
         return node in self.silent or node in self.retiring
 
 
-def plan_membership(present: GroupMembership, facts: ReplicaFacts) -> GroupMembership | None:
+def plan_membership(present: GroupMembership, inputs: PlanInputs) -> GroupMembership | None:
     """Return the next step towards ``count`` sound voters; ``None``: nothing to do now.
 
     A wiped voter is removed at once: it can neither vote nor come back. A silent or retiring one
@@ -56,33 +56,33 @@
     would. A leader never removes itself.
     """
     voters, learners = list(present.voters), list(present.learners)
-    useless = [node for node in learners if node in facts.wiped or facts.is_weak(node)]
+    useless = [node for node in learners if node in inputs.wiped or inputs.is_weak(node)]
     if useless:
         return _membership(voters, [node for node in learners if node not in useless])
     for node in voters:
-        if node in facts.wiped and node != facts.me:
+        if node in inputs.wiped and node != inputs.me:
             return _without(present, node)
-    weak = [node for node in voters if facts.is_weak(node)]
-    if len(voters) > facts.count:
-        return _shrink(present, weak, facts)
-    if len(voters) - len(weak) >= facts.count:
-        return _rebalance(present, facts)
+    weak = [node for node in voters if inputs.is_weak(node)]
+    if len(voters) > inputs.count:
+        return _shrink(present, weak, inputs)
+    if len(voters) - len(weak) >= inputs.count:
+        return _rebalance(present, inputs)
     if learners:
-        return _replace(present, facts)
-    if facts.candidates:
-        return _membership(voters, [facts.candidates[0]])
-    return _empty_without_successor(present, facts)
+        return _replace(present, inputs)
+    if inputs.candidates:
+        return _membership(voters, [inputs.candidates[0]])
+    return _empty_without_successor(present, inputs)
 
 
-def _replace(present: GroupMembership, facts: ReplicaFacts) -> GroupMembership | None:
+def _replace(present: GroupMembership, inputs: PlanInputs) -> GroupMembership | None:
     """A learner that has caught up takes a voter's place.
 
     A silent voter goes before its successor votes: beside it, a majority would need one voter more,
     and a loss of the successor's disk would leave too few. Of two voters none goes first: with the
     learner the other makes a majority, alone it would be the only copy.
     """
-    ready = [node for node in present.learners if node in facts.caught_up]
-    gone = [node for node in present.voters if node in facts.silent and node != facts.me]
+    ready = [node for node in present.learners if node in inputs.caught_up]
+    gone = [node for node in present.voters if node in inputs.silent and node != inputs.me]
     if ready and gone and len(present.voters) > 2:
         return _without(present, gone[0])
     return _promote(present, ready)
@@ -97,47 +97,47 @@
 
 
 def _shrink(
-    present: GroupMembership, weak: Sequence[str], facts: ReplicaFacts
+    present: GroupMembership, weak: Sequence[str], inputs: PlanInputs
 ) -> GroupMembership | None:
     """More voters than wanted: one goes, and of equals the one without which the rest is best.
 
     A silent one goes before one that still votes while it waits to be emptied.
     """
-    removable = [node for node in weak if node != facts.me]
+    removable = [node for node in weak if node != inputs.me]
     if weak and not removable:
         return None  # the leader itself is to go; it hands over first
-    silent = [node for node in removable if node in facts.silent]
-    others = silent or removable or [node for node in present.voters if node != facts.me]
-    leaving = facts.topology.choose_removal(present.voters, others)
-    return _without(present, leaving) if facts.may_let_go(present.voters, leaving) else None
+    silent = [node for node in removable if node in inputs.silent]
+    others = silent or removable or [node for node in present.voters if node != inputs.me]
+    leaving = inputs.topology.choose_removal(present.voters, others)
+    return _without(present, leaving) if inputs.may_let_go(present.voters, leaving) else None
 
 
-def _rebalance(present: GroupMembership, facts: ReplicaFacts) -> GroupMembership | None:
+def _rebalance(present: GroupMembership, inputs: PlanInputs) -> GroupMembership | None:
     """Enough sound voters: take in a machine whose zone is better than that of one of them.
 
     Each exchange leaves the voters strictly better, so exchanges end. None begins while a voter is
     unheard.
     """
-    if any(node in facts.unheard for node in present.voters):
+    if any(node in inputs.unheard for node in present.voters):
         return None
     for node in present.learners:
-        if not _improves(present, node, facts):
+        if not _improves(present, node, inputs):
             return _membership(list(present.voters), [n for n in present.learners if n != node])
     if present.learners:
-        return _promote(present, [node for node in present.learners if node in facts.caught_up])
-    better = [node for node in facts.candidates if _improves(present, node, facts)]
+        return _promote(present, [node for node in present.learners if node in inputs.caught_up])
+    better = [node for node in inputs.candidates if _improves(present, node, inputs)]
     return _membership(list(present.voters), better[:1]) if better else None
 
 
-def _improves(present: GroupMembership, node: str, facts: ReplicaFacts) -> bool:
+def _improves(present: GroupMembership, node: str, inputs: PlanInputs) -> bool:
     """Whether voters are spread better with ``node`` in place of one that is not the leader."""
     voters = list(present.voters)
-    others = [voter for voter in voters if voter != facts.me]
+    others = [voter for voter in voters if voter != inputs.me]
     if not others:
         return False
-    leaving = facts.topology.choose_removal([*voters, node], others)
+    leaving = inputs.topology.choose_removal([*voters, node], others)
     exchanged = [node, *(voter for voter in voters if voter != leaving)]
-    placement_cost = facts.topology.placement_cost
+    placement_cost = inputs.topology.placement_cost
     surplus_meanwhile = placement_cost([*voters, node])[0]
     return surplus_meanwhile <= placement_cost(voters)[0] and placement_cost(
         exchanged
@@ -145,12 +145,12 @@
 
 
 def _empty_without_successor(
-    present: GroupMembership, facts: ReplicaFacts
+    present: GroupMembership, inputs: PlanInputs
 ) -> GroupMembership | None:
     """No machine is free to take over: a retiring voter still goes while two others stay."""
-    leaving = [n for n in present.voters if n in facts.retiring and n != facts.me]
-    stay = [n for n in present.voters if not facts.is_weak(n)]
-    if leaving and len(stay) >= 2 and facts.may_let_go(present.voters, leaving[0]):
+    leaving = [n for n in present.voters if n in inputs.retiring and n != inputs.me]
+    stay = [n for n in present.voters if not inputs.is_weak(n)]
+    if leaving and len(stay) >= 2 and inputs.may_let_go(present.voters, leaving[0]):
         return _without(present, leaving[0])
     return None
 
--- a/src/bendshed/consensus/replica_placement.py
+++ b/src/bendshed/consensus/replica_placement.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from bendshed.consensus.host import GroupHost
-from bendshed.consensus.membership_plan import ReplicaFacts, plan_membership
+from bendshed.consensus.membership_plan import PlanInputs, plan_membership
 from bendshed.consensus.raft import RaftReplica
 from bendshed.consensus.raft_types import Role
 from bendshed.consensus.replica_choice import (
@@ -122,21 +122,21 @@
             replica = group.replica
             if replica.role is not Role.LEADER or not replica.membership_settled:
                 continue
-            facts = self._facts(group_id, replica, live, gone)
-            wanted = plan_membership(replica.membership, facts)
+            inputs = self._plan_inputs(group_id, replica, live, gone)
+            wanted = plan_membership(replica.membership, inputs)
             if wanted is not None and self._host.propose_membership(group_id, wanted):
                 log.say("membership change proposed", group=group_id, voters=list(wanted.voters))
 
-    def _facts(
+    def _plan_inputs(
         self, group_id: int, replica: RaftReplica, live: dict[str, DiskNode], gone: set[str]
-    ) -> ReplicaFacts:
+    ) -> PlanInputs:
         membership = replica.membership
         members = [*membership.voters, *membership.learners]
         topology = VoterTopology({node_id: node.zone for node_id, node in live.items()})
         free = [node for node in live if node not in members]
         voters = list(membership.voters)
         unheard = replica.followers.silent(members, UNHEARD_TICKS)
-        return ReplicaFacts(
+        return PlanInputs(
             me=self._host.node_id,
             wiped=(),
             silent=gone & unheard,
--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -7,7 +7,7 @@
 from bendshed.consensus.directory import HELLO_METHOD, ReplicaDirectory, from_wire, to_wire
 from bendshed.consensus.host import GroupHost, HostedGroup
 from bendshed.consensus.introductions import Introductions
-from bendshed.consensus.membership_plan import ReplicaFacts, plan_membership
+from bendshed.consensus.membership_plan import PlanInputs, plan_membership
 from bendshed.consensus.raft_types import Role
 from bendshed.consensus.replica_candidates import ReplicaCandidates
 from bendshed.consensus.replica_choice import VoterTopology, rank_candidates
@@ -197,24 +197,24 @@
     def _change_membership(self, group_id: int, group: HostedGroup) -> None:
         """Take the next step, if any; the plan is made again only when its inputs changed."""
         replica = group.replica
-        facts = self._facts(group_id, group)
-        seen = (tuple(replica.membership.voters), tuple(replica.membership.learners), facts)
+        inputs = self._plan_inputs(group_id, group)
+        seen = (tuple(replica.membership.voters), tuple(replica.membership.learners), inputs)
         if self._rested.get(group_id) == seen:
             return
-        topology, weak = facts.topology, {*facts.silent, *facts.retiring}
-        free, voters = facts.candidates, replica.membership.voters
+        topology, weak = inputs.topology, {*inputs.silent, *inputs.retiring}
+        free, voters = inputs.candidates, replica.membership.voters
         ranked = rank_candidates(group_id, topology, free, voters, weak)
-        sound = [node for node in voters if node not in weak and node not in facts.wiped]
+        sound = [node for node in voters if node not in weak and node not in inputs.wiped]
         # While a machine is being taken in, no other is needed, and so none is waited for.
-        is_voter_missing = len(sound) < facts.count and not replica.membership.learners
+        is_voter_missing = len(sound) < inputs.count and not replica.membership.learners
         candidates = self._candidates.sort_responsive_first(group_id, ranked, is_voter_missing)
-        if candidates is None and not facts.wiped:
+        if candidates is None and not inputs.wiped:
             return
-        wanted = plan_membership(replica.membership, replace(facts, candidates=candidates or []))
+        wanted = plan_membership(replica.membership, replace(inputs, candidates=candidates or []))
         if wanted is None:
             self._rested[group_id] = seen
             return
-        for node in set(replica.membership.learners) & set(facts.silent):
+        for node in set(replica.membership.learners) & set(inputs.silent):
             self._candidates.record_failure(node)
         if self._host.propose_membership(group_id, wanted):
             log.say(
@@ -222,14 +222,14 @@
                 group=group_id,
                 voters=list(wanted.voters),
                 learners=list(wanted.learners),
-                zones=[facts.topology.zone_of.get(node, "") for node in wanted.voters],
-                wiped=sorted(facts.wiped),
-                silent=sorted(facts.silent),
-                retiring=sorted(facts.retiring),
+                zones=[inputs.topology.zone_of.get(node, "") for node in wanted.voters],
+                wiped=sorted(inputs.wiped),
+                silent=sorted(inputs.silent),
+                retiring=sorted(inputs.retiring),
                 term=replica.term,
             )
 
-    def _facts(self, group_id: int, group: HostedGroup) -> ReplicaFacts:
+    def _plan_inputs(self, group_id: int, group: HostedGroup) -> PlanInputs:
         """What the plan rests on; candidates are not ranked yet."""
         replica = group.replica
         membership = replica.membership
@@ -242,7 +242,7 @@
             membership.learners, replica.last_index, MAX_LEARNER_LAG
         )
         self._candidates.record_caught_up(caught_up)
-        return ReplicaFacts(
+        return PlanInputs(
             me=self.me.node_id,
             wiped=self._directory.wiped & set(members),
             silent=silent,
--- a/tests/test_membership_plan.py
+++ b/tests/test_membership_plan.py
@@ -3,11 +3,11 @@
 import random
 import unittest
 
-from bendshed.consensus.membership_plan import ReplicaFacts, plan_membership
+from bendshed.consensus.membership_plan import PlanInputs, plan_membership
 from bendshed.wire.consensus_pb2 import GroupMembership
 
 
-def facts(**changes: object) -> ReplicaFacts:
+def inputs(**changes: object) -> PlanInputs:
     values: dict[str, object] = {
         "me": "a",
         "wiped": (),
@@ -17,7 +17,7 @@
         "candidates": (),
         "count": 3,
     }
-    return ReplicaFacts(**{**values, **changes})  # type: ignore[arg-type]
+    return PlanInputs(**{**values, **changes})  # type: ignore[arg-type]
 
 
 def members(voters: str, learners: str = "") -> GroupMembership:
@@ -26,7 +26,7 @@
 
 class PlanTest(unittest.TestCase):
     def plan(self, present: GroupMembership, **changes: object) -> tuple[str, str] | None:
-        wanted = plan_membership(present, facts(**changes))
+        wanted = plan_membership(present, inputs(**changes))
         return ("".join(wanted.voters), "".join(wanted.learners)) if wanted is not None else None
 
     def test_nothing_to_do(self) -> None:
@@ -90,7 +90,7 @@
                 free = [node for node in nodes if node not in known and node not in sick]
                 wanted = plan_membership(
                     present,
-                    facts(wiped=wiped, silent=sick, caught_up=present.learners, candidates=free),
+                    inputs(wiped=wiped, silent=sick, caught_up=present.learners, candidates=free),
                 )
                 if wanted is None:
                     break
--- a/tests/test_voter_places.py
+++ b/tests/test_voter_places.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Collection, Iterator, Mapping
 
-from bendshed.consensus.membership_plan import ReplicaFacts, plan_membership
+from bendshed.consensus.membership_plan import PlanInputs, plan_membership
 from bendshed.consensus.replica_choice import (
     DiskNode,
     VoterTopology,
@@ -48,7 +48,7 @@
         known = {*present.voters, *present.learners}
         weak = {*silent, *retiring}
         free = [node for node in zone_of if node not in known and node not in weak]
-        facts = ReplicaFacts(
+        inputs = PlanInputs(
             me=me,
             wiped=(),
             silent=silent,
@@ -58,7 +58,7 @@
             count=COUNT,
             topology=topology,
         )
-        wanted = plan_membership(present, facts)
+        wanted = plan_membership(present, inputs)
         if wanted is None:
             return
         present = wanted
@@ -152,8 +152,8 @@
     def test_a_learner_that_nobody_needs_any_more_goes(self) -> None:
         voters = self.founded(1)
         free = next(node for node in TEN_IN_THREE if node not in voters)
-        facts = ReplicaFacts(voters[0], (), (), (), (), (), COUNT, VoterTopology(TEN_IN_THREE))
-        wanted = plan_membership(GroupMembership(voters=voters, learners=[free]), facts)
+        inputs = PlanInputs(voters[0], (), (), (), (), (), COUNT, VoterTopology(TEN_IN_THREE))
+        wanted = plan_membership(GroupMembership(voters=voters, learners=[free]), inputs)
         assert wanted is not None
         self.assertEqual((list(wanted.voters), list(wanted.learners)), (voters, []))
 
