--- a/tests/region_defects.py
+++ b/tests/region_defects.py
@@ -32,7 +32,7 @@
 
 
 def region(site: SiteWorld, machine: SimMachine) -> str:
-    return site.layout.topology.region(machine.zone)
+    return site.layout.places.region(machine.zone)
 
 
 def cut_regions(site: SiteWorld) -> None:
