--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -107,7 +107,7 @@
         self.catalog.note_unsaved()
         self.server.start(self._around.transport)
         self._exchange.start()
-        catalog, zones_at = self.catalog.catalog, self.catalog.zones.record.zones.at
+        catalog, zones_at = self.catalog.catalog, self.catalog.zones.record.zones.revision
         log.say(
             "loaded at start",
             version=catalog.version,
@@ -147,7 +147,7 @@
             self.catalog.catalog,
             tuple(self._around.directory.by_name.values()),
             self._exchange.all_fronts(),
-            self.catalog.zones.record.update(asyncio.get_running_loop().time()),
+            self.catalog.zones.record.make_update(asyncio.get_running_loop().time()),
             tuple(sorted(self._around.directory.wiped)),
             tuple(sorted(self._around.directory.proven_lost)),
         )
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -291,7 +291,7 @@
         if self.registry.answer_loss:
             machine.front.apply_document(self.older_document)
         machine.front.apply_document(self.document)
-        machine.front.apply_zones(self._zone_update(machine.front.zones.record.zones.at))
+        machine.front.apply_zones(self._zone_update(machine.front.zones.record.zones.revision))
         machine.front.replace_runners(list(self.listed.values()), is_trusted=True)
         self._note_runners()
         machine.front.catalog.note_registry(self._revision)
@@ -333,12 +333,12 @@
         catalog.confirm(CatalogPart.DOCUMENT, self._revision)
         catalog.confirm(CatalogPart.RUNNERS, self._revision)
         machine.replica.take_zones(
-            self.zones.update_since(catalog.zones.record.zones.at, self._revision)
+            self.zones.update_since(catalog.zones.record.zones.revision, self._revision)
         )
         machine.replica.follower.note_known(self.document.version, self._revision)
         for node in self.registry.announced.values():
             machine.replica.directory.put(node)
-        machine.replica.directory.list_retiring(list(self.registry.retirements))
+        machine.replica.directory.set_retiring(list(self.registry.retirements))
 
     # --- time ----------------------------------------------------------------------------
 
@@ -354,7 +354,7 @@
 
     def is_led(self) -> bool:
         """Whether each group of the turn log has a leader."""
-        return all(self.leader(group) is not None for group in self.layout.groups.numbers)
+        return all(self.leader(group) is not None for group in self.layout.groups.ids)
 
     def fronts_by_region(self) -> list[list[str]]:
         """Names of the fronts of each region."""
--- a/tests/test_dispatch_restrictions.py
+++ b/tests/test_dispatch_restrictions.py
@@ -24,7 +24,7 @@
     Tenant,
     WeightedService,
 )
-from bendshed.placement.cold_runners import ColdTerms
+from bendshed.placement.cold_runners import ColdRateLimit
 from bendshed.placement.zones import ClosedZones, RunnerFilter
 from bendshed.ports.http_messages import (
     ClientRequest,
@@ -331,7 +331,7 @@
             runners = [KnownRunner(listed(name), 3) for name in (*CLOSED_RUNNERS, *OPEN_RUNNERS)]
             catalog.list_runners(runners, 4, is_trusted=True)
             metrics = TurnLogMetrics(CollectorRegistry())
-            cold = ColdAdmission(catalog.cold, ColdTerms(), metrics)
+            cold = ColdAdmission(catalog.cold, ColdRateLimit(), metrics)
             placement_service = TurnPlacement(catalog, cold, random.Random(1))
             for number in range(NUM_REQUESTS):
                 demand = wire.TurnDemand(service="s", left_ms=4000, zone="b", regions=regions)
