--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -1,7 +1,7 @@
-"""Performs the attempts of one request at runners, until one answers or the request is given up.
+"""Performs the attempts of one request until a runner responds or no attempt is left.
 
-A shell: ``retries/decisions.py`` decides whether there is another attempt, ``RunnerPlacement``
-where; this connects, dispatches, counts what happened and logs it.
+Contains the I/O only: ``retries/decisions.py`` decides whether to make another attempt, and
+``RunnerPlacement`` chooses the runner. This module connects, dispatches, counts and logs.
 """
 
 import asyncio
@@ -46,7 +46,7 @@
 class OpenResponse:
     """A response whose headers have arrived.
 
-    ``close`` must be called once, whatever happens.
+    ``close`` must be called in every case; further calls have no effect.
 
     Attributes:
         sent_s: loop time at which the request was dispatched.
@@ -61,7 +61,7 @@
     _closed: bool = False
 
     async def body(self) -> AsyncIterator[bytes]:
-        """Chunks; raise ``ResponseBroken``."""
+        """Yield the body in chunks; raise ``ResponseBroken`` if it breaks off."""
         async for chunk in self.connection.body():
             yield chunk
 
@@ -86,10 +86,10 @@
     Attributes:
         principal: on whose behalf the request runs.
         placement: finds the runner of each attempt.
-        history: what the attempts came to so far.
+        history: outcomes of the attempts so far.
         admit_second_run: charges the principal's quota for another run of a request that may have
             run; returns the refusal if the quota is used up. ``None``: no quota applies.
-        answered_by: id of the runner whose response was taken; empty: none yet.
+        answered_by: id of the runner whose response was accepted; empty: none yet.
 
     """
 
@@ -103,16 +103,16 @@
 
     @property
     def ports(self) -> RunnerPorts:
-        """What attempts need of a node."""
+        """Dependencies of the attempts on the node."""
         return self.placement.ports
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any runner may have begun work on the request."""
+        """Whether any runner may have started to execute the request."""
         return self.history.may_have_run
 
     async def open(self, body: bytes) -> OpenResponse | Refusal:
-        """Send the request with this body until a runner answers; return why none does."""
+        """Send the request until a runner responds; return the refusal if none does."""
         loop = asyncio.get_running_loop()
         while True:
             decision = decide_next_attempt(self.history, self.route, loop.time())
@@ -137,14 +137,14 @@
                 return response
 
     async def _admit_second_run(self) -> bool:
-        """Every run is charged to the principal's quota, the second one of a request too."""
+        """Charge a second run to the principal's quota; ``False`` if the quota is used up."""
         if self.admit_second_run is not None and await self.admit_second_run() is not None:
             return False
         self.history.record_admitted_run()
         return True
 
     def reject_if_no_eligible_runner(self) -> Refusal | None:
-        """Reject at once what no runner may get in the present closed zones and allowed regions."""
+        """Return a refusal if closed zones and allowed regions exclude every runner."""
         regions, service = self.placement.regions, self.placement.service
         if regions is not None and not regions:
             described = describe_regions(self.route, self.principal)
@@ -154,13 +154,13 @@
         return None
 
     def record_work_time(self, response: OpenResponse) -> None:
-        """A plain request was answered completely: update the measured pace of its runner."""
+        """Update the measured pace of a runner that answered a plain request completely."""
         now_s = asyncio.get_running_loop().time()
         pace = self.ports.table.work_times.in_typical(self.route.name, now_s - response.sent_s)
         response.record.health.note_pace(pace, now_s)
 
     async def _attempt_runner(self, choice: Choice, body: bytes) -> OpenResponse | None:
-        """Try one runner once; ``None``: no response, the history says what may have happened."""
+        """Make one attempt at one runner; ``None``: no response, the history holds the outcome."""
         record = choice.record
         runner = record.listed
         self.history.record_choice(runner.runner_id)
@@ -180,10 +180,12 @@
                 return response
             case Verdict.NOT_RUN:
                 record.note_full(asyncio.get_running_loop().time())
-                await self._drain_not_run_response(response, "turned it away unrun")
+                await self._drain_not_run_response(
+                    response, "runner rejected the request without running it"
+                )
             case Verdict.OTHER_RUNNER:
                 record.note_unreachable(asyncio.get_running_loop().time())
-                await self._drain_not_run_response(response, "another runner has the address")
+                await self._drain_not_run_response(response, "another runner uses the address")
         return None
 
     async def _connect_and_dispatch(self, choice: Choice, body: bytes) -> OpenResponse | None:
@@ -242,17 +244,19 @@
         )
 
     def _withdraw_dispatch(self, choice: Choice, connection: RunnerConnection) -> None:
-        """Do not dispatch: what held at the choice does not hold once the connection is there.
+        """Withdraw a dispatch whose preconditions no longer hold after connecting.
 
-        The runner's zone was closed meanwhile, connecting took longer than the permit for a cold
-        runner is valid, or the runner has just turned cold.
+        Either the runner's zone was closed in the meantime, or the permit for a cold runner expired
+        while connecting, or the runner has just turned cold.
         """
         runner = choice.record.listed
         if not self.ports.table.filter.allows(runner, self.placement.regions):
             connection.finish()
             self.ports.pool.release(runner.address, connection)
             self._log_failure(
-                "dispatch withdrawn: zone closed", choice, reason="its zone was closed meanwhile"
+                "dispatch withdrawn: zone closed",
+                choice,
+                reason="the zone was closed while connecting",
             )
             return
         self.history.record_expired_permit(runner.runner_id)
@@ -261,11 +265,11 @@
         self._log_failure(
             "dispatch withdrawn: no valid permit",
             choice,
-            reason="there is no leave for a cold runner any more",
+            reason="the runner is cold and the permit expired or is missing",
         )
 
     async def _drain_not_run_response(self, response: OpenResponse, reason: str) -> None:
-        """Read the rest of a response that proves that the request was not run."""
+        """Read the rest of a response which proves that the request was not run."""
         self.history.record_proof_of_not_run()
         self._count_result(AttemptResult.NOT_RUN)
         log.say(
@@ -281,7 +285,7 @@
                 pass
             is_complete = True
         except ResponseBroken:
-            pass  # the head proves it already; only the connection is lost, and ``close`` ends it
+            pass  # the headers are proof enough; ``close`` aborts the broken connection
         finally:
             response.close(is_complete)
 
--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -1,6 +1,6 @@
-"""Requests permits of the turn log's leader, one for each dispatch to a cold runner.
+"""Requests a permit from the turn log's leader for each dispatch to a cold runner.
 
-Also describes a request to the leader, for a permit or beside a preview. Relies on
+Also builds the description of a request that the leader needs for a permit or a preview. Depends on
 ``turns/client.py`` to reach the leader. Source: docs/design/0010.
 """
 
@@ -27,22 +27,22 @@
 from bendshed.wire import turns_pb2 as wire
 
 PERMIT_TIMEOUT_S = 0.25
-"""A request that only a cold runner can take waits this long for a leader near by. A change of
-leaders takes longer; the request is rejected then, since its caller can come back."""
+"""Timeout of a permit request to a nearby leader. An election takes longer; the request is rejected
+then, since its caller can retry."""
 PERMIT_TIMEOUT_AFTER_FAILURE_S = 0.1
-"""The same while the turn log did not answer this node's last try. An answer takes some ms, through
-a relay up to 80 ms; one that comes shows that the leader is back."""
+"""Timeout while the turn log did not answer this node's last request. A reply takes a few ms, up to
+80 ms through a relay; any reply shows that the leader is available again."""
 
 log = PartLog("cold")
 
 
 @dataclass(frozen=True, slots=True)
 class RunnerReport:
-    """What this node knows of a service's runners.
+    """What this node reports to the leader about a service's runners.
 
     Attributes:
-        connected: ids of those to which it has an idle connection.
-        avoided: ids of those that failed it within their time of avoidance.
+        connected: ids of runners to which this node has an idle connection.
+        avoided: ids of runners that this node avoids after recent failures.
 
     """
 
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerPermit:
-    """Permit for one dispatch; ``leave`` is its expiry on this node's clock."""
+    """Permit for one dispatch; ``permit`` holds its expiry on this node's clock."""
 
     runner_id: str
     permit: TimedPermit
@@ -67,9 +67,10 @@
     tried: Collection[str] = (),
     regions: Collection[str] | None = None,
 ) -> wire.TurnDemand:
-    """Describe a request, turn or not, to the leader that chooses its runner.
+    """Describe a request, whether a turn or not, to the leader that chooses its runner.
 
-    ``left_s`` is the time until the request's deadline; ``tried`` names runners that got it before.
+    ``left_s`` is the time until the request's deadline in seconds; ``tried`` holds the ids of
+    runners that it was already sent to.
     """
     turn = request.turn
     parts = turn.parts if turn is not None else ()
@@ -87,7 +88,7 @@
 
 
 class PermitClient:
-    """Requests one permit at a time."""
+    """Requests permits, each for a single dispatch."""
 
     def __init__(self, client: TurnClient, metrics: ServiceMetrics) -> None:
         self._client = client
@@ -96,11 +97,11 @@
     async def request_permit(
         self, request: ServiceRequest, demand: wire.TurnDemand
     ) -> RunnerPermit | Refusal:
-        """Return a permit to dispatch a request, or why there is none.
+        """Return a permit to dispatch a request, or the refusal.
 
-        Kinds: ``NO_ROOM``; ``NO_RUNNER``; ``TURN_LOG_UNAVAILABLE`` when no leader answered in time.
-        The permit's time counts from the request for it, so that it expires here before the leader
-        stops counting it.
+        Kinds: ``NO_ROOM``; ``NO_RUNNER``; ``TURN_LOG_UNAVAILABLE`` if no leader answered in time.
+        The permit's validity counts from the time of the request, so that the permit expires here
+        before the leader stops counting it.
         """
         requested_s = asyncio.get_running_loop().time()
         decision = await self._request(request, demand)
@@ -126,9 +127,10 @@
     async def _request(
         self, request: ServiceRequest, demand: wire.TurnDemand
     ) -> PermitDecision | None:
-        """Request a permit of the home group's leader; ``None``: no leader answered in time.
+        """Request a permit from the home group's leader; ``None``: no leader answered in time.
 
-        Turns and calls of programs come before requests of no program, which may be rejected first.
+        Requests without a program count as new programs, which the leader rejects before turns and
+        calls of running programs.
         """
         if self._client.is_isolated:
             return None
@@ -159,7 +161,7 @@
 
 
 def no_room_refusal(reply: wire.TurnReply) -> Refusal:
-    """Refusal of a turn whose eligible runners are all cold and full."""
+    """Refusal of a turn whose eligible runners are all cold and at their limit."""
     return _build_no_room_refusal(reply.retry_after_ms)
 
 
