--- a/src/bendshed/services/group_search.py
+++ b/src/bendshed/services/group_search.py
@@ -1,4 +1,4 @@
-"""Finds the group of the turn log that commits a turn's begin, if the first one does not."""
+"""Finds the group of the turn log that commits a turn's begin if the first group does not."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 Reply = wire.TurnReply | None
-"""``None``: the group did not answer, so nothing is known of it."""
+"""``None``: the group did not answer, so its state is unknown."""
 
 log = PartLog("turns")
 
@@ -19,12 +19,12 @@
 class GroupSearch:
     """One begin and the groups that it is sent to.
 
-    Invariant: the begin goes on to another group only when one has answered that it reserved
-    nothing, so at most one group holds a reservation.
+    Invariant: the begin is sent to another group only after the previous one answered that it
+    reserved nothing, so at most one group holds a reservation.
 
     Attributes:
-        begin: what is to be committed.
-        group: that the begin was sent to last; the turn's end is committed there.
+        begin: the command to commit.
+        group: id of the group that the begin was sent to last; the turn's end is committed there.
         commit: commits the begin in a group.
 
     """
@@ -36,7 +36,7 @@
     commit: Callable[[int], Awaitable[Reply]]
 
     async def resolve(self, reply: Reply) -> Reply:
-        """Go from the first group's reply to the final one, over further groups if need be."""
+        """Turn the first group's reply into the final one, asking other groups if necessary."""
         reply = await self._find_previous_turn(reply)
         if _is_share_too_small(reply) and reply is not None and reply.owner_group != self.group:
             self.begin.is_sent_on = True
@@ -49,7 +49,7 @@
         return reply
 
     async def _find_previous_turn(self, reply: Reply) -> Reply:
-        """Look for the previous turn; "no such turn" holds once each group has answered so."""
+        """Look for the previous turn; it is unknown only if every group answers so."""
         for other in self.group_locator.others(self.begin.tenant, self.group):
             if reply is None or reply.answer != wire.TURN_ANSWER_UNKNOWN_TURN:
                 return reply
@@ -70,5 +70,5 @@
 
 
 def _is_share_too_small(reply: Reply) -> bool:
-    """Whether a group's share of the budget was too small, and others may hold more."""
+    """Whether a group's share of the budget was too small and other groups may hold more."""
     return reply is not None and reply.answer == wire.TURN_ANSWER_OTHER_GROUP
--- a/src/bendshed/services/metrics.py
+++ b/src/bendshed/services/metrics.py
@@ -1,4 +1,4 @@
-"""What a node counts of the requests that it forwards (prometheus_client)."""
+"""Prometheus metrics of the requests that a node forwards."""
 
 from enum import StrEnum
 
@@ -8,14 +8,14 @@
 
 
 class ServedOutcome(StrEnum):
-    """How a request ended that was not refused."""
+    """Outcome of a request that was not refused."""
 
     ANSWERED = "answered"
     BROKEN_OFF = "broken_off"
 
 
 class AttemptResult(StrEnum):
-    """How one attempt at a runner ended."""
+    """Outcome of one attempt at a runner."""
 
     ANSWERED = "answered"
     NO_ANSWER = "no_answer"
@@ -24,7 +24,7 @@
 
 
 class QuotaResult(StrEnum):
-    """How a request that is no turn was admitted, or not."""
+    """Outcome of the admission of a request that is not a turn."""
 
     BY_ALLOWANCE = "by_allowance"
     BY_REQUEST = "asked_for"
@@ -33,7 +33,7 @@
 
 
 class PermitResult(StrEnum):
-    """What became of a request for a permit for a cold runner."""
+    """Outcome of a request for a permit for a cold runner."""
 
     PERMITTED = "permitted"
     REFUSED = "refused"
@@ -42,22 +42,22 @@
 
 CALLER_LEFT = "caller_left"
 NO_ROUTE = "none"
-"""Label of requests that no route takes."""
+"""Route kind of requests that match no route."""
 
 
 class ServiceMetrics:
     """Counters and histograms of one process.
 
-    Every label has a closed set of values: kinds of routes, ends, and error kinds.
+    Every label has a fixed set of values: route kinds, outcomes and error kinds.
 
     Attributes:
-        requests: by route kind and outcome (an end, or the kind of a refusal).
-        request_s: from arrival to the end, in seconds.
-        attempts: attempts at runners by how they ended.
-        quota_calls: requests of limited tenants that are no turns, by how they were admitted.
+        requests: by route kind and outcome (``ServedOutcome``, ``CALLER_LEFT`` or an error kind).
+        request_s: time from arrival to the end, in seconds.
+        attempts: attempts at runners by outcome.
+        quota_calls: requests of limited tenants that are not turns, by outcome of the admission.
         permit_requests: requests without a warm runner, by the answer of the turn log's leader.
         turn_begin_s, turn_end_s: time that a turn waited for the turn log, in seconds.
-        first_event_s: from a turn's arrival to its first event, in seconds.
+        first_event_s: time from a turn's arrival to its first event, in seconds.
 
     """
 
@@ -73,7 +73,7 @@
             "bendshed_request_seconds", "Time from arrival to the end", ["route_kind"]
         )
         self.attempts = Counter(
-            "bendshed_attempts", "Sendings to runners by end", ["end"], registry=registry
+            "bendshed_attempts", "Attempts at runners by outcome", ["end"], registry=registry
         )
         self.quota_calls = Counter(
             "bendshed_quota_calls",
@@ -88,7 +88,7 @@
             registry=registry,
         )
         self.turn_begin_s = self._histogram(
-            "bendshed_turn_begin_seconds", "Time until a turn may be sent", ["previewed"]
+            "bendshed_turn_begin_seconds", "Time until a turn may be dispatched", ["previewed"]
         )
         self.turn_end_s = self._histogram(
             "bendshed_turn_end_seconds", "Time until a turn's end is committed", []
@@ -101,7 +101,7 @@
         return Histogram(name, text, labels, registry=self.registry, buckets=LATENCY_BUCKETS_S)
 
     def gauge(self, name: str, text: str) -> Gauge:
-        """Add a gauge; its owner sets it or gives it a function."""
+        """Add a gauge; the caller sets its value or a function that returns it."""
         return Gauge(name, text, registry=self.registry)
 
     def labelled_gauge(self, name: str, text: str, label: str) -> Gauge:
--- a/src/bendshed/services/quota_client.py
+++ b/src/bendshed/services/quota_client.py
@@ -1,6 +1,6 @@
-"""Counts a node's requests against their tenants' quotas, with the leader of the turn log.
+"""Charges a node's requests to their tenants' quotas, which the turn log's leaders keep.
 
-Owns the node's allowances. Relies on ``turns/client.py`` to reach the group that counts a tenant.
+Owns the node's allowances. Depends on ``turns/client.py`` to reach the group that counts a tenant.
 Source: docs/design/0007.
 """
 
@@ -27,14 +27,14 @@
 from bendshed.wire import turns_pb2 as wire
 
 ADMISSION_TIMEOUT_S = 0.6
-"""A call waits this long for the leader: longer than a change of leaders, which takes under 0.5 s.
-Without one the answer takes some 7 ms."""
+"""Timeout of a call's admission by the leader. Longer than an election, which takes under 0.5 s;
+without an election the reply takes about 7 ms."""
 REPORT_DELAY_S = 0.15
-"""Admitted calls are reported with the node's next command; without one, after this long."""
+"""Admitted calls are reported with the node's next command, or after this delay without one."""
 REPORT_CHECK_INTERVAL_S = 0.1
-"""Pause between two checks for calls to report."""
+"""Interval between checks for unreported calls."""
 REPORT_TIMEOUT_S = 1.0
-"""A report is given up after this long; the next one repeats its totals."""
+"""Timeout of a report; the next report repeats its totals."""
 
 log = PartLog("quota")
 
@@ -42,9 +42,9 @@
 class QuotaClient:
     """Admits calls within their tenants' limits.
 
-    Turns are counted by the turn log itself and cost no message more. Calls go by allowances that
-    come with the ends of turns; without one, the leader is requested for the call. Each tenant is
-    counted in one group of the turn log.
+    Turns are counted by the turn log itself and need no extra message. Calls are admitted by
+    allowances that arrive with the replies to turn ends; without an allowance, the call is
+    requested from the leader. Each tenant is counted in one group of the turn log.
     """
 
     def __init__(
@@ -63,9 +63,9 @@
     async def admit_call(
         self, principal: Principal, request: ServiceRequest, deadline_s: float
     ) -> Refusal | None:
-        """Admit a request that is no turn, or return why it may not run.
+        """Admit a request that is not a turn, or return the refusal.
 
-        ``deadline_s`` is loop time. Kinds: ``QUOTA_EXCEEDED``; ``TURN_LOG_UNAVAILABLE`` when no
+        ``deadline_s`` is loop time. Kinds: ``QUOTA_EXCEEDED``; ``TURN_LOG_UNAVAILABLE`` if no
         leader answered in time.
         """
         if not principal.is_limited:
@@ -91,7 +91,7 @@
     async def _request(
         self, tenant: str, request: ServiceRequest, deadline_s: float
     ) -> CallDecision | None:
-        """Request one call of the tenant's group; ``None``: no leader answered in time."""
+        """Request one call from the tenant's group; ``None``: no leader answered in time."""
         call = CallRequest(
             tenant=tenant,
             node=self._node,
@@ -106,15 +106,15 @@
         return decode_call_decision(reply) if reply is not None else None
 
     def store_allowance(self, principal: Principal, ceiling: int) -> None:
-        """Take the allowance that came with a turn's end; 0: there was none."""
+        """Store the allowance from the reply to a turn's end; 0: there was none."""
         if ceiling:
             now_s = asyncio.get_running_loop().time()
             self._allowances.take_allowance(principal.name, ceiling, now_s)
 
     def add_report(self, command: wire.TurnCommand) -> Callable[[], None]:
-        """Add a report of admitted calls to a command, of tenants that its group counts.
+        """Add a report of admitted calls to a command, for the tenants that its group counts.
 
-        Call what is returned once the command is committed.
+        The returned function must be called once the command is committed.
         """
         unreported = self._allowances.unreported(asyncio.get_running_loop().time())
         rows = [
@@ -127,7 +127,7 @@
         return lambda: self._allowances.note_reported(rows, asyncio.get_running_loop().time())
 
     async def report_until_cancelled(self) -> None:
-        """Report calls that no command took along; runs until it is cancelled."""
+        """Report calls that no other command has reported; runs until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(REPORT_CHECK_INTERVAL_S)
@@ -140,7 +140,7 @@
                 await self._report_to(group)
 
     async def _report_to(self, group: int) -> None:
-        """Report to one group what it counts."""
+        """Report to one group the calls of the tenants that it counts."""
         command = wire.TurnCommand(group=group)
         mark_reported = self.add_report(command)
         try:
@@ -157,7 +157,7 @@
 
 
 def quota_refusal_of(reply: wire.TurnReply) -> Refusal:
-    """Refusal of a turn whose tenant's quota has no room."""
+    """Refusal of a turn whose tenant's quota is used up."""
     return _quota_refusal(reply.retry_after_ms)
 
 
--- a/src/bendshed/services/turn_output.py
+++ b/src/bendshed/services/turn_output.py
@@ -1,4 +1,4 @@
-"""What a turn has handed to its caller so far: events, their pace, and the bytes to store."""
+"""Output that a turn has sent to its caller so far: events, their rate, and the bytes to store."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -11,12 +11,12 @@
 class TurnOutput:
     """The events of one turn.
 
-    Invariant: an event is counted before it is handed on, so a caller never holds more than counts.
+    Invariant: an event is counted before it is sent, so a caller never has more than is counted.
 
     Attributes:
         engine: features of the service; ``None``: not a model engine.
         stores_bytes: the turn log stores the output, for turns that continue this one.
-        num_events: events handed to the caller.
+        num_events: events sent to the caller.
 
     """
 
@@ -28,7 +28,7 @@
     _last_event_s: float = 0.0
 
     def count(self, event: StreamEvent) -> None:
-        """Count an event before it is handed on; one without data is none of the model's."""
+        """Count an event before it is sent; an event without data holds no model output."""
         if event.data is None:
             return
         self.num_events += 1
@@ -40,17 +40,17 @@
 
     @property
     def content(self) -> bytes:
-        """The output as the transcript holds it: the data of each event on lines of its own."""
+        """The output as stored in the transcript: the data of each event, ended by a line feed."""
         return b"".join(self._pieces)
 
     @property
     def num_tokens(self) -> int:
-        """Tokens handed to the caller: each event counts as the most that one may hold."""
+        """Tokens sent to the caller: each event counts as the most tokens that it can hold."""
         return self.num_events * (self.engine.event_tokens if self.engine is not None else 1)
 
     @property
     def event_gap_us(self) -> int:
-        """Mean time between events in microseconds; 0: fewer than two."""
+        """Mean time between events in microseconds; 0: fewer than two events."""
         num_gaps = self.num_events - 1
         gap_s = (self._last_event_s - self._first_event_s) / num_gaps if num_gaps > 0 else 0.0
         return int(gap_s * 1_000_000)
--- a/src/bendshed/services/turn_reservation.py
+++ b/src/bendshed/services/turn_reservation.py
@@ -1,7 +1,7 @@
-"""Reserves a turn's tokens in the turn log and finds the chain that it continues.
+"""Reserves a turn's tokens in the turn log and loads the chain of turns that it continues.
 
-A preview from committed state lets the turn go to its runner while its reservation is still being
-committed; ``confirm`` waits for the commit before anything is handed to the caller.
+A preview of the committed state allows the turn to be dispatched while its reservation is still
+being committed; ``confirm`` waits for the commit before any output is sent to the caller.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 UNCOMMITTED_ANSWERS = (wire.TURN_ANSWER_QUOTA_EXCEEDED, wire.TURN_ANSWER_NO_ROOM)
-"""Refusals of a command that nothing was written for."""
+"""Answers to commands that were rejected without being written to the log."""
 
 log = PartLog("turns")
 
@@ -34,12 +34,12 @@
     """The begin of one turn.
 
     Attributes:
-        attempts: follow the placement of the preview.
-        deadline_s: loop time after which the turn is not begun any more.
-        group: of the turn log, that commits the turn.
+        attempts: dispatches to runners, which follow the placement of the preview.
+        deadline_s: loop time after which the turn is no longer begun.
+        group: id of the turn log's group that commits the turn.
         needs_finish: the turn's end must be committed: a reservation may exist, or a runner may
             have run it without one.
-        transcript: the chain that goes before the turn's own input.
+        transcript: the chain that precedes the turn's own input.
 
     """
 
@@ -63,7 +63,7 @@
         self._search = GroupSearch(locator, self.ports.shares, begin, self.group, self._commit_in)
 
     async def begin(self) -> Refusal | None:
-        """Find the chain and reserve the tokens; return why the turn may not run."""
+        """Load the chain and reserve the tokens; return the refusal if the turn may not run."""
         if self.ports.client.is_isolated:
             return Refusal(ErrorKind.TURN_LOG_UNAVAILABLE, "no other node answers this one")
         loop = asyncio.get_running_loop()
@@ -87,7 +87,7 @@
         return refusal
 
     async def confirm(self) -> Refusal | None:
-        """Wait until the reservation is committed; return why it is not."""
+        """Wait until the reservation is committed; return the refusal if it is not."""
         reply = await self._await_commit()
         if not self._is_resolved:
             self._is_resolved = True
@@ -99,7 +99,7 @@
             self._is_reserved = True
             self.ports.group_locator.note_program(tenant, self._begin.program_id, self.group)
             return None
-        # Nothing is reserved; a turn that was dispatched all the same is counted by its end.
+        # Nothing is reserved; a turn that was dispatched nevertheless is charged by its end.
         is_counted = bool(tenant) and self.attempts.may_have_run
         self.needs_finish = self._is_reserved or is_counted
         refusal = refusal_of_begin(reply)
@@ -108,12 +108,12 @@
         return refusal
 
     def _cached_transcript(self) -> bytes | None:
-        """The chain before the turn if this node has cached it; ``None``: it has not."""
+        """Return the chain before the turn; ``None``: this node has not cached it."""
         previous = self._begin.previous_turn
         return self.ports.transcripts.get((self.codec.tenant, previous)) if previous else None
 
     async def _preview(self) -> wire.TurnReply | None:
-        """Request what the begin would be answered, and a placement; ``None``: no answer."""
+        """Request the expected answer to the begin, and a placement; ``None``: no answer."""
         if not self.ports.policy.preview:
             return None
         preview = wire.TurnPreview(begin=self._begin, group=self.group)
@@ -127,7 +127,7 @@
         return reply
 
     def _placement_demand(self) -> wire.TurnDemand:
-        """What the leader needs to know to place the turn."""
+        """Describe the turn to the leader that places it."""
         left_s = self.deadline_s - asyncio.get_running_loop().time()
         placement = self.attempts.placement
         request = self.attempts.request
@@ -143,7 +143,7 @@
         return demand
 
     def _start_commit(self) -> "asyncio.Task[wire.TurnReply | None]":
-        """Start to commit the reservation; the chain comes with the preview."""
+        """Start to commit the reservation; the chain is in the reply to the preview."""
         command = wire.TurnCommand(begin=self._begin, group=self.group)
         command.begin.held_turn = self._begin.previous_turn
         mark_reported = self.ports.add_call_report(self.attempts.principal, command)
@@ -157,17 +157,17 @@
         return task
 
     def _report_dispatch(self, begin: wire.BeginTurn) -> None:
-        """Report that the turn went to its runner on another leader's preview."""
+        """Report whether the turn was already dispatched on the preview of another leader."""
         begin.has_left = self.attempts.may_have_run
 
     async def _begin_without_preview(self, cached: bytes | None) -> Refusal | None:
-        """Without a preview: wait for the commit, then request what the preview would have said."""
+        """Without a granted preview: wait for the commit, then request the preview again."""
         refusal = await self.confirm()
         if refusal is not None:
             return refusal
         if not self.attempts.placement.has_preferred_runner:
-            # Else turns that waited for a new leader would all go where this node alone thinks
-            # best, and the leader would not know of them.
+            # Otherwise turns that waited for a new leader would all be placed by this node alone,
+            # and the leader would not count them.
             preview = await self._preview()
             if preview is not None and is_granted(preview):
                 self._set_transcript(preview, cached)
@@ -181,20 +181,20 @@
         return refusal
 
     async def _commit_in(self, group: int) -> wire.TurnReply | None:
-        """Commit the begin in a further group."""
+        """Commit the begin in another group."""
         self.group = group
         self._commit_task = self._start_commit()
         return await self._await_commit()
 
     def _request_chain(self) -> "asyncio.Task[wire.TurnReply | None]":
-        """Send the same begin again, which changes nothing, for the chain in its reply."""
+        """Repeat the begin, which is idempotent, to get the chain from its reply."""
         command = wire.TurnCommand(begin=self._begin, group=self.group)
         command.begin.held_turn = ""
         commit = commit_begin(self.ports.client, command, BEGIN_TIMEOUT_S)
         return asyncio.get_running_loop().create_task(commit)
 
     async def _await_commit(self) -> wire.TurnReply | None:
-        """The reply to the begin; the commit goes on if the caller disconnects."""
+        """Wait for the reply to the begin; the commit continues if the caller disconnects."""
         if self._commit_task is None:
             return None
         return await asyncio.shield(self._commit_task)
@@ -205,7 +205,7 @@
         self.transcript = cached if cached is not None else transcript_of(reply)
 
     def _log_budget(self, reply: wire.TurnReply) -> None:
-        """Log what a refusal by the budget rests on: what was spent, and what other turns hold."""
+        """Log the spent and the reserved tokens that led to a refusal by the budget."""
         log.say(
             "budget does not hold the turn",
             request=self._begin.turn_id,
@@ -233,7 +233,7 @@
 
 
 def _is_committed(done: "asyncio.Task[wire.TurnReply | None]") -> bool:
-    """Whether a command was applied."""
+    """Whether a command was committed."""
     if done.cancelled() or done.exception() is not None:
         return False
     reply = done.result()
