--- a/src/bendshed/services/events.py
+++ b/src/bendshed/services/events.py
@@ -1,4 +1,4 @@
-"""Splits a stream of server-sent events into whole events and reads what is needed of each."""
+"""Splits a stream of server-sent events into complete events and parses ids and data."""
 
 from dataclasses import dataclass
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        raw: its bytes with the empty line that ends it.
-        event_id: its id; ``None``: it has none or it is no number.
+        raw: its bytes, including the empty line that ends it.
+        event_id: its id; ``None``: it has none, or the id is not a number.
         data: its data lines, joined by line feeds; ``None``: it has none.
 
     """
@@ -22,18 +22,18 @@
 
 
 class EventSplitter:
-    """Collects bytes until events are whole."""
+    """Buffers bytes until events are complete."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether part of an event is held."""
+        """Whether an incomplete event is buffered."""
         return bool(self._buffer)
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
-        """Take bytes; return the events that are whole now."""
+        """Append bytes; return the events that are complete now."""
         self._buffer += chunk
         events = []
         while (end := self._next_end()) > 0:
@@ -42,7 +42,7 @@
         return events
 
     def _next_end(self) -> int:
-        """Position behind the first event's end; 0: none is whole."""
+        """Position after the first event's terminator; 0: no event is complete."""
         ends = [
             self._buffer.find(terminator) + len(terminator)
             for terminator in EVENT_TERMINATORS
@@ -52,7 +52,7 @@
 
 
 def read_event(raw: bytes) -> StreamEvent:
-    """Read one whole event."""
+    """Parse one complete event."""
     event_id: int | None = None
     data: list[bytes] = []
     for line in raw.splitlines():
--- a/src/bendshed/services/stream_exchange.py
+++ b/src/bendshed/services/stream_exchange.py
@@ -1,7 +1,7 @@
-"""Relays one stream event by event, and keeps a turn's record in step with it.
+"""Relays one stream event by event and updates the record of its turn.
 
-The turn log commits the reservation before anything is handed to the caller, and the turn's end
-before the end of its stream reaches the caller.
+The turn log commits the reservation before any output is sent to the caller, and the turn's end
+before the end of its stream is sent.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class StreamBroken(Exception):
-    """The runner's stream is not whole."""
+    """The runner's stream is incomplete or out of order, or its turn's end is not committed."""
 
 
 @dataclass(slots=True)
@@ -31,8 +31,8 @@
     """One stream.
 
     Attributes:
-        record: the turn that the stream is the answer of; ``None``: it is not recorded.
-        num_events: events handed to the caller.
+        record: the recorded turn whose output is streamed; ``None``: the stream is not recorded.
+        num_events: events sent to the caller.
 
     """
 
@@ -43,7 +43,7 @@
     num_events: int = 0
 
     async def run(self) -> Refusal | ServedOutcome:
-        """Serve the request; a refusal that is returned has not been sent to the caller yet."""
+        """Serve the request; a returned refusal has not been sent to the caller yet."""
         if self.record is None:
             return await self._run_attempts(self.request.body)
         try:
@@ -52,8 +52,8 @@
                 return refusal
             return await self._run_attempts(self.record.body)
         finally:
-            # Also after a refusal, or when the caller left: the begin may be committed later, and
-            # only its end takes the reservation off the program's budget.
+            # Also after a refusal or a disconnect of the caller: the begin may be committed later,
+            # and only the turn's end releases the reservation from the program's budget.
             self.record.finish_incomplete()
 
     async def _run_attempts(self, body: bytes) -> Refusal | ServedOutcome:
@@ -84,7 +84,7 @@
         return ServedOutcome.ANSWERED if is_complete else ServedOutcome.BROKEN_OFF
 
     async def _relay(self, response: OpenResponse) -> bool:
-        """Pass the stream on event by event; raise when it is not whole."""
+        """Relay the stream event by event; raise if it is incomplete."""
         loop = asyncio.get_running_loop()
         is_stream = response.head.status == HTTP_OK
         splitter = EventSplitter()
@@ -107,9 +107,9 @@
                 self._count(event)
             await self.caller.send(b"".join(event.raw for event in events))
         if splitter.has_partial_event:
-            raise StreamBroken("the stream ended within an event")
+            raise StreamBroken("the stream ended in the middle of an event")
         if is_stream and self.record is not None and not await self.record.finish_complete():
-            raise StreamBroken("the turn's end could not be kept")
+            raise StreamBroken("the turn's end could not be committed")
         await self.caller.end()
         log.say(
             "stream answered",
@@ -131,7 +131,7 @@
         return event.event_id
 
     def _count(self, event: StreamEvent) -> None:
-        """Count an event before it is handed on."""
+        """Count an event before it is sent."""
         if event.data is None:
             return
         self.num_events += 1
--- a/src/bendshed/services/turn_codec.py
+++ b/src/bendshed/services/turn_codec.py
@@ -1,4 +1,4 @@
-"""Writes a turn's commands for the turn log, and reads why a begin was refused."""
+"""Encodes a turn's commands for the turn log and decodes refusals of its begin."""
 
 from dataclasses import dataclass
 
@@ -17,10 +17,10 @@
     """How a turn ended at its runner.
 
     Attributes:
-        is_complete: its stream came to a proper end.
-        runner_id: whose answer was taken; empty: none.
-        failed: ids of runners that were unreachable or gave no answer.
-        may_have_run: a runner may have begun work on it.
+        is_complete: its stream ended properly.
+        runner_id: id of the runner whose response was accepted; empty: none.
+        failed: ids of runners that were unreachable or gave no response.
+        may_have_run: a runner may have started to execute it.
 
     """
 
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnCodec:
-    """Commands of one turn.
+    """Encoder of one turn's commands.
 
     Attributes:
-        tenant: whom it is counted for; empty: nobody.
+        tenant: name of the tenant that the turn is charged to; empty: none.
 
     """
 
@@ -44,7 +44,7 @@
     tenant: str
 
     def encode_begin(self, num_groups: int) -> wire.BeginTurn:
-        """Write the reservation of the turn's worst case; its budget is shared by the groups."""
+        """Encode the reservation of the turn's maximum cost; the groups share its budget."""
         turn = self._turn
         return wire.BeginTurn(
             program_id=self.request.program_id,
@@ -59,7 +59,7 @@
         )
 
     def encode_finish(self, group: int, output: TurnOutput, end: TurnEnd) -> wire.TurnCommand:
-        """Write the turn's end: what it used, what is stored of it, and what it saw of runners."""
+        """Encode the turn's end: its usage, its content to store, and its report on runners."""
         keep = end.is_complete and self.route.keeps_turns
         finish = wire.FinishTurn(
             program_id=self.request.program_id,
@@ -82,7 +82,7 @@
 
     @property
     def _turn(self) -> TurnDetails:
-        assert self.request.turn is not None  # the forwarder makes records of turns only
+        assert self.request.turn is not None  # the forwarder creates records for turns only
         return self.request.turn
 
 
@@ -95,17 +95,17 @@
 
 
 def is_granted(reply: wire.TurnReply) -> bool:
-    """Whether a begin reserved its tokens, or would as a preview says."""
+    """Whether a begin reserved its tokens or, for a preview, would do so."""
     return reply.answer == wire.TURN_ANSWER_GRANTED
 
 
 def transcript_of(reply: wire.TurnReply) -> bytes:
-    """The chain before the turn, as far as the reply holds it."""
+    """Return the chain before the turn, as far as the reply contains it."""
     return b"".join(piece.transcript for piece in reply.chain)
 
 
 def refusal_of_begin(reply: wire.TurnReply) -> Refusal:
-    """Read why a begin reserved nothing."""
+    """Decode the refusal of a begin that reserved nothing."""
     if reply.answer == wire.TURN_ANSWER_QUOTA_EXCEEDED:
         return quota_refusal_of(reply)
     if reply.answer == wire.TURN_ANSWER_NO_ROOM:
--- a/src/bendshed/services/turn_ends.py
+++ b/src/bendshed/services/turn_ends.py
@@ -1,6 +1,6 @@
-"""Commits the ends of turns that no caller waits for.
+"""Commits, in the background, the ends of turns that no caller waits for.
 
-Owns: the ends that are not committed yet, by group of the turn log. Relies on ``TurnClient``.
+Owns the ends that are not committed yet, by group of the turn log. Depends on ``TurnClient``.
 """
 
 import asyncio
@@ -13,28 +13,28 @@
 from bendshed.wire import turns_pb2 as wire
 
 MAX_CONCURRENT_COMMITS = 4
-"""Ends of one group that are committed side by side: after an outage all nodes have some, while
-callers come back to the same leader."""
+"""Limit per group: after an outage all nodes have pending ends while callers return to the same
+leader."""
 INITIAL_TIMEOUT_S = 0.5
-"""How long an end is tried before the pause: time for one try and a second one elsewhere."""
+"""Timeout of the first commit: enough for one attempt and a second one at another replica."""
 MAX_TIMEOUT_S = 2.0
-"""The same once commits have failed before: a leader that is slow takes up to a second for one."""
+"""Upper bound of the timeout after failures: a slow leader takes up to 1 s per commit."""
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
-"""Pauses while no leader answers; then one end goes at a time."""
+"""Bounds of the backoff while no leader answers; then one end is committed at a time."""
 BACKOFF_FACTOR = 2.0
-"""Each pause and time-out is longer than the last by this factor."""
+"""Growth factor of the backoff and of the timeout."""
 MAX_PENDING = 10_000
-"""Ends of one node that wait, some 300 bytes each. One that finds no place is dropped: its
-reservation stays until its program is forgotten."""
+"""Pending ends of one node, about 300 bytes each. Further ends are dropped; their reservations stay
+until their programs are forgotten."""
 
 log = PartLog("turns")
 
 
 class PendingTurnEnds:
-    """Ends that wait for their commit.
+    """Queues of turn ends that are not committed yet.
 
-    Invariant: an end that was added is tried until it is committed, as long as this process runs.
+    Invariant: a queued end is retried until it is committed, as long as this process runs.
     """
 
     def __init__(self, client: TurnClient) -> None:
@@ -44,11 +44,11 @@
 
     @property
     def num_pending(self) -> int:
-        """Ends that are not known to be committed."""
+        """Number of ends that are not known to be committed."""
         return sum(len(queue) for queue in self._queues.values())
 
     def add(self, command: wire.TurnCommand) -> None:
-        """Commit the end of a turn; no caller waits for it."""
+        """Commit the end of a turn in the background."""
         if self.num_pending >= MAX_PENDING:
             log.say(
                 "reservation not released: too many turn ends wait",
@@ -62,12 +62,12 @@
             self._tasks[group] = start_loop(self._commit_queue(group), "turns")
 
     async def wait_until_committed(self) -> None:
-        """Wait until all are committed."""
+        """Wait until all ends are committed."""
         while self._tasks:
             await asyncio.wait(self._tasks.values())
 
     def log_uncommitted(self) -> None:
-        """The process ends: name the ends that it leaves behind."""
+        """Log the number of ends that are uncommitted when the process stops."""
         if self.num_pending:
             log.say(
                 "reservations not released: process stops before turn ends are committed",
@@ -75,7 +75,7 @@
             )
 
     async def _commit_queue(self, group: int) -> None:
-        """Commit what waits for a group; an end leaves the queue once it is committed."""
+        """Commit the queued ends of a group; an end leaves the queue once it is committed."""
         queue = self._queues[group]
         backoff_s, timeout_s = 0.0, INITIAL_TIMEOUT_S
         while queue:
@@ -90,13 +90,13 @@
             backoff_s = min(MAX_BACKOFF_S, BACKOFF_FACTOR * backoff_s or INITIAL_BACKOFF_S)
             timeout_s = min(MAX_TIMEOUT_S, BACKOFF_FACTOR * timeout_s)
             await asyncio.sleep(backoff_s)
-        # Not in a callback of the task: an end that is added before it runs would start nothing.
+        # Not in a done callback: an end added before the callback runs would not start a task.
         del self._tasks[group]
 
     async def _commit_batch(
         self, queue: deque[wire.TurnCommand], max_count: int, timeout_s: float
     ) -> bool:
-        """Try the oldest ends; those that fail go behind the others. Return whether any failed."""
+        """Try the oldest ends and requeue failed ones at the back; return whether any failed."""
         tried = [queue[number] for number in range(min(max_count, len(queue)))]
         results = await asyncio.gather(*(self._commit(command, timeout_s) for command in tried))
         for command, is_committed in zip(tried, results, strict=True):
@@ -110,5 +110,5 @@
         try:
             await self._client.command(command, timeout_s)
         except GroupUnavailable:
-            return False  # logged once for all that wait
+            return False  # logged once for the whole queue
         return True
--- a/src/bendshed/services/turn_ports.py
+++ b/src/bendshed/services/turn_ports.py
@@ -1,4 +1,4 @@
-"""What turns need of a node, and how long they wait for the turn log."""
+"""Dependencies of turns on the node, and their timeouts at the turn log."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,26 +18,24 @@
 from bendshed.wire import turns_pb2 as wire
 
 BEGIN_TIMEOUT_S = 1.5
-"""How long a turn waits for its reservation, so that it outlives a change of the group's leader.
-Chosen, not measured."""
+"""Timeout of a turn's reservation; outlasts an election of the group."""
 FINISH_TIMEOUT_S = 3.0
 """How long the end of a stream is withheld until the turn's end is committed. Longer than for a
-begin, since the turn's work is done and would be lost. Chosen, not measured."""
+begin, since the turn's completed work would be lost."""
 SHARE_TIMEOUT_S = 0.6
-"""How long another group is asked for its share of a budget, across a change of its leader. Chosen,
-not measured."""
+"""Timeout of requesting another group's share of a budget; outlasts an election of that group."""
 log = PartLog("turns")
 
 
 @dataclass(slots=True)
 class TurnPorts:
-    """What turns need of a node.
+    """Dependencies of turns on the node.
 
     Attributes:
-        group_locator: which group of the turn log is requested first.
-        background_begins: begins under way that outlive their request.
-        ends: of turns that no caller waits for.
-        shares: takes shares between groups whose leaders do not reach each other.
+        group_locator: determines the group of the turn log that a begin is sent to first.
+        background_begins: pending begins, which may outlive their requests.
+        ends: uncommitted ends of turns that no caller waits for.
+        shares: transfers budget shares between groups whose leaders cannot reach each other.
 
     """
 
@@ -56,24 +54,24 @@
         self.shares = ShareGatherer(self.group_locator.groups, self._commit_share)
 
     def run_in_background(self, task: "asyncio.Task[Any]") -> None:
-        """Hold a task until it ends; a node that stops waits for it."""
+        """Keep a reference to a task until it ends; the node waits for it before stopping."""
         self.background_begins.add(task)
         task.add_done_callback(self.background_begins.discard)
 
     def add_call_report(
         self, principal: Principal, command: wire.TurnCommand
     ) -> Callable[[], None]:
-        """Add to a command the calls of limited tenants that this node admitted.
+        """Add to a command a report of the calls of limited tenants that this node admitted.
 
-        Call what is returned once the command is committed. Nothing is added for a principal
-        without a limit.
+        The returned function must be called once the command is committed. Nothing is added for a
+        principal without a limit.
         """
         if not principal.is_limited:
             return _no_calls_reported
         return self.quotas.add_report(command)
 
     async def finish_background_work(self) -> None:
-        """Wait for all that goes on without a caller: begins under way, then ends."""
+        """Wait for the work that no caller waits for: pending begins, then ends."""
         await asyncio.gather(*self.background_begins, return_exceptions=True)
         await self.ends.wait_until_committed()
 
@@ -82,7 +80,7 @@
         try:
             return await self.client.command(command, SHARE_TIMEOUT_S)
         except GroupUnavailable:
-            return None  # logged as ``silent`` with the shares that were taken
+            return None  # logged in the field ``silent`` with the shares that were taken
 
 
 async def commit_begin(
@@ -105,4 +103,4 @@
 
 
 def _no_calls_reported() -> None:
-    """No call was reported, so none is noted as reported."""
+    """Do nothing: the command contains no report to confirm."""
--- a/src/bendshed/services/turn_record.py
+++ b/src/bendshed/services/turn_record.py
@@ -1,7 +1,7 @@
-"""The turn log's side of one turn: its reservation, its count of tokens, and its end.
+"""Records one turn in the turn log: its reservation, its token count and its end.
 
-A facade for ``StreamExchange``: ``TurnReservation`` begins the turn, ``TurnOutput`` counts what is
-handed on, ``TurnCodec`` writes the commands; this commits the end.
+A facade for ``StreamExchange``: ``TurnReservation`` begins the turn, ``TurnOutput`` counts the
+output, and ``TurnCodec`` encodes the commands. This module commits the end.
 """
 
 import asyncio
@@ -29,12 +29,12 @@
 class TurnRecord:
     """One turn in the turn log.
 
-    Invariant: tokens are counted before they are handed on; a begun turn is finished exactly once.
+    Invariant: tokens are counted before they are sent; a begun turn is finished exactly once.
 
     Attributes:
         attempts: dispatches to runners, which follow the placement of the preview.
         engine: features of the service; ``None``: not a model engine.
-        deadline_s: loop time after which the turn is not begun any more.
+        deadline_s: loop time after which the turn is no longer begun.
 
     """
 
@@ -60,23 +60,23 @@
 
     @property
     def body(self) -> bytes:
-        """What a runner gets: the chain's transcript, then the new input."""
+        """Request body for the runner: the chain's transcript, then the new input."""
         return self._reservation.transcript + self.request.body
 
     async def begin(self) -> Refusal | None:
-        """Find the chain and reserve the tokens; return why the turn may not run."""
+        """Load the chain and reserve the tokens; return the refusal if the turn may not run."""
         return await self._reservation.begin()
 
     async def confirm(self) -> Refusal | None:
-        """Wait until the reservation is committed; return why it is not."""
+        """Wait until the reservation is committed; return the refusal if it is not."""
         return await self._reservation.confirm()
 
     def count(self, event: StreamEvent) -> None:
-        """Count an event before it is handed on."""
+        """Count an event before it is sent."""
         self._output.count(event)
 
     async def finish_complete(self) -> bool:
-        """Commit the turn's end; ``False``: not known to be committed in time."""
+        """Commit the end of a complete turn; ``False``: not known to be committed in time."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         command = self._finish_command(is_complete=True)
@@ -106,7 +106,7 @@
         return True
 
     def finish_incomplete(self) -> None:
-        """Charge a turn that did not end well; no caller waits for that."""
+        """Charge a turn that did not complete, in the background; no effect on a finished turn."""
         if not self._reservation.needs_finish or self._is_finished:
             return
         self._is_finished = True
@@ -120,7 +120,7 @@
         return self._codec.encode_finish(self._reservation.group, self._output, end)
 
     def _cache_transcript(self) -> None:
-        """Turns that continue this one through the same node find its chain here."""
+        """Cache the chain for turns that continue this one through the same node."""
         turn = (self._tenant, self.request.request_id)
         self.ports.group_locator.note_turn(*turn, self._reservation.group)
         self.ports.transcripts.put(turn, self.body + self._output.content)
