--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: finds the route, and serves plain ones and turns."""
+"""Serves callers' requests: matches the route, then forwards plain requests, streams and turns."""
 
 import asyncio
 import contextlib
@@ -34,20 +34,20 @@
 retried if the response breaks; a larger one is relayed as it arrives. Bounds memory per open
 request."""
 FIRST_DOCUMENT_WAIT_S = 0.5
-"""How long requests wait for routes and runners at a node that has just started. Bounds the wait
-where no configuration comes: then the request is refused as ``not_ready``."""
+"""How long requests wait for routes and runners at a node that has just started. Without a
+configuration by then, the request is refused as ``not_ready``."""
 
 log = PartLog("forward")
 
 
 class Forwarder:
-    """Serves requests by the newest document.
+    """Serves requests according to the newest configuration document.
 
-    Without ``turns`` no turn is recorded in the turn log: a stream is only relayed.
+    Without ``turns`` no turn is recorded in the turn log: streams are only relayed.
 
     Attributes:
-        is_current: whether this node's document is surely the newest; only then is what it does not
-            name refused for good.
+        is_current: whether this node's document is certainly the newest; only then are unknown
+            routes and credentials refused permanently.
 
     """
 
@@ -74,19 +74,19 @@
         self._has_index.set()
 
     async def _wait_for_index(self) -> RouteIndex | None:
-        """Routes; a node that has just started waits for them and for runners, bounded."""
+        """Return the routes; after a start, wait a limited time for routes and runners."""
         if self._index is None or not self._runners.table.has_runners.is_set():
             now_s = asyncio.get_running_loop().time()
             if self._startup_wait_until_s is None:
                 self._startup_wait_until_s = now_s + FIRST_DOCUMENT_WAIT_S
-            with contextlib.suppress(TimeoutError):  # then the request is refused, which is logged
+            with contextlib.suppress(TimeoutError):  # the request is refused then, and logged
                 async with asyncio.timeout_at(self._startup_wait_until_s):
                     await self._has_index.wait()
                     await self._runners.table.has_runners.wait()
         return self._index
 
     async def serve(self, request: ServiceRequest, caller: Caller) -> None:
-        """Answer one request; cancelled when its caller disconnects."""
+        """Serve one request; cancelled when its caller disconnects."""
         self.num_open += 1
         loop = asyncio.get_running_loop()
         route_kind = NO_ROUTE
@@ -117,7 +117,7 @@
         route: Route | None,
         index: RouteIndex | None,
     ) -> str:
-        """Serve or refuse; return the outcome for the metrics."""
+        """Serve or refuse a request; return the outcome for the metrics."""
         outcome: Refusal | ServedOutcome
         principal = self._access.principal(route, request.credential) if route is not None else None
         if index is None:
@@ -135,7 +135,7 @@
         return outcome.kind.value
 
     def _refuse_unknown(self, kind: ErrorKind, detail: str) -> Refusal:
-        """Refuse what the document does not name; for now, where a newer one may name it."""
+        """Refuse an unknown route or credential, temporarily if a newer document may name it."""
         if self.is_current():
             return Refusal(kind, detail)
         return Refusal(ErrorKind.NOT_READY, f"{detail}, but this node may not know the newest one")
@@ -177,7 +177,7 @@
         index: RouteIndex,
         admit: Callable[[], Awaitable[Refusal | None]],
     ) -> Refusal | ServedOutcome:
-        """Serve a turn, which its reservation admits, or admit and serve another request."""
+        """Serve a turn, which its reservation admits; admit any other request, then serve it."""
         is_stream = attempts.route.kind is RouteKind.STREAM
         if is_stream:
             known = index.document.services.get(attempts.placement.service)
@@ -204,7 +204,7 @@
         return TurnRecord(self._turns, request, attempts.route, attempts, engine, deadline_s)
 
     def _sticky_key(self, request: ServiceRequest, route: Route) -> str:
-        """What requests share that run faster at the same runner; empty: nothing."""
+        """Key of requests that run faster at the same runner; empty: none."""
         if not route.is_sticky:
             return ""
         return request.affinity_key or request.session
@@ -212,7 +212,7 @@
     async def _admit_call(
         self, request: ServiceRequest, principal: Principal, deadline_s: float
     ) -> Refusal | None:
-        """Count a request that is no turn against its tenant's quota."""
+        """Charge a request that is not a turn to its tenant's quota."""
         if self._turns is None:
             return None
         return await self._turns.quotas.admit_call(principal, request, deadline_s)
@@ -267,9 +267,10 @@
 
 
 async def _relay_response(response: OpenResponse, caller: Caller) -> bool:
-    """Pass an answer on, a small one only when it is complete; raise ``ResponseBroken``.
+    """Relay a response, a small one only once it is complete; raise ``ResponseBroken``.
 
-    Once part of a large one was passed on, a break ends the caller's connection visibly.
+    After part of a large response was relayed, a break aborts the caller's connection instead, so
+    that the caller sees it.
     """
     buffered: list[bytes] = []
     num_buffered_bytes = 0
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -1,4 +1,4 @@
-"""A node that forwards requests: its parts, and what it does with updates."""
+"""A node that forwards requests: builds its components and applies updates to them."""
 
 import asyncio
 import random
@@ -42,19 +42,20 @@
 
 TRANSCRIPT_BYTES = 16 * 1024 * 1024
 TURN_LOG_LOST_AFTER_S = 1.5
-"""A node that no replica of the turn log answered for this long sends its clients elsewhere."""
+"""A node that got no answer from any replica of the turn log for this long is not ready, so that
+clients use other nodes."""
 PROBE_INTERVAL_S = 0.4
 RELAYED_METHODS = frozenset(
     {TURN_METHOD, PREVIEW_METHOD, QUOTA_METHOD, RUNNER_METHOD, CATALOG_METHOD}
 )
-"""Requests that may be repeated without harm, so that they may go through another node."""
+"""Idempotent methods, whose requests may also be relayed through another node."""
 
 log = PartLog("node")
 
 
 @dataclass(frozen=True, slots=True)
 class NodeLocation:
-    """Where a node is, and where other nodes reach it.
+    """Zone and address of a node.
 
     Attributes:
         places: regions of all zones.
@@ -67,18 +68,18 @@
 
 
 class ServiceNode:
-    """Everything of a node but its shells.
+    """The components of a node, without its listeners and process.
 
-    Invariants: a document is only ever replaced by a newer one; a node without a document, one
-    that drains and one that no replica of the turn log answers any more is not ready.
+    Invariants: a document is replaced only by a newer one; a node is not ready while it has no
+    document, drains, or gets no answer from any replica of the turn log.
 
     Attributes:
-        directory: where the turn log's replicas are.
-        neighbours: where other nodes are located.
-        catalog: requests configuration and runners of replica machines.
+        directory: addresses of the turn log's replicas.
+        neighbours: zones of other nodes, by host.
+        catalog: requests the configuration and the runners from replica machines.
         forwarder: serves requests.
-        quotas: what the node may admit of each tenant.
-        zones: closed zones, where operators close any.
+        quotas: admits requests within the quota of each tenant.
+        zones: zones that operators closed.
         on_document: called with each document that comes into force.
 
     """
@@ -144,7 +145,7 @@
     def _build_turns(
         self, location: NodeLocation, rng: random.Random, metrics: ServiceMetrics
     ) -> TurnPorts:
-        """What a request needs of the turn log; each start draws a new incarnation."""
+        """Build what turns need of the turn log; each start draws a new incarnation."""
         leaders = GroupClient(
             self._relayed_requests,
             rng,
@@ -169,7 +170,7 @@
         rng: random.Random,
         metrics: ServiceMetrics,
     ) -> RunnerPorts:
-        """What an attempt needs to reach a runner."""
+        """Build what attempts need to reach a runner."""
         return RunnerPorts(
             self._table,
             self._pool,
@@ -184,7 +185,7 @@
         )
 
     def _note_replicas(self) -> None:
-        """Remember where replica machines are located."""
+        """Record the zones of replica machines."""
         for replica in self.directory.by_name.values():
             self.neighbours.put(replica.address.host, replica.zone)
 
@@ -195,21 +196,21 @@
         return self._policy.refusal_when_isolated and self._relayed_requests.is_isolated
 
     def _add_gauges(self, metrics: ServiceMetrics) -> None:
-        """Add gauges that are read when metrics are scraped."""
+        """Add gauges that are evaluated when metrics are scraped."""
         open_requests = metrics.gauge("bendshed_open_requests", "Requests under way")
         open_requests.set_function(lambda: self.forwarder.num_open)
-        ready = metrics.gauge("bendshed_ready", "1 while new clients may be sent here")
+        ready = metrics.gauge("bendshed_ready", "1 while new clients may be routed to this node")
         ready.set_function(lambda: float(self.is_ready))
-        relayed = metrics.gauge("bendshed_requests_relayed", "Answers that came through others")
+        relayed = metrics.gauge("bendshed_requests_relayed", "Replies received through other nodes")
         relayed.set_function(lambda: float(self._relayed_requests.num_relayed))
         doubled = metrics.gauge(
-            "bendshed_requests_doubled", "Requests that went directly and through others"
+            "bendshed_requests_doubled", "Requests sent both directly and through other nodes"
         )
         doubled.set_function(lambda: float(self._relayed_requests.num_doubled))
-        ends = metrics.gauge("bendshed_turn_ends_pending", "Ends of turns to be committed")
+        ends = metrics.gauge("bendshed_turn_ends_pending", "Turn ends that are not committed yet")
         ends.set_function(lambda: float(self._turns.ends.num_pending))
         fresh = metrics.gauge(
-            "bendshed_catalog_fresh", "1 while replica machines read for this node"
+            "bendshed_catalog_fresh", "1 while replica machines read the registry for this node"
         )
         fresh.set_function(lambda: float(self.catalog.is_fresh))
         version = metrics.gauge("bendshed_configuration_version", "Configuration applied")
@@ -226,7 +227,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new clients may be sent here."""
+        """Whether new clients may be routed to this node."""
         knows = self.forwarder.index is not None
         return knows and not self.is_draining and not self._has_lost_turn_log()
 
@@ -241,7 +242,8 @@
     async def watch_turn_log(self) -> None:
         """Find the leaders at the start; probe while no replica answers.
 
-        A node becomes ready again by that. A region that is cut off must not hold it up.
+        A successful probe makes the node ready again. Leaders of other groups are searched
+        concurrently, so that a region that is cut off does not delay the node.
         """
         await self._knows_replicas.wait()
         client = self._turns.client
@@ -252,8 +254,8 @@
             await client.find_leader(client.home_group)
             while True:
                 await asyncio.sleep(PROBE_INTERVAL_S)
-                # A request that its caller gave up tells of a failed path and of no loss; while the
-                # node rejects turns as isolated, only a probe can show that others answer again.
+                # A request that its caller gave up shows a failed path but no loss of the turn log.
+                # While the node rejects turns as isolated, only a probe shows that others answer.
                 if client.lost_since_s is not None or client.is_isolated:
                     await client.probe()
         finally:
@@ -261,7 +263,7 @@
                 task.cancel()
 
     def apply_document(self, document: ServiceDocument) -> bool:
-        """Apply a newer document; an older one changes nothing."""
+        """Apply a newer document and return ``True``; an older one changes nothing."""
         index = self.forwarder.index
         before = index.document.version if index is not None else None
         if before is not None and document.version <= before:
@@ -282,11 +284,11 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether no other node has answered for a while, on any path."""
+        """Whether no other node has answered for some time on any path."""
         return self._turns.client.is_isolated
 
     def replace_runners(self, runners: Collection[ServiceRunner], is_trusted: bool) -> None:
-        """Take the whole list of runners; see ``remove_runner`` for ``is_trusted``."""
+        """Replace the list of runners; see ``remove_runner`` for ``is_trusted``."""
         listed = {runner.runner_id for runner in runners}
         for runner_id in [name for name in self._table.by_id if name not in listed]:
             self.remove_runner(runner_id, is_trusted)
@@ -294,77 +296,77 @@
             self.put_runner(runner)
 
     def put_runner(self, runner: ServiceRunner) -> None:
-        """Take one runner's state."""
+        """Add or update one runner."""
         self.neighbours.put(runner.address.host, runner.zone)
         self._table.put(runner)
 
     def remove_runner(self, runner_id: str, is_trusted: bool) -> None:
-        """A runner is not listed any more; ``is_trusted``: the list's keeper is well."""
+        """Remove a runner that is no longer listed; ``is_trusted``: the registry was healthy."""
         record = self._table.by_id.get(runner_id)
         self._table.remove(runner_id, asyncio.get_running_loop().time(), is_trusted)
         if record is not None and is_trusted:
             self._pool.forget(record.listed.address)
 
     def apply_zones(self, update: ZoneUpdate) -> None:
-        """Take which zones are closed; an older update changes nothing.
+        """Apply an update of the closed zones; an older update changes nothing.
 
-        Requests under way there end; nothing new is dispatched there from here on.
+        Requests already running there complete; no new request is dispatched there.
         """
         self.zones.take(update)
         self._table.filter = self.zones.filter
         self.catalog.note_zones(update.zones.revision)
 
     def confirm_zones(self, age_s: float) -> None:
-        """The registry confirmed everything so long ago, closed zones perhaps somewhat earlier."""
+        """Record the age of the registry's last confirmation; closed zones may lag behind it."""
         if self._zones_lag_s is not None:
             self.zones.confirm(age_s + self._zones_lag_s)
 
     def start_drain(self) -> None:
-        """Be not ready from now on; what comes is still served."""
+        """Report not ready from now on; requests that still arrive are served."""
         self.is_draining = True
         log.say("draining", open=self.forwarder.num_open)
 
     async def finish_background_work(self) -> None:
-        """Wait for the ends of turns that no caller waits for."""
+        """Wait for pending begins and ends of turns that no caller waits for."""
         await self._turns.finish_background_work()
 
     def close(self) -> None:
-        """Close idle connections to runners; log what is left of turns."""
+        """Close idle connections to runners; log uncommitted turn ends."""
         self._turns.ends.log_uncommitted()
         self._pool.close()
 
 
 class _CatalogReceiver:
-    """Passes updates on to the node; revisions are the follower's matter."""
+    """Passes updates on to the node; the follower handles revisions."""
 
     def __init__(self, node: ServiceNode) -> None:
         self._node = node
 
     def take_document(self, document: ServiceDocument) -> bool:
-        """Take a configuration; an older one changes nothing."""
+        """Apply a configuration; an older one changes nothing."""
         return self._node.apply_document(document)
 
     def put_runner(self, known: KnownRunner) -> None:
-        """Take one runner's state."""
+        """Add or update one runner."""
         self._node.put_runner(known.runner)
 
     def remove_runner(self, runner_id: str, _at: int, is_trusted: bool) -> None:
-        """A runner is not listed any more."""
+        """Remove a runner that is no longer listed."""
         self._node.remove_runner(runner_id, is_trusted)
 
     def list_runners(self, runners: list[KnownRunner], _at: int, is_trusted: bool) -> None:
-        """Take the whole list."""
+        """Replace the list of runners."""
         self._node.replace_runners([known.runner for known in runners], is_trusted)
 
     def take_zones(self, update: ZoneUpdate) -> None:
-        """Take which zones are closed."""
+        """Apply an update of the closed zones."""
         self._node.apply_zones(update)
 
     def confirm_all(self, age_s: float, _runners_at: int) -> None:
-        """Only the age of closed zones is used here."""
+        """Use only the age of the closed zones."""
         self._node.confirm_zones(age_s)
 
 
 def _loop_time() -> float:
-    """Steady time of the running loop."""
+    """Monotonic time of the running loop."""
     return asyncio.get_running_loop().time()
--- a/src/bendshed/services/runner_placement.py
+++ b/src/bendshed/services/runner_placement.py
@@ -1,7 +1,7 @@
-"""Finds the runner for the next attempt at one request: preferred, warm, or cold by permit.
+"""Finds the runner for the next attempt at one request: preferred, warm, or cold with a permit.
 
-Applies ``placement/node_choice.py`` to what this node knows now, and requests permits of the turn
-log's leader. It owns the preference that a preview brought.
+Applies ``placement/node_choice.py`` to the node's current state and requests permits from the turn
+log's leader. Owns the placement that a preview returned.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerPorts:
-    """What attempts need of a node.
+    """Dependencies of attempts on the node.
 
     Attributes:
-        zone, node: the node's zone and a name that other nodes do not have.
-        permit_client: requests permits for cold runners; ``None``: no leader gives any.
+        zone, node: the node's zone and its unique name.
+        permit_client: requests permits for cold runners; ``None``: no permits are available.
 
     """
 
@@ -51,14 +51,14 @@
 
 @dataclass(slots=True)
 class RunnerPlacement:
-    """Where one request may go.
+    """Chooses the runners of one request.
 
-    Invariant: a cold runner is chosen only with the leader's permit for that very dispatch.
+    Invariant: a cold runner is chosen only with a permit of the leader for that one dispatch.
 
     Attributes:
-        service: whose runners are eligible.
-        sticky_key: a session or an affinity key that requests share; empty: none.
-        regions: where its runners may be located; ``None``: anywhere.
+        service: the service whose runners are eligible.
+        sticky_key: session or affinity key that requests share; empty: none.
+        regions: where the runners may be located; ``None``: anywhere.
 
     """
 
@@ -72,18 +72,18 @@
 
     @property
     def has_preferred_runner(self) -> bool:
-        """Whether the leader of the turn log has placed the request."""
+        """Whether the leader of the turn log has placed the request at a runner."""
         return bool(self._preferred_runner)
 
     def prefer(self, runner_id: str, permit: TimedPermit) -> None:
-        """Follow the leader's placement while that runner may get the request.
+        """Use the leader's placement as long as that runner may get the request.
 
-        ``permit`` is what the runner needs if it is cold; an empty ``runner_id``: no placement.
+        ``permit`` is required if the runner is cold; an empty ``runner_id``: no placement.
         """
         self._preferred_runner, self._preferred_permit = runner_id, permit
 
     def describe_no_runner(self) -> str:
-        """Why no runner is left, for the refusal."""
+        """Explain in a refusal why no runner is left."""
         detail = f"no runner of {self.service} takes the request now"
         closed = sorted(self.ports.table.filter.zones.closed)
         if closed:
@@ -93,7 +93,7 @@
         return detail
 
     def runner_report(self) -> RunnerReport:
-        """What this node reports of the service's runners to a leader that places the request."""
+        """Report on the service's runners to a leader that places the request."""
         now_s = asyncio.get_running_loop().time()
         eligible = self._eligible(now_s)
         connected: list[str] = []
@@ -104,7 +104,7 @@
         )
 
     async def find_runner(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
-        """Find the runner of the next attempt; a refusal is the leader's, which gave no permit."""
+        """Find the runner of the next attempt; ``Refusal``: the leader granted no permit."""
         now_s = asyncio.get_running_loop().time()
         if may_choose_runner(history):
             choice = self.choose(history.tried, now_s)
@@ -115,7 +115,7 @@
         return GiveUp(GiveUpReason.NO_RUNNER, self.describe_no_runner())
 
     def choose(self, tried: Collection[str], now_s: float) -> Choice | None:
-        """Choose the preferred runner if it may get the request, else a warm one from here."""
+        """Choose the preferred runner if it may get the request, else a warm one."""
         eligible = self._eligible(now_s)
         preferred = self._choose_preferred(eligible, tried, now_s)
         if preferred is not None:
@@ -136,9 +136,7 @@
         )
 
     def may_dispatch_to(self, record: RunnerRecord, permit: TimedPermit, now_s: float) -> bool:
-        """Whether a runner may get the request now: in an open zone and an allowed region, and
-        warm or permitted.
-        """
+        """Whether a runner is in an open zone and an allowed region, and is warm or permitted."""
         if not self.ports.table.filter.allows(record.listed, self.regions):
             return False
         return permit.is_valid(now_s) or not self.ports.table.cold.is_cold(record.listed.runner_id)
@@ -159,7 +157,7 @@
         return None
 
     def _has_untried_cold(self, tried: Collection[str], now_s: float) -> bool:
-        """Whether a permit could open a runner that was not tried yet."""
+        """Whether a cold runner was not tried yet, which a permit would make usable."""
         return any(
             self.ports.table.cold.is_cold(record.listed.runner_id)
             for record in self._eligible(now_s)
@@ -167,7 +165,7 @@
         )
 
     async def _request_permit(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
-        """Request a permit for one dispatch to a runner that was not tried yet."""
+        """Request a permit for one dispatch to an untried runner."""
         if self.ports.permit_client is None:
             detail = f"all runners of {self.service} are cold"
             return GiveUp(GiveUpReason.NO_PERMIT, detail)
--- a/src/bendshed/services/runners.py
+++ b/src/bendshed/services/runners.py
@@ -1,7 +1,7 @@
-"""The runners behind the services, as one node knows them: listed state and its experience.
+"""The runners of all services as one node knows them: listed state and observed failures.
 
-Owns the records of runners and logs their changes. Which of them are eligible is decided in
-`placement/eligibility.py`.
+Owns the records of runners and logs their changes. `placement/eligibility.py` decides which runners
+are eligible.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class _LoggedRecord(RunnerRecord):
-    """A record that logs when its runner is avoided."""
+    """A record that logs when its runner becomes avoided."""
 
     __slots__ = ()
 
@@ -43,9 +43,9 @@
 
     Attributes:
         has_runners: set once a runner has been listed.
-        work_times: of each route, over all runners.
-        filter: places where requests may run.
-        cold: runners that get nothing from this node without a permit.
+        work_times: work times of each route over all runners.
+        filter: zones and regions where requests may run.
+        cold: runners that get no request from this node without a permit.
 
     """
 
@@ -57,7 +57,7 @@
     cold: ColdRunnerTracker = field(default_factory=ColdRunnerTracker)
 
     def put(self, runner: ServiceRunner) -> None:
-        """Take an entry of the list."""
+        """Add or update a listed runner."""
         record = self.by_id.get(runner.runner_id)
         if record is not None and record.listed == runner and record.unlisted_at_s is None:
             return
@@ -80,12 +80,12 @@
         )
 
     def remove(self, runner_id: str, now_s: float, is_trusted: bool) -> None:
-        """A runner vanished from the list.
+        """Remove a runner that is no longer listed.
 
         Args:
-            runner_id: which.
+            runner_id: id of the runner.
             now_s: loop time.
-            is_trusted: the registry was well; otherwise the runner may still be there and is a last
+            is_trusted: the registry was healthy; otherwise the runner may still run and is a last
                 resort for ``UNLISTED_GRACE_S``.
 
         """
@@ -104,7 +104,7 @@
         self._by_service(record.listed.service).pop(record.listed.runner_id, None)
 
     def count(self, view: RunnerView) -> int:
-        """Runners in a state."""
+        """Count the runners in a state."""
         return sum(1 for record in self.by_id.values() if record.view is view)
 
     def eligible(
@@ -113,9 +113,9 @@
         """Eligible runners of a service, else its last resorts; see ``eligible_runners``.
 
         Args:
-            service: whose.
-            now_s: loop time; runners that are no last resort any more are forgotten.
-            regions: that the request may run in; ``None``: anywhere.
+            service: name of the service.
+            now_s: loop time; runners that are no longer a last resort are removed.
+            regions: where the request may run; ``None``: anywhere.
 
         """
         records = self._by_service(service)
@@ -125,7 +125,7 @@
         return eligible_runners(records.values(), self.filter, regions)
 
     def has_no_eligible_runner(self, service: str, regions: Collection[str] | None) -> bool:
-        """Whether a service has ready runners, all in places where the request may not run."""
+        """Whether a service has ready runners, but all of them where the request may not run."""
         return are_all_excluded(self._by_service(service).values(), self.filter, regions)
 
     def _by_service(self, service: str) -> dict[str, RunnerRecord]:
