--- a/tests/patterns/test_first_turns_after_power.py
+++ b/tests/patterns/test_first_turns_after_power.py
@@ -1,10 +1,9 @@
-"""Load pattern: all machines lost power, and callers come back to nodes that know no leader yet.
+"""Load pattern: all machines lost power, and callers return to nodes that know no leader yet.
 
-Grounds for the figures: with 68 nodes and 11 replica machines, five of them voters, a leader stood
-0.22 s after power. The first turn of each node, in the half second after that, took 45 to 436 ms
-to begin (later ones 2.2 ms), without a word of the leader on where it had best run: it asked one
-replica after the other, and most of these lead nothing and know nobody who does. A program of 1.3 s
-may lose about 0.5 s.
+With 68 nodes and 11 replica machines, five of them voters, a leader was elected 0.22 s after the
+power returned. In the next 0.5 s the first turn of each node took 45 to 436 ms to begin (later ones
+2.2 ms) and got no placement by the leader: the node tried the replicas in turn, and most of them
+neither lead nor know the leader. A program of 1.3 s may lose about 0.5 s.
 """
 
 import unittest
@@ -16,11 +15,11 @@
 from bendshed.services import attempts, turn_reservation
 
 LEADER_DISCOVERY_S = 0.25
-"""Nodes look for a leader by themselves and have found it so long after it was there."""
+"""Time after an election within which nodes have found the leader without a request."""
 MAX_BEGIN_MS = 10.0
-"""A turn's begin takes a round trip to the leader and its work, some 2 ms in these worlds."""
+"""A begin takes a round trip to the leader and its processing, about 2 ms in these worlds."""
 ROUND_TRIPS_S = 0.01
-"""Some round trips from node to replica: one for the configuration, up to three for the leader."""
+"""Round trips from node to replica: one for the configuration, up to three for the leader."""
 STEP_S = 0.001
 SEEDS = range(1, 7)
 
@@ -54,7 +53,7 @@
                 self.assertTrue(all(row["previewed"] for row in self.begin_log_lines()))
 
     def test_requests_that_wait_for_a_starting_node_begin_at_once(self) -> None:
-        """The leader stands before the nodes have loaded; it is found as soon as replicas are."""
+        """A leader exists before the nodes start; they find it once they know its replicas."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 world = SiteWorld.started(seed)
@@ -89,12 +88,12 @@
 
 
 def knows_routes(front: SimMachine) -> bool:
-    """Whether a node could serve."""
+    """Whether a node has routes, so that it can serve requests."""
     return front.front is not None and front.front.forwarder.index is not None
 
 
 def restart_all(world: SiteWorld) -> None:
-    """Everybody loses power and is back after a second."""
+    """All machines lose power and restart after 1 s."""
     machines = [*world.fronts.values(), *world.stores.values()]
     for machine in machines:
         world.kill(machine)
--- a/tests/test_budget_after_refused_begins.py
+++ b/tests/test_budget_after_refused_begins.py
@@ -1,17 +1,14 @@
-"""Turns that go on from a stored one were refused as spent, for good, after a loss of power.
+"""Begins that are refused or whose callers disconnect must release their reservations.
 
-Seen: a program whose first turn had ended whole asked again and again once power was back, with a
-new id each time. No try reached a runner, and the last ones were answered 402.
+The failure: after a power loss, turns that continue a stored one were refused as spent (402) for
+good, although no attempt had reached a runner. A leader appended the begins of retries, each with a
+new id, and could not commit them in time, so the callers got 503; the entries were committed later.
+A budget that holds few turns is not granted in a preview, so these retries only waited for their
+commit. Such a begin got no end, so its maximum cost stayed reserved until the program was
+forgotten, and a few retries used up the whole budget.
 
-How it came about: a leader took begins of these tries and could not commit them in time, so the
-callers got 503. The entries were committed later. A budget that holds few turns is not previewed as
-granted, so these tries waited for their commit alone and went to no runner.
-
-Cause: a begin that was refused to its caller, or whose caller left, got no end, and its worst case
-stayed reserved until the program was forgotten. A few such tries held the whole budget.
-
-Proof: with the end left out, the simulated site refuses the next turn with nothing spent; random
-worlds show the ids of refused turns among a resting program's reservations.
+Without the end, the simulated site refuses the next turn with nothing spent, and random worlds show
+ids of refused turns among an idle program's reservations.
 """
 
 import asyncio
@@ -43,7 +40,7 @@
 
 
 class SilentTurnClient:
-    """Takes begins and answers none; answers ends."""
+    """Receives begins without answering them; answers ends."""
 
     is_isolated = False
 
@@ -67,7 +64,7 @@
 
 
 class RefusedBeginTest(unittest.IsolatedAsyncioTestCase):
-    """A begin whose outcome is unknown, at its front."""
+    """A begin whose outcome is unknown to its front."""
 
     def exchange(self) -> StreamExchange:
         policy = replace(EVERYTHING, shared_load=False)
@@ -90,14 +87,14 @@
         return self.client.finished
 
     async def time_out_begin(self) -> None:
-        """The log stays silent until the turn may wait no longer."""
+        """The turn log does not answer until the begin times out."""
         self.client.may_fail.set()
         outcome = await self.exchange().run()
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.kind, ErrorKind.TURN_LOG_UNAVAILABLE)
 
     async def cancel_request(self) -> None:
-        """The caller closes its connection while the log is silent."""
+        """The caller disconnects while the turn log does not answer."""
         running = asyncio.create_task(self.exchange().run())
         await self.client.has_begun.wait()
         running.cancel()
@@ -112,7 +109,7 @@
 
 
 class SpentBudgetTest(unittest.TestCase):
-    """The same in a simulated site: begins reach the voters' logs and are committed too late."""
+    """The same in a simulated site: voters append begins and commit them too late."""
 
     def test_late_commits_do_not_spend_the_budget(self) -> None:
         logging.disable(logging.CRITICAL)
@@ -137,7 +134,7 @@
 
 
 class SpentRuleTest(unittest.TestCase):
-    """The rule that judges 402s can fail, and allows what it must."""
+    """The rule that checks 402 responses detects violations and accepts valid ones."""
 
     def setUp(self) -> None:
         self.world = SiteWorld.started(1)
--- a/tests/test_cold_runner_dispatch.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -1,4 +1,4 @@
-"""Cold runners between processes: what fronts send, leaders grant, catalogs tell and disks keep."""
+"""Cold runners across processes: dispatches, permits, catalog replies and stored files."""
 
 import asyncio
 import heapq
@@ -127,7 +127,7 @@
 
 
 class LeaderPermitTest(unittest.TestCase):
-    """An established leader of a pool of two runners that are cold."""
+    """An established leader with a pool of two cold runners."""
 
     def setUp(self) -> None:
         self.clock = Clock(0.0)
@@ -249,7 +249,7 @@
 
 
 class BurstTest(unittest.TestCase):
-    """A pool of 22 runners that are all cold, in a burst of three times its calm load."""
+    """A pool of 22 cold runners under a burst of three times its normal load."""
 
     NUM_RUNNERS = 22
     PROGRAMS_PER_S, TURNS = 26.0, 5
@@ -268,7 +268,7 @@
         self.rng = random.Random(1)
 
     def arrivals(self) -> list[tuple[float, int, int]]:
-        """Time, program and turns that are left, of each first turn."""
+        """Arrival time, program number and remaining turns of each first turn."""
         at_s, found = 0.0, []
         while at_s < self.END_S:
             is_burst = self.BURST_FROM_S < at_s < self.BURST_TO_S
@@ -278,7 +278,7 @@
         return found
 
     def is_permitted(self, program: int, left: int, now_s: float) -> bool:
-        """Whether a turn may go."""
+        """Whether a turn may be dispatched."""
         while self.cold.grants.touch._looked_s < now_s:
             looked_s = self.cold.grants.touch._looked_s
             self.cold.grants.touch.look(1, True, min(now_s, looked_s + 0.1))
@@ -332,14 +332,14 @@
         raise NotImplementedError
 
     def finish(self) -> None:
-        """Nothing is kept."""
+        """Do nothing: the fake keeps no connections."""
 
     def abort(self) -> None:
-        """Nothing is kept."""
+        """Do nothing: the fake keeps no connections."""
 
 
 class FakePool(RunnerConnections):
-    """Runs ``on_acquire`` while a connection comes up."""
+    """Calls ``on_acquire`` while connecting."""
 
     def __init__(self) -> None:
         self.on_acquire = lambda: None
@@ -355,17 +355,17 @@
         return False
 
     def release(self, address: Address, connection: RunnerConnection) -> None:
-        """Nothing is kept."""
+        """Do nothing: the fake keeps no connections."""
 
     def forget(self, address: Address) -> None:
-        """Nothing is kept."""
+        """Do nothing: the fake keeps no connections."""
 
     def close(self) -> None:
-        """Nothing is kept."""
+        """Do nothing: the fake keeps no connections."""
 
 
 class FakePermitClient(PermitClient):
-    """Answers in order; remembers which runners were named as tried."""
+    """Returns the given answers in order; records the runners reported as tried."""
 
     def __init__(self, *answers: RunnerPermit | Refusal) -> None:
         self.answers = list(answers)
@@ -382,7 +382,7 @@
 
 
 class FakeTurnClient(TurnClient):
-    """Answers each question alike, after it took note."""
+    """Records each permit request and returns the same reply."""
 
     def __init__(self, reply: wire.TurnReply | None) -> None:
         self.lost_since_s = None
@@ -474,7 +474,7 @@
         return Attempts(request, ROUTE, Principal(None, 0), placement, history)
 
     async def open(self, attempts: Attempts) -> str:
-        """Runner that got it, or the kind of the refusal."""
+        """Return the runner that got the request, or the kind of the refusal."""
         outcome = await attempts.open(b"")
         if isinstance(outcome, OpenResponse):
             return outcome.record.listed.runner_id
@@ -535,7 +535,7 @@
 class ColdRunnerSiteTest(unittest.TestCase):
     @staticmethod
     async def num_cold(site: SiteWorld) -> list[int]:
-        """Runners that each front counts as cold."""
+        """Number of cold runners at each front."""
         fronts = [machine.front for machine in site.fronts.values() if machine.front]
         return [front._table.cold.num_cold for front in fronts]
 
@@ -574,7 +574,7 @@
 
     @staticmethod
     def refused_share(site: SiteWorld, since_s: float) -> dict[bool, float]:
-        """Share of turns that were refused, by whether a turn of their program had been served."""
+        """Share of refused turns, by whether a turn of their program was served before."""
         served: set[str] = set()
         counts = {True: [0, 0], False: [0, 0]}
         for request in sorted(site.seen.requests, key=lambda row: row.ended_s):
@@ -602,7 +602,7 @@
 
     def test_rejected_program_stays_new(self) -> None:
         with world(4) as site:
-            flood(site, 10)  # every front learns who leads
+            flood(site, 10)  # each front finds the leader
             site.run_for(6.0)
             cool_all(site, LONG_S)
             site.run_for(0.5)
--- a/tests/test_dispatch_restrictions.py
+++ b/tests/test_dispatch_restrictions.py
@@ -1,4 +1,4 @@
-"""Every path by which a request can reach a runner, against a closed zone and against homes."""
+"""Each path of a request to a runner respects closed zones and allowed regions."""
 
 import ast
 import asyncio
@@ -68,7 +68,7 @@
 STREAM = replace(ROUTE, kind=RouteKind.STREAM, max_attempts=1)
 TURN = TurnDetails("", None, 9)
 NUM_REQUESTS = 12
-"""Requests of each path; without a filter some of them reach runners behind it."""
+"""Requests per path: enough that, without restrictions, some reach restricted runners."""
 
 
 def address(runner_id: str) -> Address:
@@ -81,7 +81,7 @@
 
 
 class FakeConnection(RunnerConnection):
-    """Answers as its runner is told to."""
+    """Responds with its runner's configured behaviour."""
 
     def __init__(self, runners: "FakeRunnerConnections", runner_id: str) -> None:
         self._runners = runners
@@ -108,7 +108,7 @@
 
 
 class FakeRunnerConnections(RunnerConnections):
-    """All runners; remembers what each was sent."""
+    """Connections to all runners; records the runner of each request."""
 
     def __init__(self) -> None:
         self.sent: list[str] = []
@@ -136,10 +136,10 @@
 
 
 class FrontFixture:
-    """A front before some open and some shut runners.
+    """A forwarder with runners in an open and in a closed zone.
 
     Attributes:
-        preferred_runner: runner that the leader of the turn log advises.
+        preferred_runner: runner that the leader of the turn log places turns at.
         before_preview, before_quota: called while a request waits for the turn log.
 
     """
@@ -195,7 +195,7 @@
         resumes: str = "",
         credential: str = "",
     ) -> RecordingCaller:
-        """One request; each has a session of its own."""
+        """Send one request with its own session."""
         request = ServiceRequest(
             f"r{number}",
             b"POST",
@@ -275,7 +275,7 @@
 
 
 async def unlisted_runners(front: FrontFixture, number: int) -> RecordingCaller:
-    """All vanished from a list that cannot be trusted."""
+    """All runners disappeared from a list of an unhealthy registry."""
     now_s = asyncio.get_running_loop().time()
     for runner_id in (*OPEN_RUNNERS, *CLOSED_RUNNERS):
         front.table.remove(runner_id, now_s, is_trusted=False)
@@ -348,7 +348,7 @@
         )
 
     def test_only_known_modules_acquire_runner_connections(self) -> None:
-        """A second place would be a path that this test does not walk."""
+        """Another module would add a path that this test does not cover."""
         found = []
         for folder in ("services", "turns", "gateway", "platform", "catalog", "placement"):
             for path in (SOURCES / folder).rglob("*.py"):
@@ -410,12 +410,12 @@
 
 
 class NoEligibleRunnerTest(unittest.IsolatedAsyncioTestCase):
-    """Refused before the turn log and the quota are asked, and truthfully."""
+    """Refused with the right reason, before any request to the turn log or the quota."""
 
     async def refusal_detail(
         self, front: FrontFixture, turn: TurnDetails | None, credential: str = ""
     ) -> str:
-        front.before_quota = front.before_preview = lambda: self.fail("it was asked")
+        front.before_quota = front.before_preview = lambda: self.fail("unexpected request")
         caller = await front.send(turn=turn, credential=credential)
         assert caller.refusal is not None
         self.assertEqual(caller.refusal.kind, ErrorKind.NO_RUNNER)
--- a/tests/test_previewed_turns.py
+++ b/tests/test_previewed_turns.py
@@ -1,4 +1,4 @@
-"""A turn that was sent on a preview's word and whose begin is then answered otherwise."""
+"""A turn that was dispatched on a granted preview and whose begin is then rejected."""
 
 import asyncio
 import unittest
@@ -15,7 +15,7 @@
 
 
 class FakeTurnClient:
-    """Grants the preview, and answers the begin once the turn has left."""
+    """Grants the preview, and answers the begin once the turn was dispatched."""
 
     is_isolated = False
 
--- a/tests/test_runner_answers.py
+++ b/tests/test_runner_answers.py
@@ -1,4 +1,4 @@
-"""Forwarding to a runner behind a real socket that spoils its answers on the wire."""
+"""Forwarding to a runner behind a real socket that corrupts its responses on the wire."""
 
 import asyncio
 import random
@@ -43,7 +43,7 @@
 
 
 class RecordingCaller(Caller):
-    """Keeps what it is told."""
+    """Records what the forwarder sends."""
 
     def __init__(self) -> None:
         self.refusal: Refusal | None = None
@@ -141,7 +141,7 @@
         self.assertEqual(len(self.runs), 1)
 
     async def test_early_response_leaves_no_stray_bytes(self) -> None:
-        """The rest of a long body is not taken for the next request, nor the other way round."""
+        """The rest of a long body is not read as the next request, nor a response as another's."""
         self.set_fault(Spoil.EARLY)
         body = b"x" * (EARLY_BODY_BYTES * 512)
         caller = await self.send("long", body)
--- a/tests/test_turn_ends.py
+++ b/tests/test_turn_ends.py
@@ -1,4 +1,4 @@
-"""Ends of turns that no caller waits for: all are committed, gently while no leader answers."""
+"""Ends of turns that no caller waits for: all are committed, with backoff without a leader."""
 
 import asyncio
 import sys
@@ -17,11 +17,11 @@
 SLOW_COMMIT_S = 0.8
 OUTAGE_S = 60.0
 MAX_LOOP_PASSES = 10
-"""Passes of the loop from an answer to the end of the task that waited for it."""
+"""Upper bound of loop passes from a reply to the end of the task that waits for it."""
 
 
 class FakeTurnClient:
-    """Leaders of groups, some of which do not answer."""
+    """Commits ends in available groups after ``COMMIT_S``; other groups time out."""
 
     def __init__(self) -> None:
         self.unavailable_groups: set[int] = set()
@@ -37,7 +37,7 @@
         try:
             if command.group in self.unavailable_groups:
                 await asyncio.sleep(timeout_s)
-                raise GroupUnavailable("away")
+                raise GroupUnavailable("unavailable")
             if timeout_s < COMMIT_S:
                 await asyncio.sleep(timeout_s)
                 raise GroupUnavailable("slow")
@@ -119,7 +119,7 @@
         self.assertEqual(self.ends.num_pending, 0)
 
     def test_slow_commits_do_not_block_the_queue(self) -> None:
-        """Each is committed late, and known to be only if it is waited for as long."""
+        """Each commit takes ``SLOW_COMMIT_S``; a shorter timeout never sees it committed."""
         with mock.patch.object(sys.modules[__name__], "COMMIT_S", SLOW_COMMIT_S):
             self.add(*(end_command(number) for number in range(10)))
             self.run_for(OUTAGE_S)
