--- a/src/bendshed/placement/node_choice.py
+++ b/src/bendshed/placement/node_choice.py
@@ -19,17 +19,17 @@
 from bendshed.placement.runner_record import RunnerRecord
 from bendshed.policy import EVERYTHING, Policy
 
-SESSION_MAX_EXTRA = 3
+SESSION_MAX_EXTRA_REQUESTS = 3
 """Requests of this node by which a session's runner may exceed the least loaded one; beyond it the
 session goes to the next in its rank, as a wait costs more than its prompt cache saves. Chosen, not
 measured."""
-AFFINITY_MAX_EXTRA = 1
+AFFINITY_MAX_EXTRA_REQUESTS = 1
 """The same for the runner of an affinity key, where less can be saved. Chosen, not measured."""
 NEW_CONNECTION_LOAD = 1.5
 """Cost of a new connection, in requests of this node at a runner: a request rather waits behind one
 other at a connected runner than opens a connection, but not behind two."""
 
-SLOW_FROM = 3.0
+SLOWNESS_THRESHOLD = 3.0
 """Ratio to the pool's median work time from which on a runner counts as slow. Smaller ratios are
 chance: single requests of a route were measured to differ by a factor of e."""
 
@@ -53,7 +53,7 @@
     now_s: float
     places: Places = field(default_factory=Places)
 
-    def is_near(self, record: RunnerRecord) -> bool:
+    def is_in_own_region(self, record: RunnerRecord) -> bool:
         """Whether a runner is located in this node's region."""
         return self.places.region(record.listed.zone) == self.places.region(self.zone)
 
@@ -63,7 +63,7 @@
 
     SESSION = "session"
     """It holds the session's prompt cache."""
-    STEP_ASIDE = "step_aside"
+    SESSION_FALLBACK = "step_aside"
     """The session's runner is loaded; this one is next in the session's rank."""
     AFFINITY_KEY = "thing"
     """It is the affinity key's among the connected ones."""
@@ -118,38 +118,40 @@
     untried = [record for record in eligible if record.listed.runner_id not in tried]
     if not untried:
         return None
-    sound = [r for r in untried if not (policy.avoidance and r.is_avoided(view.now_s))]
-    pool = _near_first(sound or untried, view)
+    healthy = [r for r in untried if not (policy.avoidance and r.is_avoided(view.now_s))]
+    pool = _prefer_own_region(healthy or untried, view)
     if affinity_key and policy.thing_affinity:
         choice = _by_affinity_key(pool, affinity_key, view)
     elif session and policy.session_affinity:
-        choice = _by_session(pool, session, SESSION_MAX_EXTRA if policy.step_aside else math.inf)
+        choice = _by_session(
+            pool, session, SESSION_MAX_EXTRA_REQUESTS if policy.step_aside else math.inf
+        )
     elif policy.kept_connections:
         choice = _by_connection(pool, view)
     else:
         choice = Choice(_least_loaded(pool, view.zone, rng), ChoiceReason.LEAST_LOADED)
-    return choice if sound else Choice(choice.record, ChoiceReason.ONLY_AVOIDED)
+    return choice if healthy else Choice(choice.record, ChoiceReason.ONLY_AVOIDED)
 
 
-def _near_first(pool: list[RunnerRecord], view: NodeView) -> list[RunnerRecord]:
+def _prefer_own_region(pool: list[RunnerRecord], view: NodeView) -> list[RunnerRecord]:
     """The runners of the node's region, while any of them has a free slot by this node's own count.
 
     Elsewhere a request waits a round trip between regions (60 ms measured) for its first byte, and
     its bytes load the link.
     """
-    near = [record for record in pool if view.is_near(record)]
-    has_room = any(record.in_flight < max(1, record.listed.slots) for record in near)
-    return near if has_room else pool
+    in_own_region = [record for record in pool if view.is_in_own_region(record)]
+    has_room = any(record.in_flight < max(1, record.listed.slots) for record in in_own_region)
+    return in_own_region if has_room else pool
 
 
 def _by_session(pool: list[RunnerRecord], session: str, max_extra: float) -> Choice:
     by_id = {record.listed.runner_id: record for record in pool}
     ranked = rendezvous_rank(session, by_id)
-    fewest = min(record.in_flight for record in pool)
-    for place, runner_id in enumerate(ranked):
+    min_in_flight = min(record.in_flight for record in pool)
+    for rank, runner_id in enumerate(ranked):
         record = by_id[runner_id]
-        if record.in_flight <= fewest + max_extra:
-            return Choice(record, ChoiceReason.STEP_ASIDE if place else ChoiceReason.SESSION)
+        if record.in_flight <= min_in_flight + max_extra:
+            return Choice(record, ChoiceReason.SESSION_FALLBACK if rank else ChoiceReason.SESSION)
     return Choice(by_id[ranked[0]], ChoiceReason.SESSION)
 
 
@@ -160,13 +162,13 @@
     are new: a connection for each runner that may have seen one costs more than that.
     """
     pool_pace = median_pace(record.health for record in pool)
-    fewest = min(record.in_flight for record in pool)
+    min_in_flight = min(record.in_flight for record in pool)
     by_id = {
         record.listed.runner_id: record
         for record in pool
         if record.listed.runner_id in view.connected
-        and record.in_flight <= fewest + AFFINITY_MAX_EXTRA
-        and record.health.slowness_now(pool_pace, view.now_s, SLOW_FROM) <= 1.0
+        and record.in_flight <= min_in_flight + AFFINITY_MAX_EXTRA_REQUESTS
+        and record.health.slowness_now(pool_pace, view.now_s, SLOWNESS_THRESHOLD) <= 1.0
     }
     if not by_id:
         return _by_connection(pool, view)
@@ -184,13 +186,13 @@
     def cost(record: RunnerRecord) -> float:
         is_connected = record.listed.runner_id in view.connected
         load = 1 + record.in_flight + (0.0 if is_connected else NEW_CONNECTION_LOAD)
-        return load * record.health.slowness_now(pool_pace, view.now_s, SLOW_FROM)
+        return load * record.health.slowness_now(pool_pace, view.now_s, SLOWNESS_THRESHOLD)
 
     costs = {record.listed.runner_id: cost(record) for record in pool}
-    least = min(costs.values())
-    equal = [record for record in pool if costs[record.listed.runner_id] <= least]
-    near = [record for record in equal if record.listed.zone == view.zone] or equal
-    by_id = {record.listed.runner_id: record for record in near}
+    min_cost = min(costs.values())
+    cheapest = [record for record in pool if costs[record.listed.runner_id] <= min_cost]
+    in_own_zone = [record for record in cheapest if record.listed.zone == view.zone] or cheapest
+    by_id = {record.listed.runner_id: record for record in in_own_zone}
     chosen = rendezvous_rank(view.node, by_id)[0]
     is_connected = chosen in view.connected
     return Choice(
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -12,9 +12,9 @@
 from bendshed.model.service_document import Route, RouteKind, ServiceDocument, WeightedService
 from bendshed.placement.eligibility import UNLISTED_GRACE_S
 from bendshed.placement.node_choice import (
-    AFFINITY_MAX_EXTRA,
-    SESSION_MAX_EXTRA,
-    SLOW_FROM,
+    AFFINITY_MAX_EXTRA_REQUESTS,
+    SESSION_MAX_EXTRA_REQUESTS,
+    SLOWNESS_THRESHOLD,
     NodeView,
     choose_runner,
 )
@@ -134,9 +134,9 @@
         home = self.choose("session")
         self.assertEqual({self.choose("session") for _ in range(20)}, {home})
         record = next(r for r in self.records if r.listed.runner_id == home)
-        record.in_flight = SESSION_MAX_EXTRA
+        record.in_flight = SESSION_MAX_EXTRA_REQUESTS
         self.assertEqual(self.choose("session"), home)
-        record.in_flight = SESSION_MAX_EXTRA + 1
+        record.in_flight = SESSION_MAX_EXTRA_REQUESTS + 1
         self.assertNotEqual(self.choose("session"), home)
 
     def test_the_least_loaded_runner_of_the_own_zone(self) -> None:
@@ -158,7 +158,7 @@
         home = self.choose(affinity_key="7", connected="bcd")
         self.assertEqual({self.choose(affinity_key="7", connected="bcd") for _ in range(9)}, {home})
         record = next(r for r in self.records if r.listed.runner_id == home)
-        record.in_flight = AFFINITY_MAX_EXTRA + 1
+        record.in_flight = AFFINITY_MAX_EXTRA_REQUESTS + 1
         self.assertNotEqual(self.choose(affinity_key="7", connected="bcd"), home)
 
     def test_a_thing_opens_no_connection_where_one_rests(self) -> None:
@@ -186,7 +186,7 @@
         for record in self.records:
             record.health.note_pace(1.0, 0.0)
         self.records[2].health.note_pace(20.0, 0.0)
-        self.assertGreater(self.records[2].health.pace, SLOW_FROM)
+        self.assertGreater(self.records[2].health.pace, SLOWNESS_THRESHOLD)
         self.assertNotEqual(self.choose(connected="c"), "c")
         self.assertEqual(self.choose(connected="c", now_s=20.0), "c")
 
