--- a/src/bendshed/placement/runner_record.py
+++ b/src/bendshed/placement/runner_record.py
@@ -14,11 +14,11 @@
 FULL_AVOID_S = 0.15
 """The same for a runner that rejected a request unrun, since it was full: shorter than a turn
 (0.25 s), so a slot may be free again. Chosen, not measured."""
-WORK_TIME_WEIGHT = 0.1
+NEWEST_WORK_TIME_WEIGHT = 0.1
 """Weight of the newest request in a route's typical time: about 10 requests show a change."""
 
 
-class RunnerView(StrEnum):
+class ObservedState(StrEnum):
     """A runner's state, as this node sees it."""
 
     READY = "ready"
@@ -49,11 +49,11 @@
     unlisted_at_s: float | None = None
 
     @property
-    def view(self) -> RunnerView:
+    def observed_state(self) -> ObservedState:
         """Its state, as this node sees it."""
         if self.unlisted_at_s is not None:
-            return RunnerView.UNLISTED
-        return RunnerView(self.listed.state.value)
+            return ObservedState.UNLISTED
+        return ObservedState(self.listed.state.value)
 
     def is_avoided(self, now_s: float) -> bool:
         """Whether it was full, broken or unreachable lately."""
@@ -89,8 +89,8 @@
 
     _typical_s: dict[str, float] = field(default_factory=dict)
 
-    def in_typical(self, route: str, took_s: float) -> float:
+    def relative_time(self, route: str, took_s: float) -> float:
         """A request's time in units of its route's typical one, which it changes."""
-        known_s = self._typical_s.get(route, took_s)
-        self._typical_s[route] = known_s + WORK_TIME_WEIGHT * (took_s - known_s)
-        return took_s / known_s if known_s else 1.0
+        typical_s = self._typical_s.get(route, took_s)
+        self._typical_s[route] = typical_s + NEWEST_WORK_TIME_WEIGHT * (took_s - typical_s)
+        return took_s / typical_s if typical_s else 1.0
--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -156,7 +156,7 @@
     def note_work_time(self, answer: OpenAnswer) -> None:
         """A plain request was answered whole: update the measured pace of its runner."""
         now_s = asyncio.get_running_loop().time()
-        pace = self.ports.table.work_times.in_typical(self.route.name, now_s - answer.sent_s)
+        pace = self.ports.table.work_times.relative_time(self.route.name, now_s - answer.sent_s)
         answer.record.health.note_pace(pace, now_s)
 
     async def _try(self, choice: Choice, body: bytes) -> OpenAnswer | None:
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -34,7 +34,7 @@
 from bendshed.services.metrics import ServiceMetrics
 from bendshed.services.permit_client import PermitClient
 from bendshed.services.quota_client import QuotaClient
-from bendshed.services.runners import RunnerTable, RunnerView
+from bendshed.services.runners import ObservedState, RunnerTable
 from bendshed.services.turn_record import TurnPorts
 from bendshed.turns.client import TranscriptCache, TurnClient
 from bendshed.turns.group_locator import GroupLocator
@@ -211,7 +211,7 @@
         version = metrics.gauge("bendshed_configuration_version", "Configuration applied")
         version.set_function(self._version)
         runners = metrics.labelled_gauge("bendshed_runners", "Runners by state", "state")
-        for state in RunnerView:
+        for state in ObservedState:
             runners.labels(state.value).set_function(partial(self._table.count, state))
         cold = metrics.gauge("bendshed_cold_runners", "Listed runners that are cold")
         cold.set_function(lambda: float(self._table.cold.num_cold))
--- a/src/bendshed/services/runners.py
+++ b/src/bendshed/services/runners.py
@@ -17,9 +17,9 @@
     eligible_runners,
     is_outdated,
 )
-from bendshed.placement.runner_record import AVOID_S, RunnerRecord, RunnerView, WorkTimes
+from bendshed.placement.runner_record import AVOID_S, ObservedState, RunnerRecord, WorkTimes
 
-__all__ = ["RunnerRecord", "RunnerTable", "RunnerView"]
+__all__ = ["ObservedState", "RunnerRecord", "RunnerTable"]
 
 log = PartLog("runners")
 
@@ -103,9 +103,9 @@
         del self.by_id[record.listed.runner_id]
         self._by_service(record.listed.service).pop(record.listed.runner_id, None)
 
-    def count(self, view: RunnerView) -> int:
+    def count(self, view: ObservedState) -> int:
         """Runners in a state."""
-        return sum(1 for record in self.by_id.values() if record.view is view)
+        return sum(1 for record in self.by_id.values() if record.observed_state is view)
 
     def eligible(
         self, service: str, now_s: float, regions: Collection[str] | None
