--- a/src/bendshed/dispatch/attempt_sender.py
+++ b/src/bendshed/dispatch/attempt_sender.py
@@ -22,7 +22,7 @@
     StreamSummary,
     StreamUnknown,
 )
-from bendshed.retries.own_interface import RetryBudget, backoff_s
+from bendshed.retries.retry_budget import RetryBudget, backoff_s
 from bendshed.routing.scheduler import Scheduler
 from bendshed.wire import programs_pb2 as wire
 
--- a/src/bendshed/dispatch/executor.py
+++ b/src/bendshed/dispatch/executor.py
@@ -23,7 +23,7 @@
 from bendshed.ports.stream_summary import summarize
 from bendshed.ports.transport import Transport
 from bendshed.programs.service import EXECUTING_METHOD
-from bendshed.retries.own_interface import RetryBudget
+from bendshed.retries.retry_budget import RetryBudget
 from bendshed.routing.scheduler import Scheduler
 from bendshed.wire import programs_pb2 as wire
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -20,7 +20,7 @@
     unless_maybe_run,
 )
 from bendshed.retries.history import AttemptHistory
-from bendshed.retries.own_interface import MAX_SAVED_RETRIES, RetryBudget
+from bendshed.retries.retry_budget import MAX_SAVED_RETRIES, RetryBudget
 
 NOW_S, DEADLINE_S = 100.0, 101.0
 REPEATABLE = Route("r", "h", "/", RouteKind.IDEMPOTENT, 5_000, 200, 1, (), max_attempts=2)
@@ -138,7 +138,7 @@
         self.assertEqual(unless_maybe_run(refusal, after(num_lost=1)), unknown)
 
 
-class OwnInterfaceTest(unittest.TestCase):
+class RetryBudgetTest(unittest.TestCase):
     def test_retries_add_a_bounded_share_to_the_load(self) -> None:
         budget = RetryBudget()
         num_saved = sum(budget.take() for _ in range(1_000))
