--- a/src/bendshed/retries/decisions.py
+++ b/src/bendshed/retries/decisions.py
@@ -76,7 +76,7 @@
 
 def may_run_again(history: AttemptHistory, route: Route) -> bool:
     """Whether a request that may have run may be dispatched once more."""
-    return route.may_repeat and history.num_maybe_run < route.max_attempts
+    return route.may_repeat and history.num_possible_runs < route.max_attempts
 
 
 def decide_next_attempt(history: AttemptHistory, route: Route, now_s: float) -> NextAttempt:
@@ -85,7 +85,7 @@
         return GiveUp(GiveUpReason.NOT_REPEATABLE, "the runner gave no whole answer")
     if history.deadline_s - now_s < MIN_DISPATCH_LEFT_S:
         return GiveUp(GiveUpReason.NO_TIME_LEFT, "no time is left")
-    if history.num_maybe_run >= history.num_admitted_runs:
+    if history.num_possible_runs >= history.num_admitted_runs:
         return RequestSecondRun()
     return TryRunner()
 
--- a/src/bendshed/retries/history.py
+++ b/src/bendshed/retries/history.py
@@ -9,8 +9,8 @@
 
     Attributes:
         deadline_s: loop time after which the request is not dispatched any more.
-        num_maybe_run: attempts after which the request may have run. One that is dispatched counts
-            until its runner proves that it ran nothing.
+        num_possible_runs: attempts after which the request may have run. One that is dispatched
+            counts until its runner proves that it ran nothing.
         num_admitted_runs: runs that the tenant's quota was charged for; the first is charged before
             any attempt.
         num_not_run: attempts that certainly did not run it: the runner was unreachable, rejected
@@ -22,7 +22,7 @@
     """
 
     deadline_s: float
-    num_maybe_run: int = 0
+    num_possible_runs: int = 0
     num_admitted_runs: int = 1
     num_not_run: int = 0
     tried: set[str] = field(default_factory=set)
@@ -31,7 +31,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether any runner may have begun work on the request."""
-        return self.num_maybe_run > 0
+        return self.num_possible_runs > 0
 
     def record_choice(self, runner_id: str) -> None:
         """An attempt at a runner begins."""
@@ -49,15 +49,15 @@
 
     def record_dispatch(self) -> None:
         """The request's bytes are about to go to a runner."""
-        self.num_maybe_run += 1
+        self.num_possible_runs += 1
 
     def record_no_answer(self, runner_id: str) -> None:
         """The connection broke before an answer began: the request may have run."""
         self.failed.append(runner_id)
 
-    def record_proof_of_not_run(self) -> None:
+    def record_not_run(self) -> None:
         """The latest dispatch was answered with proof that it was not run."""
-        self.num_maybe_run -= 1
+        self.num_possible_runs -= 1
         self.num_not_run += 1
 
     def record_admitted_run(self) -> None:
--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -266,7 +266,7 @@
 
     async def _drop_not_run(self, answer: OpenAnswer, reason: str) -> None:
         """Read the rest of an answer that proves that the request was not run."""
-        self.history.record_proof_of_not_run()
+        self.history.record_not_run()
         self._count(AttemptEnd.NOT_RUN)
         log.say(
             "attempt failed: runner did not run it",
@@ -299,7 +299,7 @@
             in_flight_there=choice.record.in_flight,
             was_connected=was_connected,
             left_ms=left_ms,
-            attempt=self.history.num_maybe_run,
+            attempt=self.history.num_possible_runs,
             is_cold=self.ports.table.cold.is_cold(runner_id),
         )
 
--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -240,7 +240,7 @@
                 route=attempts.route.name,
                 runner=opened.record.listed.runner_id,
                 status=opened.head.status,
-                attempts=attempts.history.num_maybe_run,
+                attempts=attempts.history.num_possible_runs,
             )
             return Served.WHOLE if whole else Served.CUT
 
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -316,7 +316,7 @@
     "a request that may have run is sent again": Defect(
         Rule.ONCE,
         runners_lose_answers,
-        patch(decisions, "may_run_again", lambda history, _route: history.num_maybe_run < 3),
+        patch(decisions, "may_run_again", lambda history, _route: history.num_possible_runs < 3),
     ),
     "unknown is told as not run": Defect(
         Rule.REFUSAL, runners_lose_answers, patch(Attempts, "open", _open_and_promise)
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -498,7 +498,7 @@
         attempts = self.attempts(Permit("a", NO_PERMIT), Permit("a", VALID))
         self.assertEqual(await self.open(attempts), "a")
         self.assertEqual(self.permits.tried, [[], []])
-        self.assertEqual(attempts.history.num_maybe_run, 1)
+        self.assertEqual(attempts.history.num_possible_runs, 1)
 
     async def test_a_runner_that_turns_cold_while_its_connection_comes_up_gets_nothing(
         self,
@@ -507,7 +507,7 @@
         self.pool.on_acquire = lambda: self.table.put(runner("b", 60_000))
         attempts = self.attempts(Refusal(ErrorKind.NO_ROOM, "later"))
         self.assertEqual(await self.open(attempts), "no_room")
-        self.assertEqual(attempts.history.num_maybe_run, 0)
+        self.assertEqual(attempts.history.num_possible_runs, 0)
 
     async def test_each_try_needs_its_own_leave(self) -> None:
         self.pool.unreachable = {Address("a", 80)}
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -43,7 +43,7 @@
     for number in range(num_not_run):
         history.record_choice(f"full-{number}")
         history.record_dispatch()
-        history.record_proof_of_not_run()
+        history.record_not_run()
     for _ in range(num_admitted - 1):
         history.record_admitted_run()
     return history
@@ -104,7 +104,7 @@
         history.record_unreachable("dark")
         self.assertEqual(history.failed, ["lost-0", "dark"])
         self.assertEqual(history.tried, {"lost-0", "full-0", "dark"})
-        self.assertEqual((history.num_maybe_run, history.num_not_run), (1, 2))
+        self.assertEqual((history.num_possible_runs, history.num_not_run), (1, 2))
 
 
 class RefusalTest(unittest.TestCase):
