--- a/src/bendshed/retries/decisions.py
+++ b/src/bendshed/retries/decisions.py
@@ -18,10 +18,10 @@
 """Attempts at one request that certainly did not run it, before it is refused. Bounds the work that
 one request causes while runners reject or are unreachable, when load is high already. Chosen, not
 measured; a request of a service with fewer runners ends sooner, since no runner is tried twice."""
-MIN_DISPATCH_LEFT_S = 0.02
+MIN_DISPATCH_TIME_LEFT_S = 0.02
 """A request with less time left is not dispatched: its answer would come too late, and the runner's
 work would be lost. Chosen as a few round trips within a region, not measured."""
-ANSWER_MARGIN_S = 0.1
+LATE_ANSWER_MARGIN_S = 0.1
 """A request is given up this long after its deadline. A runner is sent the time left and answers
 for itself at the deadline; that answer, which says what became of the request, may still travel.
 Chosen, not measured."""
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestSecondRun:
+class RequestQuota:
     """Ask the tenant's quota for one more run; try a runner only if it holds it."""
 
 
@@ -71,7 +71,7 @@
     detail: str
 
 
-NextAttempt = TryRunner | RequestSecondRun | GiveUp
+NextAttempt = TryRunner | RequestQuota | GiveUp
 
 
 def may_run_again(history: AttemptHistory, route: Route) -> bool:
@@ -83,10 +83,10 @@
     """Decide before each attempt, at loop time ``now_s``."""
     if history.may_have_run and not may_run_again(history, route):
         return GiveUp(GiveUpReason.NOT_REPEATABLE, "the runner gave no whole answer")
-    if history.deadline_s - now_s < MIN_DISPATCH_LEFT_S:
+    if history.deadline_s - now_s < MIN_DISPATCH_TIME_LEFT_S:
         return GiveUp(GiveUpReason.NO_TIME_LEFT, "no time is left")
     if history.num_possible_runs >= history.num_admitted_runs:
-        return RequestSecondRun()
+        return RequestQuota()
     return TryRunner()
 
 
@@ -130,10 +130,10 @@
             return Refusal(ErrorKind.ENGINE_LOST, give_up.detail)
         case _:
             assert_never(give_up.reason)
-    return unless_maybe_run(Refusal(kind, give_up.detail), history)
+    return refusal_or_outcome_unknown(Refusal(kind, give_up.detail), history)
 
 
-def unless_maybe_run(refusal: Refusal, history: AttemptHistory) -> Refusal:
+def refusal_or_outcome_unknown(refusal: Refusal, history: AttemptHistory) -> Refusal:
     """The same refusal, or "outcome unknown" where it would deny a run that is not ruled out."""
     if history.may_have_run:
         return Refusal(ErrorKind.OUTCOME_UNKNOWN, refusal.detail)
--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -26,11 +26,11 @@
 from bendshed.retries.decisions import (
     GiveUp,
     GiveUpReason,
-    RequestSecondRun,
+    RequestQuota,
     TryRunner,
     decide_next_attempt,
     refusal_of,
-    unless_maybe_run,
+    refusal_or_outcome_unknown,
 )
 from bendshed.retries.history import AttemptHistory
 from bendshed.services.metrics import AttemptEnd
@@ -119,7 +119,7 @@
             match decision:
                 case GiveUp():
                     return refusal_of(decision, self.history)
-                case RequestSecondRun():
+                case RequestQuota():
                     if not await self._is_admitted_again():
                         no_quota = GiveUp(GiveUpReason.NO_QUOTA, "the quota holds no second run")
                         return refusal_of(no_quota, self.history)
@@ -131,7 +131,7 @@
             if isinstance(choice, GiveUp):
                 return refusal_of(choice, self.history)
             if isinstance(choice, Refusal):
-                return unless_maybe_run(choice, self.history)
+                return refusal_or_outcome_unknown(choice, self.history)
             answer = await self._try(choice, body)
             if answer is not None:
                 return answer
--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -15,7 +15,7 @@
 from bendshed.ports.http_messages import ResponseBroken
 from bendshed.ports.runner import Caller, ServiceRequest
 from bendshed.retries.decisions import (
-    ANSWER_MARGIN_S,
+    LATE_ANSWER_MARGIN_S,
     GiveUp,
     GiveUpReason,
     decide_after_broken_answer,
@@ -162,7 +162,7 @@
         if refusal is not None:
             return refusal
         try:
-            async with asyncio.timeout_at(deadline_s + ANSWER_MARGIN_S):
+            async with asyncio.timeout_at(deadline_s + LATE_ANSWER_MARGIN_S):
                 return await self._serve_attempts(request, caller, attempts, index, admit)
         except TimeoutError:
             timed_out = GiveUp(GiveUpReason.TIMED_OUT, "no answer came in time")
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -8,16 +8,16 @@
 from bendshed.model.service_document import Route, RouteKind
 from bendshed.retries.decisions import (
     MAX_NOT_RUN_ATTEMPTS,
-    MIN_DISPATCH_LEFT_S,
+    MIN_DISPATCH_TIME_LEFT_S,
     GiveUp,
     GiveUpReason,
-    RequestSecondRun,
+    RequestQuota,
     TryRunner,
     decide_after_broken_answer,
     decide_next_attempt,
     may_choose_runner,
     refusal_of,
-    unless_maybe_run,
+    refusal_or_outcome_unknown,
 )
 from bendshed.retries.history import AttemptHistory
 from bendshed.retries.retry_budget import MAX_SAVED_RETRIES, RetryBudget
@@ -62,7 +62,7 @@
 
     def test_each_further_run_is_requested_of_the_quota(self) -> None:
         lost = after(num_lost=1)
-        self.assertEqual(decide_next_attempt(lost, REPEATABLE, NOW_S), RequestSecondRun())
+        self.assertEqual(decide_next_attempt(lost, REPEATABLE, NOW_S), RequestQuota())
         lost.record_admitted_run()
         self.assertEqual(decide_next_attempt(lost, REPEATABLE, NOW_S), TryRunner())
 
@@ -72,11 +72,11 @@
         self.assertIs(decision.reason, GiveUpReason.NOT_REPEATABLE)
 
     def test_nothing_is_dispatched_shortly_before_the_deadline(self) -> None:
-        too_late_s = DEADLINE_S - MIN_DISPATCH_LEFT_S / 2
+        too_late_s = DEADLINE_S - MIN_DISPATCH_TIME_LEFT_S / 2
         decision = decide_next_attempt(after(), REPEATABLE, too_late_s)
         assert isinstance(decision, GiveUp)
         self.assertIs(decision.reason, GiveUpReason.NO_TIME_LEFT)
-        in_time_s = DEADLINE_S - 2 * MIN_DISPATCH_LEFT_S
+        in_time_s = DEADLINE_S - 2 * MIN_DISPATCH_TIME_LEFT_S
         self.assertEqual(decide_next_attempt(after(), REPEATABLE, in_time_s), TryRunner())
 
     def test_attempts_that_ran_nothing_are_bounded(self) -> None:
@@ -133,9 +133,9 @@
 
     def test_a_leaders_refusal_keeps_its_time_only_if_nothing_ran(self) -> None:
         refusal = Refusal(ErrorKind.NO_ROOM, "later", 0.3)
-        self.assertEqual(unless_maybe_run(refusal, after()), refusal)
+        self.assertEqual(refusal_or_outcome_unknown(refusal, after()), refusal)
         unknown = Refusal(ErrorKind.OUTCOME_UNKNOWN, "later")
-        self.assertEqual(unless_maybe_run(refusal, after(num_lost=1)), unknown)
+        self.assertEqual(refusal_or_outcome_unknown(refusal, after(num_lost=1)), unknown)
 
 
 class RetryBudgetTest(unittest.TestCase):
