--- a/src/bendshed/consensus/replica_choice.py
+++ b/src/bendshed/consensus/replica_choice.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VoterPlaces:
+class VoterTopology:
     """What makes one set of voters better than another.
 
     A zone may be lost whole, so none should hold more voters than the group can lose. Beyond that
@@ -37,28 +37,30 @@
             return True
         return self.zone_of[node] in self.home_zones
 
-    def badness(self, voters: Collection[str]) -> tuple[int, int, int]:
+    def placement_cost(self, voters: Collection[str]) -> tuple[int, int, int]:
         """How badly voters are spread; less is better.
 
         First the voters that a zone holds beyond those that may be lost, then those away from
         home, then how unevenly zones are filled.
         """
         by_zone = Counter(self.zone_of.get(node, node) for node in voters)
-        num_losable = (len(voters) - 1) // 2
-        surplus = sum(max(0, count - num_losable) for count in by_zone.values())
-        num_away = sum(1 for node in voters if not self.is_home(node))
-        return surplus, num_away, sum(count * count for count in by_zone.values())
+        num_tolerated_losses = (len(voters) - 1) // 2
+        surplus = sum(max(0, count - num_tolerated_losses) for count in by_zone.values())
+        num_outside_home = sum(1 for node in voters if not self.is_home(node))
+        return surplus, num_outside_home, sum(count * count for count in by_zone.values())
 
-    def best_without(self, voters: Sequence[str], removable: Sequence[str]) -> str:
+    def choose_removal(self, voters: Sequence[str], removable: Sequence[str]) -> str:
         """Voter whose removal leaves the best set; of equals the one that joined last."""
         newest_first = reversed(removable)
-        return min(newest_first, key=lambda node: self.badness([v for v in voters if v != node]))
+        return min(
+            newest_first, key=lambda node: self.placement_cost([v for v in voters if v != node])
+        )
 
 
 def choose_replicas(
     group_id: int,
     nodes: Collection[DiskNode],
-    count: int,
+    num_voters: int,
     home_zones: Collection[str] | None = None,
 ) -> list[str]:
     """Voters of a new group.
@@ -66,55 +68,61 @@
     Args:
         group_id: decides between equals.
         nodes: that can hold replicas.
-        count: wanted voters.
+        num_voters: wanted voters.
         home_zones: zones of the group's region; ``None``: all are.
 
     """
-    places = VoterPlaces({node.node_id: node.zone for node in nodes}, home_zones)
-    ranked = rendezvous_rank(f"group-{group_id}", places.zone_of)
-    num_losable = (count - 1) // 2
+    topology = VoterTopology({node.node_id: node.zone for node in nodes}, home_zones)
+    ranked = rendezvous_rank(f"group-{group_id}", topology.zone_of)
+    num_tolerated_losses = (num_voters - 1) // 2
     chosen: list[str] = []
-    while len(chosen) < min(count, len(ranked)):
-        by_zone = Counter(places.zone_of[node] for node in chosen)
-        left = [node for node in ranked if node not in chosen]
-        chosen.append(min(left, key=lambda node: _place_key(node, places, by_zone, num_losable)))
+    while len(chosen) < min(num_voters, len(ranked)):
+        by_zone = Counter(topology.zone_of[node] for node in chosen)
+        remaining = [node for node in ranked if node not in chosen]
+        chosen.append(
+            min(
+                remaining,
+                key=lambda node: _placement_key(node, topology, by_zone, num_tolerated_losses),
+            )
+        )
     return chosen
 
 
-def _place_key(
-    node: str, places: VoterPlaces, by_zone: "Counter[str]", num_losable: int
+def _placement_key(
+    node: str, topology: VoterTopology, by_zone: "Counter[str]", num_tolerated_losses: int
 ) -> tuple[bool, bool, int]:
     """The next voter has the least: its zone has room, it is at home, its zone holds few."""
-    num_there = by_zone[places.zone_of[node]]
-    return num_there >= max(1, num_losable), not places.is_home(node), num_there
+    num_there = by_zone[topology.zone_of[node]]
+    return num_there >= max(1, num_tolerated_losses), not topology.is_home(node), num_there
 
 
 def rank_candidates(
     group_id: int,
-    places: VoterPlaces,
-    free: Collection[str],
+    topology: VoterTopology,
+    available: Collection[str],
     voters: Collection[str],
-    weak: Collection[str] = (),
+    to_replace: Collection[str] = (),
 ) -> list[str]:
     """Nodes that may take a replica, best first; of equals by rank.
 
-    Both moments count: while the newcomer votes beside all present voters, and when the weak ones
+    Both moments count: while the newcomer votes beside all present voters, and when the to_replace
+    ones
     are gone.
 
     Args:
         group_id: decides the rank.
         places: zones of all nodes.
-        free: nodes that hold no replica and may.
-        voters: present voters, the weak ones too.
-        weak: voters that are to go.
+        available: nodes that hold no replica and may.
+        voters: present voters, the to_replace ones too.
+        to_replace: voters that are to go.
 
     """
-    staying = [node for node in voters if node not in weak]
-    ranked = rendezvous_rank(f"group-{group_id}", free)
+    kept = [node for node in voters if node not in to_replace]
+    ranked = rendezvous_rank(f"group-{group_id}", available)
     return sorted(
         ranked,
         key=lambda node: (
-            places.badness([*voters, node])[0],
-            places.badness([*staying, node]),
+            topology.placement_cost([*voters, node])[0],
+            topology.placement_cost([*kept, node]),
         ),
     )
--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -4,13 +4,13 @@
 from dataclasses import replace
 
 from bendshed.consensus.bootstrap import GroupBootstrap
-from bendshed.consensus.candidates import Candidates
 from bendshed.consensus.directory import HELLO_METHOD, ReplicaDirectory, from_wire, to_wire
 from bendshed.consensus.host import GroupHost, HostedGroup
 from bendshed.consensus.introductions import Introductions
-from bendshed.consensus.membership_plan import ReplicaFacts, plan_membership
+from bendshed.consensus.membership_plan import PlanInputs, plan_membership
 from bendshed.consensus.raft_types import Role
-from bendshed.consensus.replica_choice import VoterPlaces, rank_candidates
+from bendshed.consensus.replica_candidates import ReplicaCandidates
+from bendshed.consensus.replica_choice import VoterTopology, rank_candidates
 from bendshed.consensus.retirement import EMPTIED_METHOD, RequestEmptied, RetirementReporter
 from bendshed.logs import PartLog
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
@@ -69,9 +69,9 @@
         self._groups = groups
         self._bootstrap = GroupBootstrap(host, storage, registry, directory, me, num_voters, groups)
         self._reporter = RetirementReporter(host, registry, directory, groups, request_emptied)
-        self._candidates = Candidates()
+        self._candidates = ReplicaCandidates()
         self._introductions = Introductions(
-            transport, directory, host, me, self._missed, self._candidates.note_answer
+            transport, directory, host, me, self._missed, self._candidates.record_answer
         )
         self._away_since: dict[int, tuple[float, int, int]] = {}
         self._handed_on_s = float("-inf")
@@ -80,11 +80,11 @@
 
     def start(self) -> None:
         """Begin."""
-        self._directory.own = self.me
+        self._directory.own_node = self.me
         self._directory.put(self.me)
         self._transport.one_way_handlers[HELLO_METHOD] = self._take_hello
         self._transport.handlers[EMPTIED_METHOD] = self._reporter.answer
-        self._host.on_foreign_message = self._introduce_to
+        self._host.on_misaddressed_message = self._introduce_to
         self._introductions.start()
         self._tasks = [
             start_loop(self._bootstrap.announce(), "supervisor"),
@@ -148,13 +148,13 @@
     def _hand_on_when_stalled(self) -> None:
         """Hand leadership over while this machine's disk or loop stalls."""
         now_s = asyncio.get_running_loop().time()
-        stall = self._host.stalls.stall(now_s)
+        stall = self._host.stall_detector.detect(now_s)
         led = self._host.led_groups()
         if stall is None or not led or now_s < self._handed_on_s + HAND_ON_AGAIN_S:
             return
         self._handed_on_s = now_s
         log.say("handing leadership over: disk or loop stalled", reason=stall.value, groups=led)
-        self._host.hand_over_all()
+        self._host.transfer_all_leadership()
 
     def _supervise_group(self, group_id: int, group: HostedGroup) -> None:
         """Hand over where another should lead, else change the members if need be."""
@@ -162,7 +162,7 @@
         retiring = self._directory.retiring_ids()
         staying = [node for node in voters if node not in retiring]
         if self.me.node_id in retiring and staying:
-            self._host.hand_over(group_id, staying)
+            self._host.transfer_leadership(group_id, staying)
             return
         self._lead_from_home(group_id, group, staying)
         if group.replica.membership_settled:
@@ -170,8 +170,8 @@
 
     def _lead_from_home(self, group_id: int, group: HostedGroup, staying: list[str]) -> None:
         """Away from home, hand over to a voter there that has kept up for ``HOME_WATCH_S``."""
-        places = self._places(group_id)
-        if places.is_home(self.me.node_id):
+        topology = self._topology(group_id)
+        if topology.is_home(self.me.node_id):
             self._away_since.pop(group_id, None)
             return
         now_s, replica = asyncio.get_running_loop().time(), group.replica
@@ -180,7 +180,7 @@
         if term == replica.term and now_s < since_s + HOME_WATCH_S:
             return
         self._away_since[group_id] = here
-        home = [node for node in staying if places.is_home(node)]
+        home = [node for node in staying if topology.is_home(node)]
         ready = [node for node in home if replica.followers[node].match_index >= index]
         if term == replica.term and ready:
             log.say(
@@ -188,61 +188,61 @@
                 group=group_id,
                 voters=ready,
             )
-            self._host.hand_over(group_id, ready)
+            self._host.transfer_leadership(group_id, ready)
 
-    def _places(self, group_id: int) -> VoterPlaces:
+    def _topology(self, group_id: int) -> VoterTopology:
         zone_of = {node.node_id: node.zone for node in self._directory.by_name.values()}
-        return VoterPlaces(zone_of, self._groups.home_zones(group_id))
+        return VoterTopology(zone_of, self._groups.home_zones(group_id))
 
     def _change_membership(self, group_id: int, group: HostedGroup) -> None:
         """Take the next step, if any; the plan is made again only when its inputs changed."""
         replica = group.replica
-        facts = self._facts(group_id, group)
-        seen = (tuple(replica.membership.voters), tuple(replica.membership.learners), facts)
+        inputs = self._plan_inputs(group_id, group)
+        seen = (tuple(replica.membership.voters), tuple(replica.membership.learners), inputs)
         if self._rested.get(group_id) == seen:
             return
-        places, weak = facts.places, {*facts.silent, *facts.retiring}
-        free, voters = facts.candidates, replica.membership.voters
-        ranked = rank_candidates(group_id, places, free, voters, weak)
-        sound = [node for node in voters if node not in weak and node not in facts.wiped]
+        topology, weak = inputs.topology, {*inputs.silent, *inputs.retiring}
+        free, voters = inputs.candidates, replica.membership.voters
+        ranked = rank_candidates(group_id, topology, free, voters, weak)
+        sound = [node for node in voters if node not in weak and node not in inputs.wiped]
         # While a machine is being taken in, no other is needed, and so none is waited for.
-        is_short = len(sound) < facts.count and not replica.membership.learners
-        candidates = self._candidates.answering_first(group_id, ranked, is_short)
-        if candidates is None and not facts.wiped:
+        is_voter_missing = len(sound) < inputs.count and not replica.membership.learners
+        candidates = self._candidates.sort_responsive_first(group_id, ranked, is_voter_missing)
+        if candidates is None and not inputs.wiped:
             return
-        wanted = plan_membership(replica.membership, replace(facts, candidates=candidates or []))
+        wanted = plan_membership(replica.membership, replace(inputs, candidates=candidates or []))
         if wanted is None:
             self._rested[group_id] = seen
             return
-        for node in set(replica.membership.learners) & set(facts.silent):
-            self._candidates.reject(node)
+        for node in set(replica.membership.learners) & set(inputs.silent):
+            self._candidates.record_failure(node)
         if self._host.propose_membership(group_id, wanted):
             log.say(
                 "membership change proposed",
                 group=group_id,
                 voters=list(wanted.voters),
                 learners=list(wanted.learners),
-                zones=[facts.places.zone_of.get(node, "") for node in wanted.voters],
-                wiped=sorted(facts.wiped),
-                silent=sorted(facts.silent),
-                retiring=sorted(facts.retiring),
+                zones=[inputs.topology.zone_of.get(node, "") for node in wanted.voters],
+                wiped=sorted(inputs.wiped),
+                silent=sorted(inputs.silent),
+                retiring=sorted(inputs.retiring),
                 term=replica.term,
             )
 
-    def _facts(self, group_id: int, group: HostedGroup) -> ReplicaFacts:
+    def _plan_inputs(self, group_id: int, group: HostedGroup) -> PlanInputs:
         """What the plan rests on; candidates are not ranked yet."""
         replica = group.replica
         membership = replica.membership
         members = [*membership.voters, *membership.learners]
         silent = replica.followers.silent(members, SILENT_S / self._tick_s)
         retiring = self._directory.retiring_ids()
-        places = self._places(group_id)
-        free = self._free(places, members, retiring)
+        topology = self._topology(group_id)
+        free = self._free(topology, members, retiring)
         caught_up = replica.followers.caught_up(
             membership.learners, replica.last_index, MAX_LEARNER_LAG
         )
-        self._candidates.note_caught_up(caught_up)
-        return ReplicaFacts(
+        self._candidates.record_caught_up(caught_up)
+        return PlanInputs(
             me=self.me.node_id,
             wiped=self._directory.wiped & set(members),
             silent=silent,
@@ -251,17 +251,17 @@
             caught_up=caught_up,
             candidates=free,
             count=self._num_voters,
-            places=places,
+            topology=topology,
         )
 
-    def _free(self, places: VoterPlaces, members: list[str], retiring: set[str]) -> list[str]:
+    def _free(self, topology: VoterTopology, members: list[str], retiring: set[str]) -> list[str]:
         """Machines that may be taken in."""
         return [
             node
-            for node in places.zone_of
+            for node in topology.zone_of
             if node not in members
             and node not in retiring
-            and not self._candidates.is_left_alone(node)
+            and not self._candidates.is_backed_off(node)
         ]
 
     def num_sound_voters(self, group_id: int = 0) -> int:
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -9,7 +9,7 @@
 from bendshed.catalog.replica_parts import CatalogSurroundings, ReplicaCatalogParts
 from bendshed.catalog.times import CatalogTimes
 from bendshed.consensus.directory import ReplicaDirectory
-from bendshed.consensus.election_timer import WITHIN_A_REGION, StandingOrder
+from bendshed.consensus.election_timer import SINGLE_REGION_ORDER, ElectionOrder
 from bendshed.consensus.host import GroupHost
 from bendshed.consensus.supervisor import ReplicaSupervisor
 from bendshed.logs import PartLog
@@ -150,8 +150,8 @@
             TurnLogState,
             self.directory.resolve,
             COMPACT_AFTER_ENTRIES,
-            is_candidate_at_once=policy.quick_election,
-            order_of=self._standing_order,
+            campaigns_at_start=policy.quick_election,
+            election_order_of=self._standing_order,
         )
 
     def _build_supervisor(
@@ -219,18 +219,18 @@
 
     def _other_replicas(self) -> list[Address]:
         nodes = self.directory.by_name.values()
-        return [node.address for node in nodes if node != self.directory.own]
+        return [node.address for node in nodes if node != self.directory.own_node]
 
-    def _standing_order(self, group_id: int) -> StandingOrder:
+    def _standing_order(self, group_id: int) -> ElectionOrder:
         """In which order a group's voters stand for election."""
         home_zones = self._groups.home_zones(group_id)
         if home_zones is None:
-            return WITHIN_A_REGION
+            return SINGLE_REGION_ORDER
 
         def is_home(node_id: str) -> bool:
             return node_id in self.directory.node_ids_in(home_zones)
 
-        return StandingOrder.over_regions(is_home)
+        return ElectionOrder.across_regions(is_home)
 
     def note_registry(self, is_lost: bool) -> None:
         """Whether the registry answers this machine itself; else other nodes go elsewhere."""
@@ -273,5 +273,5 @@
         loop = asyncio.get_running_loop()
         until_s = loop.time() + HAND_OVER_S
         while self.host.led_groups() and loop.time() < until_s:
-            self.host.hand_over_all()
+            self.host.transfer_all_leadership()
             await asyncio.sleep(HAND_OVER_CHECK_S)
