--- a/src/bendshed/dispatch/attempt_sender.py
+++ b/src/bendshed/dispatch/attempt_sender.py
@@ -70,14 +70,14 @@
         if not await self._confirm_runner(runner_id):
             return await self._not_started(run, granted)
         run.sent_attempts.add(granted.attempt)
-        table.begin(runner_id, run.request.program_id)
+        table.begin_attempt(runner_id, run.request.program_id)
         succeeded = False
         try:
             result = await self._send(run, granted, history)
             succeeded = result.status == wire.CALL_STATUS_FINISHED
             return result
         finally:
-            table.end(runner_id, succeeded, now_s())
+            table.end_attempt(runner_id, succeeded, now_s())
             self._scheduler.schedule()
 
     async def _fetch_whole_history(self, run: CallRun) -> wire.CallResult:
--- a/src/bendshed/routing/monitor.py
+++ b/src/bendshed/routing/monitor.py
@@ -82,7 +82,7 @@
         self._ring_nodes: list[str] = []
         self._ring = HashRing(())
         self._tasks: list[asyncio.Task[None]] = []
-        membership.on_runner.append(table.take_notice)
+        membership.on_runner.append(table.apply_notice)
         transport.handlers[LIST_METHOD] = self._on_list_request
 
     def start(self) -> None:
@@ -177,7 +177,7 @@
             report = await engine.load()
         except ENGINE_ERRORS:
             return
-        self._table.take_report(runner_id, report, asyncio.get_running_loop().time())
+        self._table.apply_report(runner_id, report, asyncio.get_running_loop().time())
         if report.leaving:
             self.engine_said_leaving(runner_id)
 
@@ -196,7 +196,7 @@
             now_s = asyncio.get_running_loop().time()
             if now_s - runner.report_at_s > FRESH_S:
                 return False
-        return runner.takes_work(now_s)
+        return runner.accepts_work(now_s)
 
     # --- KV cache held by programs that are gone -----------------------------------------
 
--- a/src/bendshed/routing/runners.py
+++ b/src/bendshed/routing/runners.py
@@ -9,8 +9,8 @@
 
 DEFAULT_SLOTS = 8
 """Concurrent requests that an engine takes, until its first load report."""
-REMEMBERED_PROGRAMS = 4096
-BREAKER_FAILURES = 3
+MAX_REMEMBERED_PROGRAMS = 4096
+BREAKER_FAILURE_LIMIT = 3
 BREAKER_OPEN_S = 5.0
 
 
@@ -52,7 +52,7 @@
         reported = self.report.running + self.report.waiting if self.report is not None else 0
         return max(reported + self.own_since_report, self.own_in_flight)
 
-    def takes_work(self, now_s: float) -> bool:
+    def accepts_work(self, now_s: float) -> bool:
         """Whether new work may be sent there."""
         return not self.leaving and not self.drained and now_s >= self.open_until_s
 
@@ -78,7 +78,7 @@
 
     def update_list(self, machines: list[Machine]) -> list[RunnerNotice]:
         """Take a new machine list; return notices worth spreading."""
-        news = []
+        notices = []
         listed = {m.machine_id: m for m in machines if m.kind == "engine"}
         for runner_id, machine in listed.items():
             runner = self.runners.get(runner_id)
@@ -90,11 +90,11 @@
             if notice is not None and notice.incarnation >= machine.incarnation:
                 runner.leaving = notice.leaving
             if machine.leaving and not runner.leaving:
-                news.append(self._leaving_notice(runner))
+                notices.append(self._leaving_notice(runner))
         for runner_id, runner in self.runners.items():
             if runner_id not in listed and not runner.leaving:
-                news.append(self._leaving_notice(runner))
-        return news
+                notices.append(self._leaving_notice(runner))
+        return notices
 
     def _leaving_notice(self, runner: Runner) -> RunnerNotice:
         runner.leaving = True
@@ -111,7 +111,7 @@
             return None
         return self._leaving_notice(runner)
 
-    def take_notice(self, notice: RunnerNotice) -> None:
+    def apply_notice(self, notice: RunnerNotice) -> None:
         """Gossip about a runner."""
         self.notices[notice.runner_id] = notice
         runner = self.runners.get(notice.runner_id)
@@ -124,7 +124,7 @@
         for runner_id, runner in self.runners.items():
             runner.drained = runner_id in names
 
-    def take_report(self, runner_id: str, report: LoadReport, now_s: float) -> None:
+    def apply_report(self, runner_id: str, report: LoadReport, now_s: float) -> None:
         """A load report arrived."""
         runner = self.runners.get(runner_id)
         if runner is not None:
@@ -132,22 +132,22 @@
             runner.report_at_s = now_s
             runner.own_since_report = 0
 
-    def begin(self, runner_id: str, program_id: str) -> None:
+    def begin_attempt(self, runner_id: str, program_id: str) -> None:
         """An attempt is about to be sent."""
         runner = self.runners.get(runner_id)
         if runner is not None:
             runner.own_in_flight += 1
             runner.own_since_report += 1
-        self.remember(program_id, runner_id)
+        self.record_last_runner(program_id, runner_id)
 
-    def remember(self, program_id: str, runner_id: str) -> None:
+    def record_last_runner(self, program_id: str, runner_id: str) -> None:
         """The program's KV cache is likely at this runner."""
         self.last_runner[program_id] = runner_id
         self.last_runner.move_to_end(program_id)
-        if len(self.last_runner) > REMEMBERED_PROGRAMS:
+        if len(self.last_runner) > MAX_REMEMBERED_PROGRAMS:
             self.last_runner.popitem(last=False)
 
-    def end(self, runner_id: str, succeeded: bool, now_s: float) -> None:
+    def end_attempt(self, runner_id: str, succeeded: bool, now_s: float) -> None:
         """An attempt is over; failures in a row open the circuit breaker."""
         runner = self.runners.get(runner_id)
         if runner is None:
@@ -155,5 +155,5 @@
         runner.own_in_flight = max(0, runner.own_in_flight - 1)
         runner.own_since_report = max(0, runner.own_since_report - 1)
         runner.failures = 0 if succeeded else runner.failures + 1
-        if runner.failures >= BREAKER_FAILURES:
+        if runner.failures >= BREAKER_FAILURE_LIMIT:
             runner.open_until_s = now_s + BREAKER_OPEN_S
--- a/src/bendshed/routing/scheduler.py
+++ b/src/bendshed/routing/scheduler.py
@@ -107,7 +107,7 @@
         """Whether any runner that takes work serves the model."""
         now_s = asyncio.get_running_loop().time()
         return any(
-            r.machine.model == model and r.takes_work(now_s) for r in self.table.runners.values()
+            r.machine.model == model and r.accepts_work(now_s) for r in self.table.runners.values()
         )
 
     async def acquire(self, call: WaitingCall, timeout_s: float) -> str:
@@ -161,7 +161,7 @@
         fitting = [
             runner
             for runner in self.table.runners.values()
-            if runner.machine.model == call.model and runner.takes_work(now_s)
+            if runner.machine.model == call.model and runner.accepts_work(now_s)
         ]
         untried = [r for r in fitting if r.machine.machine_id not in call.avoid]
         return untried or fitting
--- a/tests/defects.py
+++ b/tests/defects.py
@@ -74,7 +74,7 @@
 def _leaving_is_ignored() -> Iterator[None]:
     with (
         mock.patch.object(RunnerMonitor, "confirm", _always),
-        mock.patch.object(Runner, "takes_work", lambda _self, _now: True),
+        mock.patch.object(Runner, "accepts_work", lambda _self, _now: True),
     ):
         yield
 
