--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -26,11 +26,11 @@
 from bendshed.retries.decisions import (
     GiveUp,
     GiveUpReason,
-    RequestSecondRun,
+    RequestQuota,
     TryRunner,
     decide_next_attempt,
     refusal_of,
-    unless_maybe_run,
+    refusal_or_outcome_unknown,
 )
 from bendshed.retries.history import AttemptHistory
 from bendshed.services.metrics import AttemptEnd
@@ -119,7 +119,7 @@
             match decision:
                 case GiveUp():
                     return refusal_of(decision, self.history)
-                case RequestSecondRun():
+                case RequestQuota():
                     if not await self._is_admitted_again():
                         no_quota = GiveUp(GiveUpReason.NO_QUOTA, "the quota holds no second run")
                         return refusal_of(no_quota, self.history)
@@ -131,7 +131,7 @@
             if isinstance(choice, GiveUp):
                 return refusal_of(choice, self.history)
             if isinstance(choice, Refusal):
-                return unless_maybe_run(choice, self.history)
+                return refusal_or_outcome_unknown(choice, self.history)
             answer = await self._try(choice, body)
             if answer is not None:
                 return answer
@@ -156,7 +156,7 @@
     def note_work_time(self, answer: OpenAnswer) -> None:
         """A plain request was answered whole: update the measured pace of its runner."""
         now_s = asyncio.get_running_loop().time()
-        pace = self.ports.table.work_times.in_typical(self.route.name, now_s - answer.sent_s)
+        pace = self.ports.table.work_times.relative_time(self.route.name, now_s - answer.sent_s)
         answer.record.health.note_pace(pace, now_s)
 
     async def _try(self, choice: Choice, body: bytes) -> OpenAnswer | None:
@@ -266,7 +266,7 @@
 
     async def _drop_not_run(self, answer: OpenAnswer, reason: str) -> None:
         """Read the rest of an answer that proves that the request was not run."""
-        self.history.record_proof_of_not_run()
+        self.history.record_not_run()
         self._count(AttemptEnd.NOT_RUN)
         log.say(
             "attempt failed: runner did not run it",
@@ -299,7 +299,7 @@
             in_flight_there=choice.record.in_flight,
             was_connected=was_connected,
             left_ms=left_ms,
-            attempt=self.history.num_maybe_run,
+            attempt=self.history.num_possible_runs,
             is_cold=self.ports.table.cold.is_cold(runner_id),
         )
 
