--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -25,7 +25,7 @@
 from bendshed.identifiers import rendezvous_rank
 from bendshed.logs import PartLog
 from bendshed.model.address import Address
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.ports.registry import ReplicaNode
 from bendshed.ports.transport import PeerUnreachable, Requests, Transport
 from bendshed.wire import turns_pb2 as wire_turns
@@ -54,14 +54,14 @@
     Attributes:
         direct: for requests that a machine may let wait: relays give up what waits.
         relayed: for the others; may be the same.
-        neighbours: where machines are located.
+        host_locations: where machines are located.
         is_cut: whether only relays reach a machine.
 
     """
 
     direct: Transport
     relayed: Requests
-    neighbours: Neighbours
+    host_locations: HostLocations
     is_cut: Callable[[Address], bool] = lambda _machine: False
 
 
@@ -107,7 +107,7 @@
         self._may_share = may_share
         self._num_behind = num_behind
         self._is_replica = is_replica
-        near = paths.neighbours
+        near = paths.host_locations
         self._choice = ReaderChoice(RequestingNode(me, near.zone, near.places, is_replica))
         self._intake = UpdateIntake(taker, times)
         self._fronts = KnownFronts()
@@ -243,7 +243,7 @@
         wait_s = self._wait_s(machine) if waits_there else 0.0
         request = write_request(self._request_for(machine, wait_s))
         paths = self._paths.direct if waits_there else self._paths.relayed
-        round_trip_s = self._paths.neighbours.expected_round_trip_s(
+        round_trip_s = self._paths.host_locations.expected_round_trip_s(
             machine.host, self._paths.direct.round_trip_s(machine)
         )
         timeout_s = wait_s + REPLY_MARGIN_S + MARGIN_TRIPS * round_trip_s
@@ -258,7 +258,7 @@
         knows_directory = machine == self.upstream.machine
         return ReadRequest(
             requester=self._me,
-            requester_zone="" if self._is_replica else self._paths.neighbours.zone,
+            requester_zone="" if self._is_replica else self._paths.host_locations.zone,
             runners_at=self._intake.runners_at,
             document_version=self._intake.version,
             zones_at=self._intake.zones_at,
@@ -271,7 +271,7 @@
 
     def _wait_s(self, machine: Address) -> float:
         """How long a machine may wait for a change before it replies."""
-        is_regional = self._is_replica and self._paths.neighbours.is_far(machine.host)
+        is_regional = self._is_replica and self._paths.host_locations.is_far(machine.host)
         return self._times.interval_s * (REGIONAL_READER_SHARE if is_regional else 1.0)
 
     # --- updates -----------------------------------------------------------------------------
@@ -302,5 +302,5 @@
 
     def _take_fronts(self, update: CatalogUpdate) -> None:
         for front in update.fronts:
-            self._paths.neighbours.put(front.address.host, front.zone)
+            self._paths.host_locations.put(front.address.host, front.zone)
         self._fronts.take([front.address for front in update.fronts])
--- a/src/bendshed/catalog/relay_list.py
+++ b/src/bendshed/catalog/relay_list.py
@@ -7,7 +7,7 @@
 from bendshed.catalog.codec import write_address
 from bendshed.catalog.messages import FrontPlace
 from bendshed.model.address import Address
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.wire import catalog_pb2 as wire
 
 LATELY_S, LATELY_INTERVALS = 1.5, 1.5
@@ -28,9 +28,11 @@
 
     """
 
-    def __init__(self, neighbours: Neighbours, rng: random.Random, interval_s: float) -> None:
+    def __init__(
+        self, host_locations: HostLocations, rng: random.Random, interval_s: float
+    ) -> None:
         self.elsewhere: dict[Address, float] = {}
-        self._neighbours = neighbours
+        self._host_locations = host_locations
         self._rng = rng
         self._lately_s = max(LATELY_S, LATELY_INTERVALS * interval_s)
         self._cut_off: set[Address] = set()
@@ -46,7 +48,7 @@
         """Another replica machine named fronts that send it requests."""
         now_s = asyncio.get_running_loop().time()
         for front in fronts:
-            self._neighbours.put(front.address.host, front.zone)
+            self._host_locations.put(front.address.host, front.zone)
             self.elsewhere[front.address] = now_s
 
     def forget_silent(self, memory_s: float) -> None:
@@ -101,8 +103,8 @@
         self, fronts: list[Address], requester: Address
     ) -> tuple[list[Address], list[Address]]:
         """Those of the requester's region, as far as known, and the others."""
-        zone, zone_of = self._neighbours.zone_of(requester.host), self._neighbours.zone_of
-        region = self._neighbours.places.region
+        zone, zone_of = self._host_locations.zone_of(requester.host), self._host_locations.zone_of
+        region = self._host_locations.places.region
         far = [f for f in fronts if zone and region(zone_of(f.host) or zone) != region(zone)]
         return [front for front in fronts if front not in far], far
 
@@ -110,4 +112,4 @@
         return self._rng.sample(fronts, min(most, len(fronts)))
 
     def _write(self, front: Address) -> wire.PeerAddress:
-        return write_address(front, self._neighbours.zone_of(front.host))
+        return write_address(front, self._host_locations.zone_of(front.host))
--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -19,7 +19,7 @@
 from bendshed.consensus.directory import ReplicaDirectory
 from bendshed.logs import PartLog
 from bendshed.model.address import Address
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.policy import Policy
 from bendshed.ports.catalog_storage import CatalogStorage
 from bendshed.ports.transport import Transport
@@ -41,7 +41,7 @@
 
     transport: Transport
     directory: ReplicaDirectory
-    neighbours: Neighbours
+    host_locations: HostLocations
     me: Address
     storage: CatalogStorage
 
@@ -62,9 +62,9 @@
     ) -> None:
         self._around = around
         self._persistence = CatalogPersistence(around.storage, policy.kept_catalog)
-        self.catalog = ReplicaCatalog(self._persistence, times, around.neighbours.places)
+        self.catalog = ReplicaCatalog(self._persistence, times, around.host_locations.places)
         self.demand = Demand(times)
-        self._relay_list = RelayList(around.neighbours, rng, times.interval_s)
+        self._relay_list = RelayList(around.host_locations, rng, times.interval_s)
         self._exchange = FrontExchange(
             around.transport,
             around.directory,
@@ -75,7 +75,7 @@
             lambda: self.catalog.is_lost,
         )
         self.follower = CatalogFollower(
-            FollowerPaths(around.transport, around.transport, around.neighbours),
+            FollowerPaths(around.transport, around.transport, around.host_locations),
             around.directory,
             self.catalog,
             around.me,
@@ -90,7 +90,7 @@
             around.directory,
             self.demand,
             self._relay_list,
-            around.neighbours,
+            around.host_locations,
             self.follower.upstream,
         )
 
--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -10,7 +10,7 @@
 from bendshed.catalog.upstream import Upstream
 from bendshed.consensus.directory import ReplicaDirectory, to_wire
 from bendshed.model.address import Address
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.ports.transport import Transport
 from bendshed.wire import catalog_pb2 as wire
 
@@ -26,14 +26,14 @@
         directory: ReplicaDirectory,
         demand: Demand,
         relay_list: RelayList,
-        neighbours: Neighbours,
+        host_locations: HostLocations,
         upstream: Upstream,
     ) -> None:
         self._catalog = catalog
         self._directory = directory
         self._demand = demand
         self._relay_list = relay_list
-        self._neighbours = neighbours
+        self._host_locations = host_locations
         self._upstream = upstream
 
     def start(self, transport: Transport) -> None:
@@ -52,7 +52,7 @@
         """Remember the requesting node, its zone, and whether it is cut off."""
         if self._demand.note(request):
             self._catalog.note_unsaved()
-        self._neighbours.put(request.requester.host, request.requester_zone)
+        self._host_locations.put(request.requester.host, request.requester_zone)
         if not request.is_replica:
             self._relay_list.note_requester(request.requester, request.is_cut_off)
         self._demand.follow()
--- a/src/bendshed/catalog/upstream.py
+++ b/src/bendshed/catalog/upstream.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from bendshed.model.address import Address
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 
 
 @dataclass(slots=True)
@@ -11,7 +11,7 @@
     """The last machine that sent this node an update.
 
     Attributes:
-        neighbours: where other nodes are located.
+        host_locations: where other nodes are located.
         is_replica: this node is a replica machine.
         machine: ``None``: this node reads the registry itself, or was sent nothing yet.
         directory_digest: of the directory that the machine sent.
@@ -20,7 +20,7 @@
 
     """
 
-    neighbours: Neighbours
+    host_locations: HostLocations
     is_replica: bool
     machine: Address | None = None
     directory_digest: int = 0
@@ -31,7 +31,7 @@
     def is_regional_reader(self) -> bool:
         """Whether this node gets the catalog across the link, for its whole region."""
         machine = self.machine
-        return self.is_replica and machine is not None and self.neighbours.is_far(machine.host)
+        return self.is_replica and machine is not None and self.host_locations.is_far(machine.host)
 
     @property
     def is_updated_across_regions(self) -> bool:
--- a/src/bendshed/paths/adaptive_timeout.py
+++ b/src/bendshed/paths/adaptive_timeout.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from bendshed.model.address import Address
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.ports.round_trips import RoundTrips
 
 NEAR_TIMEOUT_S = 0.06
@@ -37,12 +37,12 @@
 
     Attributes:
         round_trip_s: what the transport measured to a peer; ``None``: nothing.
-        neighbours: where peers are located.
+        host_locations: where peers are located.
 
     """
 
     round_trip_s: Callable[[Address], float | None]
-    neighbours: Neighbours
+    host_locations: HostLocations
     _answers: RoundTrips[tuple[Address, str]] = field(default_factory=RoundTrips)
 
     def note(self, peer: Address, method: str, took_s: float, now_s: float) -> None:
@@ -51,7 +51,7 @@
 
     def expected_round_trip_s(self, peer: Address) -> float:
         """The round trip to a peer, or what is usual at its distance."""
-        return self.neighbours.expected_round_trip_s(peer.host, self.round_trip_s(peer))
+        return self.host_locations.expected_round_trip_s(peer.host, self.round_trip_s(peer))
 
     def answer_s(self, peer: Address, method: str, now_s: float) -> float:
         """The quickest answer of a peer to a method: the round trip and its work."""
@@ -66,8 +66,8 @@
     def beyond_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
         """A relay's quickest answer from the target; one beside the target spares the link."""
         answer_s = self.answer_s(peer, method, now_s)
-        if self.neighbours.are_together(relay.host, peer.host):
-            near_s = 0.0 if self.neighbours.is_far(relay.host) else answer_s
+        if self.host_locations.are_in_same_region(relay.host, peer.host):
+            near_s = 0.0 if self.host_locations.is_far(relay.host) else answer_s
             return max(near_s, answer_s - self.expected_round_trip_s(peer))
         return answer_s
 
--- a/src/bendshed/paths/echo.py
+++ b/src/bendshed/paths/echo.py
@@ -10,7 +10,7 @@
 from bendshed.logs import PartLog
 from bendshed.model.address import Address
 from bendshed.model.places import Distance
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.ports.transport import ECHO_METHOD, PeerUnreachable, Transport
 
 ECHO_INTERVAL_S = 2.0
@@ -59,7 +59,7 @@
         self,
         transport: Transport,
         peers: Callable[[], list[Address]],
-        neighbours: Neighbours,
+        host_locations: HostLocations,
         on_measured: Callable[[dict[Distance, float]], None],
     ) -> None:
         """Take the parts.
@@ -67,7 +67,7 @@
         Args:
             transport: measures the round trip of each request.
             peers: the other replica machines.
-            neighbours: where they are located.
+            host_locations: where they are located.
             on_measured: gets the median round trip by distance after each round, in ms.
 
         """
@@ -75,7 +75,7 @@
         self._on_measured = on_measured
         self._transport = transport
         self._peers = peers
-        self._neighbours = neighbours
+        self._host_locations = host_locations
 
     async def run(self) -> None:
         """Send echoes until cancelled."""
@@ -96,14 +96,14 @@
 
     def _medians_ms(self) -> dict[Distance, float]:
         known_s = self._transport.round_trips.all_s(asyncio.get_running_loop().time())
-        found_s = self._neighbours.medians_s(known_s)
+        found_s = self._host_locations.medians_s(known_s)
         return {kind: 1000 * median_s for kind, median_s in found_s.items()}
 
     def _regions(self, peers: Collection[Address]) -> set[str]:
         """Other regions where some of these are located."""
-        zones = {self._neighbours.zone_of(peer.host) for peer in peers}
-        regions = {self._neighbours.places.region(zone) for zone in zones if zone}
-        return regions - {self._neighbours.places.region(self._neighbours.zone)}
+        zones = {self._host_locations.zone_of(peer.host) for peer in peers}
+        regions = {self._host_locations.places.region(zone) for zone in zones if zone}
+        return regions - {self._host_locations.places.region(self._host_locations.zone)}
 
     def _log_changes(self, requested: Collection[str], answered: Collection[str]) -> None:
         for region, is_reachable in self.watch.note(requested, answered).items():
--- a/src/bendshed/paths/neighbours.py
+++ b/src/bendshed/paths/host_locations.py
@@ -7,7 +7,7 @@
 from bendshed.model.address import Address
 from bendshed.model.places import Distance, Places
 
-UNMEASURED_S: Mapping[Distance | None, float] = {
+DEFAULT_ROUND_TRIPS_S: Mapping[Distance | None, float] = {
     None: 0.001,
     Distance.SAME_ZONE: 0.001,
     Distance.SAME_REGION: 0.002,
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Neighbours:
+class HostLocations:
     """Zones of other nodes by host.
 
     Attributes:
@@ -58,9 +58,9 @@
 
     def expected_round_trip_s(self, host: str, measured_s: float | None) -> float:
         """The round trip to a host as measured, or what is usual at its distance."""
-        return measured_s if measured_s is not None else UNMEASURED_S[self.distance(host)]
+        return measured_s if measured_s is not None else DEFAULT_ROUND_TRIPS_S[self.distance(host)]
 
-    def are_together(self, host: str, other: str) -> bool:
+    def are_in_same_region(self, host: str, other: str) -> bool:
         """Whether two hosts are known to be located in one region."""
         zone, other_zone = self._zone_of.get(host), self._zone_of.get(other)
         if zone is None or other_zone is None:
--- a/src/bendshed/paths/relay_search.py
+++ b/src/bendshed/paths/relay_search.py
@@ -141,7 +141,7 @@
             and path.may_request(node, now_s)
         ]
         self._rng.shuffle(eligible)
-        near = self._adaptive_timeout.neighbours
+        near = self._adaptive_timeout.host_locations
         far = {node.host for node in eligible if near.is_far(node.host)}
         return relay_order(eligible, path.relay, self._good_relay, far)
 
--- a/src/bendshed/paths/relayed.py
+++ b/src/bendshed/paths/relayed.py
@@ -11,7 +11,7 @@
 from bendshed.logs import PartLog
 from bendshed.model.address import Address
 from bendshed.paths.adaptive_timeout import AdaptiveTimeout
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.paths.path_state import IsolationWatch, KnownPaths, PathState
 from bendshed.paths.relay_search import RelaySearch, note_failure, spawn
 from bendshed.paths.relay_server import RelayServer
@@ -35,13 +35,14 @@
         rng: random.Random,
         relays: Callable[[], list[Address]],
         relayed_methods: frozenset[str],
-        neighbours: Neighbours | None = None,
+        host_locations: HostLocations | None = None,
     ) -> None:
         self.num_relayed = 0
         self.num_doubled = 0
         self._transport = transport
         self._adaptive_timeout = AdaptiveTimeout(
-            transport.round_trip_s, neighbours if neighbours is not None else Neighbours()
+            transport.round_trip_s,
+            host_locations if host_locations is not None else HostLocations(),
         )
         self._isolation = IsolationWatch()
         self._search = RelaySearch(transport, rng, relays, self._adaptive_timeout, self._isolation)
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -70,7 +70,7 @@
             settings.turn_groups,
         )
         for traffic in (self._transport.traffic, self._connections.traffic):
-            traffic.distance = self._node.neighbours.distance
+            traffic.distance = self._node.host_locations.distance
             traffic.add_to(registry)
         self._node.on_document = self._apply_limits
         self._forwarding = ForwardingApplication(
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -65,7 +65,7 @@
             self._rng,
             TurnLogMetrics(registry),
         )
-        self._transport.traffic.distance = self._node.neighbours.distance
+        self._transport.traffic.distance = self._node.host_locations.distance
         self._transport.traffic.add_to(registry)
         confirm = self._node.catalog.confirm
         self._runners = self._watcher(
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -20,7 +20,7 @@
 from bendshed.model.route_index import RouteIndex
 from bendshed.model.runner import ServiceRunner
 from bendshed.model.service_document import ServiceDocument
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.paths.relayed import RelayedRequests
 from bendshed.placement.allowed_regions import unknown_regions
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
@@ -74,7 +74,7 @@
 
     Attributes:
         directory: where the turn log's replicas are.
-        neighbours: where other nodes are located.
+        host_locations: where other nodes are located.
         catalog: requests configuration and runners of replica machines.
         forwarder: serves requests.
         quotas: what the node may admit of each tenant.
@@ -96,7 +96,7 @@
         groups: TurnGroups = ONE_GROUP,
     ) -> None:
         self.directory = ReplicaDirectory()
-        self.neighbours = Neighbours(place.zone, place.places)
+        self.host_locations = HostLocations(place.zone, place.places)
         self.directory.on_change.append(self._note_replicas)
         self._knows_replicas = asyncio.Event()
         self.directory.on_change.append(self._knows_replicas.set)
@@ -110,7 +110,7 @@
         self.zones = ZoneKeeper(place.places)
         self._table = self._build_table()
         self._requests = RelayedRequests(
-            transport, rng, self._other_nodes, RELAYED_METHODS, self.neighbours
+            transport, rng, self._other_nodes, RELAYED_METHODS, self.host_locations
         )
         self.catalog = self._build_follower(transport, place, times, rng)
         self._turns = self._build_turns(place, rng, metrics)
@@ -123,7 +123,7 @@
         self, transport: Transport, place: NodePlace, times: CatalogTimes, rng: random.Random
     ) -> CatalogFollower:
         return CatalogFollower(
-            FollowerPaths(transport, self._requests, self.neighbours, self._requests.is_cut),
+            FollowerPaths(transport, self._requests, self.host_locations, self._requests.is_cut),
             self.directory,
             _CatalogTaker(self),
             place.address,
@@ -182,7 +182,7 @@
     def _note_replicas(self) -> None:
         """Remember where replica machines are located."""
         for replica in self.directory.by_name.values():
-            self.neighbours.put(replica.address.host, replica.zone)
+            self.host_locations.put(replica.address.host, replica.zone)
 
     def _other_nodes(self) -> list[Address]:
         return self.catalog.fronts if self._policy.relays else []
@@ -291,7 +291,7 @@
 
     def put_runner(self, runner: ServiceRunner) -> None:
         """Take one runner's state."""
-        self.neighbours.put(runner.address.host, runner.zone)
+        self.host_locations.put(runner.address.host, runner.zone)
         self._table.put(runner)
 
     def remove_runner(self, runner_id: str, trusted: bool) -> None:
--- a/src/bendshed/turns/group_peers.py
+++ b/src/bendshed/turns/group_peers.py
@@ -7,7 +7,7 @@
 from bendshed.consensus.group_client import FAR_TRIPS, GroupClient, GroupUnavailable
 from bendshed.consensus.retirement import EMPTIED_METHOD
 from bendshed.model.address import Address
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.placement.groups import TurnGroups
 from bendshed.ports.transport import Transport
 from bendshed.turns.client import TurnClient
@@ -27,7 +27,7 @@
         rng: random.Random,
         groups: TurnGroups,
         directory: ReplicaDirectory,
-        neighbours: Neighbours,
+        host_locations: HostLocations,
     ) -> None:
         self._directory = directory
         self._client = GroupClient(
@@ -37,7 +37,9 @@
             directory.resolve,
             directory.node_ids,
             lambda group: directory.node_ids_in(groups.home_zones(group)),
-            lambda peer: neighbours.expected_round_trip_s(peer.host, transport.round_trip_s(peer)),
+            lambda peer: host_locations.expected_round_trip_s(
+                peer.host, transport.round_trip_s(peer)
+            ),
         )
         self._turns = TurnClient(rng, self._client)
         self._looked_s: dict[int, float] = {}
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -16,7 +16,7 @@
 from bendshed.model.address import Address
 from bendshed.model.places import Distance, Places
 from bendshed.paths.echo import Echo
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.placement.cold_runners import ColdTerms
 from bendshed.placement.distance import DistanceCosts, LinkTerms
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
@@ -98,7 +98,7 @@
 
     Attributes:
         directory: the replica machines it knows.
-        neighbours: where other nodes are located.
+        host_locations: where other nodes are located.
         host: its replicas of the turn log's groups.
         supervisor: changes the members of groups that are led here.
         catalog: what it knows of configuration and runners.
@@ -117,13 +117,17 @@
     ) -> None:
         self._groups = terms.groups
         self.directory = ReplicaDirectory()
-        self.neighbours = Neighbours(place.zone, place.places)
+        self.host_locations = HostLocations(place.zone, place.places)
         self.directory.on_change.append(self._note_replicas)
         self.host = self._build_host(ports, terms.policy, rng)
-        peers = GroupPeers(ports.transport, rng, terms.groups, self.directory, self.neighbours)
+        peers = GroupPeers(ports.transport, rng, terms.groups, self.directory, self.host_locations)
         self.supervisor = self._build_supervisor(place, ports, terms, peers)
         around = CatalogSurroundings(
-            ports.transport, self.directory, self.neighbours, place.address, ports.catalog_storage
+            ports.transport,
+            self.directory,
+            self.host_locations,
+            place.address,
+            ports.catalog_storage,
         )
         self._catalog_parts = ReplicaCatalogParts(around, terms.times, terms.policy, rng)
         self.catalog = self._catalog_parts.catalog
@@ -131,7 +135,7 @@
         self.follower = self._catalog_parts.follower
         self._distance = DistanceCosts(place.places, terms.links)
         self._echo = Echo(
-            ports.transport, self._other_replicas, self.neighbours, self._take_distances
+            ports.transport, self._other_replicas, self.host_locations, self._take_distances
         )
         placement = self._build_placement(terms, rng, metrics)
         self._service = self._build_service(ports.transport, terms, metrics, placement, peers)
@@ -212,7 +216,7 @@
     def _note_replicas(self) -> None:
         """Remember where replica machines are located."""
         for replica in self.directory.by_name.values():
-            self.neighbours.put(replica.address.host, replica.zone)
+            self.host_locations.put(replica.address.host, replica.zone)
 
     def _take_distances(self, measured_ms: dict[Distance, float]) -> None:
         self._distance.measured_ms = measured_ms
--- a/tests/test_distance_relays.py
+++ b/tests/test_distance_relays.py
@@ -8,7 +8,7 @@
 
 from bendshed.model.address import Address
 from bendshed.model.places import Places
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.paths.relayed import RelayedRequests
 from bendshed.ports.transport import PeerUnreachable
 from bendshed.rehearsal.simulator.loop import SimProcess, VirtualTimeLoop
@@ -56,12 +56,12 @@
         if not hasattr(self, "transports"):
             self.transports: dict[str, SimTransport] = {}
         self.transports[name] = transport
-        neighbours = Neighbours(self.zone_of[name], PLACES)
+        host_locations = HostLocations(self.zone_of[name], PLACES)
         for other, zone in self.zone_of.items():
-            neighbours.put(other, zone)
+            host_locations.put(other, zone)
         relays = [self.at[other] for other in self.at if "store" not in other and other != name]
         methods = frozenset({METHOD})
-        return RelayedRequests(transport, random.Random(2), lambda: relays, methods, neighbours)
+        return RelayedRequests(transport, random.Random(2), lambda: relays, methods, host_locations)
 
     async def answer(self, payload: bytes) -> bytes:
         self.num_answers += 1
--- a/tests/test_follower_ways.py
+++ b/tests/test_follower_ways.py
@@ -11,7 +11,7 @@
 from bendshed.consensus.directory import ReplicaDirectory
 from bendshed.model.address import Address
 from bendshed.model.service_document import ServiceDocument
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.placement.zones import ZoneUpdate
 from bendshed.ports.registry import ReplicaNode
 from bendshed.rehearsal.simulator.loop import SimProcess, VirtualTimeLoop
@@ -80,7 +80,7 @@
         directory.put(ReplicaNode("store", "n1", STORE, "a"))
         self.taker = taker = Taker()
         follower = CatalogFollower(
-            FollowerPaths(transport, relays, Neighbours(), is_cut=lambda _peer: True),
+            FollowerPaths(transport, relays, HostLocations(), is_cut=lambda _peer: True),
             directory,
             taker,
             Address("front", 7000),
--- a/tests/test_round_trips.py
+++ b/tests/test_round_trips.py
@@ -10,7 +10,7 @@
 from bendshed.model.places import Distance, Places
 from bendshed.paths.adaptive_timeout import NEAR_TIMEOUT_S, AdaptiveTimeout
 from bendshed.paths.echo import ROUNDS_UNHEARD, RegionWatch
-from bendshed.paths.neighbours import UNMEASURED_S, Neighbours
+from bendshed.paths.host_locations import DEFAULT_ROUND_TRIPS_S, HostLocations
 from bendshed.ports.round_trips import MAX_PEERS, MEMORY_S, WINDOW_S, RoundTrips
 
 PLACES = Places({"a": "east", "b": "east", "x": "west"})
@@ -54,25 +54,25 @@
         self.assertEqual(len(self.trips.all_s(0.0)), MAX_PEERS)
 
 
-class NeighboursTest(unittest.TestCase):
+class HostLocationsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.neighbours = Neighbours("a", PLACES)
+        self.host_locations = HostLocations("a", PLACES)
         for host, zone in (("h1", "a"), ("h2", "b"), ("h3", "b"), ("h4", "x"), ("h5", "x")):
-            self.neighbours.put(host, zone)
+            self.host_locations.put(host, zone)
 
     def test_distances_and_their_medians(self) -> None:
-        self.assertIs(self.neighbours.distance("h1"), Distance.SAME_ZONE)
-        self.assertIs(self.neighbours.distance("h4"), Distance.OTHER_REGION)
-        self.assertIsNone(self.neighbours.distance("nobody"))
+        self.assertIs(self.host_locations.distance("h1"), Distance.SAME_ZONE)
+        self.assertIs(self.host_locations.distance("h4"), Distance.OTHER_REGION)
+        self.assertIsNone(self.host_locations.distance("nobody"))
         took_s = {"h2": 0.001, "h3": 0.003, "h4": 0.06, "h5": 0.2, "nobody": 9.0}
-        medians = self.neighbours.medians_s({Address(h, 1): s for h, s in took_s.items()})
+        medians = self.host_locations.medians_s({Address(h, 1): s for h, s in took_s.items()})
         self.assertEqual(set(medians), {Distance.SAME_REGION, Distance.OTHER_REGION})
         self.assertAlmostEqual(medians[Distance.SAME_REGION], 0.002)
         self.assertAlmostEqual(medians[Distance.OTHER_REGION], 0.13)
 
     def test_bounds_are_at_least_those_of_neighbours(self) -> None:
         known = {"h2": 0.001, "h4": 0.06}
-        adaptive_timeout = AdaptiveTimeout(lambda peer: known.get(peer.host), self.neighbours)
+        adaptive_timeout = AdaptiveTimeout(lambda peer: known.get(peer.host), self.host_locations)
         near, far = Address("h2", 1), Address("h4", 1)
         self.assertEqual(adaptive_timeout.direct_s(near, "m", 0.0), NEAR_TIMEOUT_S)
         self.assertGreater(adaptive_timeout.direct_s(far, "m", 0.0), 2 * 0.06)
@@ -82,13 +82,14 @@
         self.assertLess(adaptive_timeout.direct_s(far, "another", 0.0), 2 * 0.12)
 
     def test_who_is_not_measured_counts_as_others_of_his_kind(self) -> None:
-        adaptive_timeout = AdaptiveTimeout(lambda _peer: None, self.neighbours)
+        adaptive_timeout = AdaptiveTimeout(lambda _peer: None, self.host_locations)
         self.assertEqual(
             adaptive_timeout.expected_round_trip_s(Address("h4", 1)),
-            UNMEASURED_S[Distance.OTHER_REGION],
+            DEFAULT_ROUND_TRIPS_S[Distance.OTHER_REGION],
         )
         self.assertEqual(
-            adaptive_timeout.expected_round_trip_s(Address("nobody", 1)), UNMEASURED_S[None]
+            adaptive_timeout.expected_round_trip_s(Address("nobody", 1)),
+            DEFAULT_ROUND_TRIPS_S[None],
         )
 
 
@@ -139,7 +140,7 @@
 
     async def test_bytes_are_told_by_message_and_distance(self) -> None:
         registry = CollectorRegistry()
-        self.node.traffic.distance = Neighbours("a", PLACES, {LOCAL: "x"}).distance
+        self.node.traffic.distance = HostLocations("a", PLACES, {LOCAL: "x"}).distance
         self.node.traffic.add_to(registry)
         self.answered.set()
         await self.node.request(self.address, "wait", bytes(1_000), 10_000.0)
