--- a/src/bendshed/paths/adaptive_timeout.py
+++ b/src/bendshed/paths/adaptive_timeout.py
@@ -12,21 +12,21 @@
 from bendshed.paths.host_locations import HostLocations
 from bendshed.ports.round_trips import RoundTrips
 
-NEAR_TIMEOUT_S = 0.06
+MIN_DIRECT_TIMEOUT_S = 0.06
 """A neighbour that has not answered for this long may be cut off: a relay is tried beside it. It
 bounds what a cut costs the first request; longer commits of a neighbour in a burst go twice."""
-ANSWER_TIMES = 2.0
+ANSWER_TIME_FACTOR = 2.0
 """A far peer has so many times its quickest answer to the same method: a connection that must be
 opened first costs one round trip more. With 60 ms for all, on two regions 30 ms apart one way, 235
 to 241 calm requests went through relays; with this none (simulated, twelve fronts, four stores)."""
 ANSWER_SLACK_S = 0.03
 """Beside that: what a commit takes longer in a burst."""
-RELAY_EXTRA_S = 0.08
+RELAY_TARGET_SLACK_S = 0.08
 """A relay waits this much longer for a target than the target's quickest answer takes."""
 RELAY_MARGIN_S = 0.02
 """A relay gives its target up this long before the requesting node gives up the relay, so that a
 silent target is told apart from a silent relay."""
-SECOND_RELAY_TIMES, SECOND_RELAY_SLACK_S = 1.25, 0.03
+SECOND_RELAY_FACTOR, SECOND_RELAY_SLACK_S = 1.25, 0.03
 """A relay is late after so many times the least that its path can take, and this. Then a second one
 is tried beside it: a third of all nodes may be cut off together."""
 
@@ -53,38 +53,42 @@
         """The round trip to a peer, or what is usual at its distance."""
         return self.host_locations.expected_round_trip_s(peer.host, self.round_trip_s(peer))
 
-    def answer_s(self, peer: Address, method: str, now_s: float) -> float:
+    def expected_answer_s(self, peer: Address, method: str, now_s: float) -> float:
         """The quickest answer of a peer to a method: the round trip and its work."""
         known = self._answers.least_s((peer, method), now_s)
         return known if known is not None else self.expected_round_trip_s(peer)
 
-    def direct_s(self, peer: Address, method: str, now_s: float) -> float:
+    def direct_timeout_s(self, peer: Address, method: str, now_s: float) -> float:
         """How long a direct answer is waited for before a relay is tried beside it."""
-        far_s = ANSWER_TIMES * self.answer_s(peer, method, now_s) + ANSWER_SLACK_S
-        return max(NEAR_TIMEOUT_S, far_s)
+        scaled_s = ANSWER_TIME_FACTOR * self.expected_answer_s(peer, method, now_s) + ANSWER_SLACK_S
+        return max(MIN_DIRECT_TIMEOUT_S, scaled_s)
 
-    def beyond_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
+    def relay_to_target_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
         """A relay's quickest answer from the target; one beside the target spares the link."""
-        answer_s = self.answer_s(peer, method, now_s)
+        answer_s = self.expected_answer_s(peer, method, now_s)
         if self.host_locations.are_in_same_region(relay.host, peer.host):
-            near_s = 0.0 if self.host_locations.is_far(relay.host) else answer_s
-            return max(near_s, answer_s - self.expected_round_trip_s(peer))
+            min_s = 0.0 if self.host_locations.is_far(relay.host) else answer_s
+            return max(min_s, answer_s - self.expected_round_trip_s(peer))
         return answer_s
 
-    def passed_on_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
+    def target_timeout_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
         """How long a relay waits for the target."""
-        return self.beyond_s(relay, peer, method, now_s) + RELAY_EXTRA_S
+        return self.relay_to_target_s(relay, peer, method, now_s) + RELAY_TARGET_SLACK_S
 
-    def relay_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
+    def relay_timeout_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
         """How long a relay's answer is waited for; a connection may have to be opened first."""
-        to_relay_s = ANSWER_TIMES * self.expected_round_trip_s(relay)
-        return to_relay_s + self.passed_on_s(relay, peer, method, now_s) + RELAY_MARGIN_S
+        to_relay_s = ANSWER_TIME_FACTOR * self.expected_round_trip_s(relay)
+        return to_relay_s + self.target_timeout_s(relay, peer, method, now_s) + RELAY_MARGIN_S
 
-    def least_relay_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
+    def min_relay_time_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
         """The least time in which an answer can come through a relay."""
-        return self.expected_round_trip_s(relay) + self.beyond_s(relay, peer, method, now_s)
+        return self.expected_round_trip_s(relay) + self.relay_to_target_s(
+            relay, peer, method, now_s
+        )
 
-    def second_relay_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
+    def second_relay_delay_s(
+        self, relay: Address, peer: Address, method: str, now_s: float
+    ) -> float:
         """How long a relay has before a second one is tried beside it."""
-        least_s = self.least_relay_s(relay, peer, method, now_s)
-        return SECOND_RELAY_TIMES * least_s + SECOND_RELAY_SLACK_S
+        least_s = self.min_relay_time_s(relay, peer, method, now_s)
+        return SECOND_RELAY_FACTOR * least_s + SECOND_RELAY_SLACK_S
--- a/src/bendshed/paths/relay_search.py
+++ b/src/bendshed/paths/relay_search.py
@@ -74,7 +74,9 @@
             while True:
                 while candidates and len(trying) < num_at_once and search.may_try_more:
                     relay = candidates.pop(0)
-                    late_s = self._adaptive_timeout.second_relay_s(relay, peer, method, _now_s())
+                    late_s = self._adaptive_timeout.second_relay_delay_s(
+                        relay, peer, method, _now_s()
+                    )
                     trying.add(spawn(self._through(relay, search)))
                 if not trying:
                     break
@@ -97,17 +99,19 @@
         """Try one relay; raise ``PeerUnreachable`` unless it reaches the target in time."""
         now_s, peer, method = _now_s(), search.peer, search.method
         left_s = search.until_s - now_s
-        if left_s <= self._adaptive_timeout.least_relay_s(relay, peer, method, now_s):
+        if left_s <= self._adaptive_timeout.min_relay_time_s(relay, peer, method, now_s):
             raise PeerUnreachable(f"no time is left to reach {peer} through {relay}")
-        passed_on_s = self._adaptive_timeout.passed_on_s(relay, peer, method, now_s)
+        target_timeout_s = self._adaptive_timeout.target_timeout_s(relay, peer, method, now_s)
         request = wire.RelayRequest(
             target=wire.PeerAddress(host=peer.host, port=peer.port),
             method=method,
             payload=search.payload,
-            timeout_ms=max(1, int(min(passed_on_s, left_s) * 1000)),
+            timeout_ms=max(1, int(min(target_timeout_s, left_s) * 1000)),
         )
-        try_s = min(self._adaptive_timeout.relay_s(relay, peer, method, now_s), left_s)
-        reply = await self._request(relay, request, try_s)
+        relay_timeout_s = min(
+            self._adaptive_timeout.relay_timeout_s(relay, peer, method, now_s), left_s
+        )
+        reply = await self._request(relay, request, relay_timeout_s)
         if reply is not None and reply.is_reached:
             search.path.relay = self._good_relay = relay
             return reply.payload
--- a/src/bendshed/paths/relayed.py
+++ b/src/bendshed/paths/relayed.py
@@ -69,18 +69,18 @@
         path = self._paths.get(peer)
         now_s = asyncio.get_running_loop().time()
         until_s = now_s + timeout_s
-        direct_s = self._adaptive_timeout.direct_s(peer, method, now_s)
+        direct_timeout_s = self._adaptive_timeout.direct_timeout_s(peer, method, now_s)
         tasks: set[asyncio.Task[bytes]] = set()
         if path.begin_direct(now_s):
             tasks.add(spawn(self._directly(path, peer, method, payload, timeout_s)))
         try:
             if not path.is_cut and not self._paths.is_likely_cut(path):
-                done, _ = await asyncio.wait(tasks, timeout=min(direct_s, timeout_s))
+                done, _ = await asyncio.wait(tasks, timeout=min(direct_timeout_s, timeout_s))
                 if done and not _failed(done):
                     return done.pop().result()
             now_s = asyncio.get_running_loop().time()
             left_s = until_s - now_s
-            if left_s > 0 and path.may_relay(now_s, direct_s):
+            if left_s > 0 and path.may_relay(now_s, direct_timeout_s):
                 self.num_doubled += not path.is_cut and any(not task.done() for task in tasks)
                 tasks.add(spawn(self._indirectly(path, peer, method, payload, left_s)))
             elif left_s > 0 and path.search is not None:
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -6,7 +6,11 @@
 from collections.abc import Callable
 
 from bendshed.model.address import Address
-from bendshed.paths.adaptive_timeout import NEAR_TIMEOUT_S, RELAY_EXTRA_S, RELAY_MARGIN_S
+from bendshed.paths.adaptive_timeout import (
+    MIN_DIRECT_TIMEOUT_S,
+    RELAY_MARGIN_S,
+    RELAY_TARGET_SLACK_S,
+)
 from bendshed.paths.path_state import DIRECT_PROBE_S, ISOLATED_S
 from bendshed.paths.relay_search import RELAY_METHOD
 from bendshed.paths.relayed import RelayedRequests
@@ -83,7 +87,7 @@
         self.cut(("node", "target"))
         answer, took_s = self.ask()
         self.assertEqual(answer, b"heard x")
-        self.assertLess(took_s, NEAR_TIMEOUT_S + 0.03)
+        self.assertLess(took_s, MIN_DIRECT_TIMEOUT_S + 0.03)
         answer, took_s = self.ask()
         self.assertEqual(answer, b"heard x")
         self.assertLess(took_s, 0.03)
@@ -99,7 +103,7 @@
         self.assertFalse(self.ways["node"].is_cut(self.at["second"]))
         answer, took_s = self.ask(target="second")
         self.assertEqual(answer, b"heard x")
-        self.assertLess(took_s, NEAR_TIMEOUT_S)
+        self.assertLess(took_s, MIN_DIRECT_TIMEOUT_S)
         self.assertTrue(self.ways["node"].is_cut(self.at["second"]))
         if found != self.at["relay-1"]:
             self.assertEqual(self.ways["node"]._paths.get(self.at["second"]).relay, found)
@@ -113,7 +117,7 @@
             self.assertTrue(self.ways[name].is_cut(self.at["target"]))
         answer, took_s = self.ask()
         self.assertEqual(answer, b"heard x")
-        self.assertLess(took_s, NEAR_TIMEOUT_S + 0.03)
+        self.assertLess(took_s, MIN_DIRECT_TIMEOUT_S + 0.03)
 
     def test_a_target_that_relays_do_not_reach_is_not_called_silent_behind_a_cut(self) -> None:
         self.at["second"] = Address("second", 7000)
@@ -151,7 +155,7 @@
         self.cut(("node", relay.host))
         answer, took_s = self.ask()
         self.assertEqual(answer, b"heard x")
-        self.assertLess(took_s, RELAY_EXTRA_S + RELAY_MARGIN_S + 0.03)
+        self.assertLess(took_s, RELAY_TARGET_SLACK_S + RELAY_MARGIN_S + 0.03)
 
     def test_nobody_is_asked_for_a_method_that_must_not_be_repeated(self) -> None:
         self.transports["target"].handlers[OTHER_METHOD] = self.answer
--- a/tests/test_round_trips.py
+++ b/tests/test_round_trips.py
@@ -8,7 +8,7 @@
 from bendshed.adapters.tcp_transport import TcpTransport
 from bendshed.model.address import Address
 from bendshed.model.places import Distance, Places
-from bendshed.paths.adaptive_timeout import NEAR_TIMEOUT_S, AdaptiveTimeout
+from bendshed.paths.adaptive_timeout import MIN_DIRECT_TIMEOUT_S, AdaptiveTimeout
 from bendshed.paths.echo import ROUNDS_UNHEARD, RegionWatch
 from bendshed.paths.host_locations import DEFAULT_ROUND_TRIPS_S, HostLocations
 from bendshed.ports.round_trips import MAX_PEERS, MEMORY_S, WINDOW_S, RoundTrips
@@ -74,12 +74,12 @@
         known = {"h2": 0.001, "h4": 0.06}
         adaptive_timeout = AdaptiveTimeout(lambda peer: known.get(peer.host), self.host_locations)
         near, far = Address("h2", 1), Address("h4", 1)
-        self.assertEqual(adaptive_timeout.direct_s(near, "m", 0.0), NEAR_TIMEOUT_S)
-        self.assertGreater(adaptive_timeout.direct_s(far, "m", 0.0), 2 * 0.06)
-        self.assertGreater(adaptive_timeout.direct_s(Address("h5", 1), "m", 0.0), 2 * 0.06)
+        self.assertEqual(adaptive_timeout.direct_timeout_s(near, "m", 0.0), MIN_DIRECT_TIMEOUT_S)
+        self.assertGreater(adaptive_timeout.direct_timeout_s(far, "m", 0.0), 2 * 0.06)
+        self.assertGreater(adaptive_timeout.direct_timeout_s(Address("h5", 1), "m", 0.0), 2 * 0.06)
         adaptive_timeout.note(far, "m", 0.12, 0.0)
-        self.assertGreater(adaptive_timeout.direct_s(far, "m", 0.0), 2 * 0.12)
-        self.assertLess(adaptive_timeout.direct_s(far, "another", 0.0), 2 * 0.12)
+        self.assertGreater(adaptive_timeout.direct_timeout_s(far, "m", 0.0), 2 * 0.12)
+        self.assertLess(adaptive_timeout.direct_timeout_s(far, "another", 0.0), 2 * 0.12)
 
     def test_who_is_not_measured_counts_as_others_of_his_kind(self) -> None:
         adaptive_timeout = AdaptiveTimeout(lambda _peer: None, self.host_locations)
