--- a/src/bendshed/paths/echo.py
+++ b/src/bendshed/paths/echo.py
@@ -16,42 +16,42 @@
 ECHO_INTERVAL_S = 2.0
 """Nine machines send 36 requests a second at this pace, of some 40 bytes."""
 ECHO_TIMEOUT_S = 1.0
-ROUNDS_UNHEARD = 2
+UNREACHABLE_ROUNDS = 2
 """After so many rounds without an answer from there a region counts as unreachable."""
 
 log = PartLog("regions")
 
 
-class RegionWatch:
+class RegionReachability:
     """Which regions answer. Pure."""
 
     def __init__(self) -> None:
-        self._num_silent: dict[str, int] = {}
+        self._num_silent_rounds: dict[str, int] = {}
 
     def note(self, requested: Collection[str], answered: Collection[str]) -> dict[str, bool]:
         """One round is over; return the regions that changed and whether they answer now."""
         changed: dict[str, bool] = {}
         for region in set(requested):
-            before = self._num_silent.get(region, 0)
+            before = self._num_silent_rounds.get(region, 0)
             now = 0 if region in answered else before + 1
-            self._num_silent[region] = now
-            if now == ROUNDS_UNHEARD:
+            self._num_silent_rounds[region] = now
+            if now == UNREACHABLE_ROUNDS:
                 changed[region] = False
-            elif now == 0 and before >= ROUNDS_UNHEARD:
+            elif now == 0 and before >= UNREACHABLE_ROUNDS:
                 changed[region] = True
         return changed
 
     @property
-    def num_unheard(self) -> int:
+    def num_unreachable(self) -> int:
         """Regions that count as unreachable."""
-        return sum(1 for silent in self._num_silent.values() if silent >= ROUNDS_UNHEARD)
+        return sum(1 for silent in self._num_silent_rounds.values() if silent >= UNREACHABLE_ROUNDS)
 
 
 class Echo:
     """Sends echoes to the other replica machines; each transport answers them.
 
     Attributes:
-        watch: which regions answer.
+        reachability: which regions answer.
 
     """
 
@@ -71,7 +71,7 @@
             on_measured: gets the median round trip by distance after each round, in ms.
 
         """
-        self.watch = RegionWatch()
+        self.reachability = RegionReachability()
         self._on_measured = on_measured
         self._transport = transport
         self._peers = peers
@@ -106,7 +106,7 @@
         return regions - {self._host_locations.places.region(self._host_locations.zone)}
 
     def _log_changes(self, requested: Collection[str], answered: Collection[str]) -> None:
-        for region, is_reachable in self.watch.note(requested, answered).items():
+        for region, is_reachable in self.reachability.note(requested, answered).items():
             log.say(
                 "region reachable again"
                 if is_reachable
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -208,7 +208,7 @@
             self._service,
             placement.cluster_load,
             self.catalog.catalog,
-            self._echo.watch,
+            self._echo.reachability,
             self._distance,
         ).add_to(metrics)
         self.catalog.zones.add_gauges(metrics)
--- a/src/bendshed/turns/replica_gauges.py
+++ b/src/bendshed/turns/replica_gauges.py
@@ -10,7 +10,7 @@
 from bendshed.consensus.host import GroupHost, HostedGroup
 from bendshed.consensus.raft_types import Role
 from bendshed.model.places import Distance
-from bendshed.paths.echo import RegionWatch
+from bendshed.paths.echo import RegionReachability
 from bendshed.placement.cluster_load import ClusterLoad
 from bendshed.placement.distance import DistanceCosts
 from bendshed.turns.metrics import TurnLogMetrics
@@ -27,7 +27,7 @@
     service: TurnService
     load: ClusterLoad
     catalog: Catalog
-    regions: RegionWatch
+    regions: RegionReachability
     distance: DistanceCosts
 
     def add_to(self, metrics: TurnLogMetrics) -> None:
@@ -57,7 +57,7 @@
             (
                 "bendshed_regions_unheard",
                 "Regions of which nobody is heard",
-                lambda: self.regions.num_unheard,
+                lambda: self.regions.num_unreachable,
             ),
         )
         for name, text, read in readings:
--- a/tests/test_round_trips.py
+++ b/tests/test_round_trips.py
@@ -9,7 +9,7 @@
 from bendshed.model.address import Address
 from bendshed.model.places import Distance, Places
 from bendshed.paths.adaptive_timeout import MIN_DIRECT_TIMEOUT_S, AdaptiveTimeout
-from bendshed.paths.echo import ROUNDS_UNHEARD, RegionWatch
+from bendshed.paths.echo import UNREACHABLE_ROUNDS, RegionReachability
 from bendshed.paths.host_locations import DEFAULT_ROUND_TRIPS_S, HostLocations
 from bendshed.ports.round_trips import MAX_PEERS, MEMORY_S, WINDOW_S, RoundTrips
 
@@ -93,15 +93,15 @@
         )
 
 
-class RegionWatchTest(unittest.TestCase):
+class RegionReachabilityTest(unittest.TestCase):
     def test_a_region_is_told_once_when_it_falls_silent_and_once_when_it_is_back(self) -> None:
-        watch = RegionWatch()
+        watch = RegionReachability()
         self.assertEqual(watch.note(["west"], ["west"]), {})
-        told = [watch.note(["west"], []) for _ in range(ROUNDS_UNHEARD + 2)]
+        told = [watch.note(["west"], []) for _ in range(UNREACHABLE_ROUNDS + 2)]
         self.assertEqual([row for row in told if row], [{"west": False}])
-        self.assertEqual(watch.num_unheard, 1)
+        self.assertEqual(watch.num_unreachable, 1)
         self.assertEqual(watch.note(["west"], ["west"]), {"west": True})
-        self.assertEqual((watch.note(["west"], ["west"]), watch.num_unheard), ({}, 0))
+        self.assertEqual((watch.note(["west"], ["west"]), watch.num_unreachable), ({}, 0))
 
 
 class OverTcpTest(unittest.IsolatedAsyncioTestCase):
