--- a/src/bendshed/paths/path_state.py
+++ b/src/bendshed/paths/path_state.py
@@ -13,17 +13,17 @@
 DIRECT_PROBE_S = 0.5
 """While only relays reach a target, one request this often also goes directly: that is how late the
 direct path is used again, at two extra messages a second for each target."""
-UNREACHED_PAUSE_S = 0.2
+RELAY_SEARCH_PAUSE_S = 0.2
 """A target that relays do not reach either is not searched through relays for this long: it is
 down, and each search costs up to two relays a request."""
-RELAY_SILENT_S = 1.0
+RELAY_AVOIDANCE_S = 1.0
 """A relay that did not answer, or did not reach a target, is not tried for this long. With a new
 relay each time one relayed request in ten waited 0.3 to 0.9 s, since a third of all nodes was cut
 off or dark (docs/design/0004)."""
-ISOLATED_S = 0.3
+MIN_ISOLATION_TIMEOUT_S = 0.3
 """A node without any answer for this long, of targets or relays, is isolated: it rejects requests
 at once, and clients connect elsewhere."""
-ISOLATED_TRIPS = 3.0
+ISOLATION_ROUND_TRIPS = 3.0
 """And longer than so many round trips to the farthest node that did not answer it."""
 
 
@@ -32,27 +32,27 @@
     """What is known of the path to one target.
 
     Attributes:
-        is_cut: relays reach it and the direct path does not.
+        is_relay_only: relays reach it and the direct path does not.
         answered_s: time of the last direct answer.
-        search: set while a request finds out whether relays reach it; the event is set at its end.
-        probe_from_s: from then on one request goes directly too, though ``is_cut``.
+        search_done: set while a request searches for a relay; the event is set at its end.
+        probe_from_s: from then on one request goes directly too, though ``is_relay_only``.
         no_relay_until_s: until then relays are not tried.
-        relay: the one that reached it last; tried first.
+        last_relay: the one that reached it last; tried first.
         avoided_until_s: relays that did not reach it, and until when they are not tried.
 
     """
 
-    is_cut: bool = False
+    is_relay_only: bool = False
     answered_s: float = float("-inf")
-    search: asyncio.Event | None = None
+    search_done: asyncio.Event | None = None
     probe_from_s: float = 0.0
     no_relay_until_s: float = 0.0
-    relay: Address | None = None
+    last_relay: Address | None = None
     avoided_until_s: dict[Address, float] = field(default_factory=dict)
 
-    def begin_direct(self, now_s: float) -> bool:
+    def claim_direct_request(self, now_s: float) -> bool:
         """Whether a request goes directly; on a cut path it counts as the probe."""
-        if self.is_cut and now_s < self.probe_from_s:
+        if self.is_relay_only and now_s < self.probe_from_s:
             return False
         self.probe_from_s = now_s + DIRECT_PROBE_S
         return True
@@ -63,24 +63,24 @@
         Not where the target answered another request within the timeout, since it is slow then and
         not cut off; not beside another search, which it follows instead.
         """
-        if self.is_cut:
+        if self.is_relay_only:
             return True
-        answered_lately = now_s - self.answered_s < direct_timeout_s
-        return not answered_lately and self.search is None and now_s >= self.no_relay_until_s
+        answered_recently = now_s - self.answered_s < direct_timeout_s
+        return not answered_recently and self.search_done is None and now_s >= self.no_relay_until_s
 
-    def note_unreached(self, now_s: float) -> None:
+    def note_unreachable(self, now_s: float) -> None:
         """Relays do not reach the target either: the next request goes directly."""
         self.probe_from_s = 0.0
-        if not self.is_cut:
-            self.no_relay_until_s = now_s + UNREACHED_PAUSE_S
+        if not self.is_relay_only:
+            self.no_relay_until_s = now_s + RELAY_SEARCH_PAUSE_S
 
-    def may_request(self, relay: Address, now_s: float) -> bool:
+    def may_use_relay(self, relay: Address, now_s: float) -> bool:
         """Whether a relay is not avoided for this target."""
         return self.avoided_until_s.get(relay, 0.0) <= now_s
 
     def note_relay_failed(self, relay: Address, now_s: float) -> None:
         """A relay did not reach the target."""
-        self.avoided_until_s[relay] = now_s + RELAY_SILENT_S
+        self.avoided_until_s[relay] = now_s + RELAY_AVOIDANCE_S
 
 
 @dataclass(slots=True)
@@ -89,52 +89,52 @@
 
     Attributes:
         by_target: the state of each path.
-        cut_since_s: when a path was last found to be cut.
+        last_relay_only_s: when a path was last found to be cut.
 
     """
 
     by_target: dict[Address, PathState] = field(default_factory=dict)
-    cut_since_s: float = float("-inf")
+    last_relay_only_s: float = float("-inf")
 
     def get(self, target: Address) -> PathState:
         """The path to a target, noted from now on."""
         return self.by_target.setdefault(target, PathState())
 
-    def is_cut(self, target: Address) -> bool:
+    def is_relay_only(self, target: Address) -> bool:
         """Whether only relays reach a target."""
         path = self.by_target.get(target)
-        return path is not None and path.is_cut
+        return path is not None and path.is_relay_only
 
     @property
-    def is_behind_cut(self) -> bool:
+    def has_relay_only_path(self) -> bool:
         """Whether only relays reach any target.
 
         Then a target that relays do not reach may be well: the relays may be cut off too.
         """
-        return any(path.is_cut for path in self.by_target.values())
+        return any(path.is_relay_only for path in self.by_target.values())
 
-    def is_likely_cut(self, path: PathState) -> bool:
+    def may_be_relay_only(self, path: PathState) -> bool:
         """Whether another path was found cut since this one last brought a direct answer.
 
         Then a relay is tried at once, without the timeout of the direct path.
         """
-        return self.is_behind_cut and path.answered_s < self.cut_since_s
+        return self.has_relay_only_path and path.answered_s < self.last_relay_only_s
 
 
 @dataclass(slots=True)
-class IsolationWatch:
+class IsolationDetector:
     """Whether any node answers this one.
 
     Attributes:
         relay_answered_s: time of the last answer of any relay.
         silent_since_s: time of the first failure since the last answer; ``None``: there is none.
-        farthest_s: longest expected round trip to a node that has failed since.
+        max_round_trip_s: longest expected round trip to a node that has failed since.
 
     """
 
     relay_answered_s: float = float("-inf")
     silent_since_s: float | None = None
-    farthest_s: float = 0.0
+    max_round_trip_s: float = 0.0
 
     def note_answer(self) -> None:
         """A node answered, or its machine refused the connection."""
@@ -149,20 +149,25 @@
         """A node gave no answer in time."""
         if self.silent_since_s is None:
             self.silent_since_s = now_s
-            self.farthest_s = 0.0
-        self.farthest_s = max(self.farthest_s, expected_round_trip_s)
+            self.max_round_trip_s = 0.0
+        self.max_round_trip_s = max(self.max_round_trip_s, expected_round_trip_s)
 
     def is_isolated(self, now_s: float) -> bool:
         """Whether neither targets nor relays have answered for a while."""
         if self.silent_since_s is None:
             return False
-        isolated_s = max(ISOLATED_S, ISOLATED_TRIPS * self.farthest_s)
-        has_relays = now_s - self.relay_answered_s < RELAY_SILENT_S + isolated_s
-        return now_s - self.silent_since_s > isolated_s and not has_relays
-
-
-def relay_order(
-    relays: Collection[Address], last: Address | None, good: Address | None, far: Collection[str]
+        isolation_timeout_s = max(
+            MIN_ISOLATION_TIMEOUT_S, ISOLATION_ROUND_TRIPS * self.max_round_trip_s
+        )
+        has_relays = now_s - self.relay_answered_s < RELAY_AVOIDANCE_S + isolation_timeout_s
+        return now_s - self.silent_since_s > isolation_timeout_s and not has_relays
+
+
+def rank_relays(
+    relays: Collection[Address],
+    last_for_target: Address | None,
+    last_good: Address | None,
+    far_hosts: Collection[str],
 ) -> list[Address]:
     """Which relay is tried first: the last that reached the target, the last that reached any.
 
@@ -171,9 +176,12 @@
 
     Args:
         relays: those that may be tried.
-        last: the one that reached the target last.
-        good: the one that reached any target last.
-        far: hosts of other regions.
+        last_for_target: the one that reached the target last.
+        last_good: the one that reached any target last.
+        far_hosts: hosts of other regions.
 
     """
-    return sorted(relays, key=lambda node: (node != last, node != good, node.host in far))
+    return sorted(
+        relays,
+        key=lambda node: (node != last_for_target, node != last_good, node.host in far_hosts),
+    )
--- a/src/bendshed/paths/relay_search.py
+++ b/src/bendshed/paths/relay_search.py
@@ -8,7 +8,7 @@
 
 from bendshed.model.address import Address
 from bendshed.paths.adaptive_timeout import AdaptiveTimeout
-from bendshed.paths.path_state import RELAY_SILENT_S, IsolationWatch, PathState, relay_order
+from bendshed.paths.path_state import RELAY_AVOIDANCE_S, IsolationDetector, PathState, rank_relays
 from bendshed.ports.transport import PeerUnreachable, Transport
 from bendshed.wire import catalog_pb2 as wire
 
@@ -51,7 +51,7 @@
         rng: random.Random,
         relays: Callable[[], list[Address]],
         adaptive_timeout: AdaptiveTimeout,
-        isolation: IsolationWatch,
+        isolation: IsolationDetector,
     ) -> None:
         self._transport = transport
         self._rng = rng
@@ -59,7 +59,7 @@
         self._adaptive_timeout = adaptive_timeout
         self._isolation = isolation
         self._silent_until_s: dict[Address, float] = {}
-        self._good_relay: Address | None = None
+        self._last_good_relay: Address | None = None
 
     async def find(
         self, path: PathState, peer: Address, method: str, payload: bytes, timeout_s: float
@@ -113,7 +113,7 @@
         )
         reply = await self._request(relay, request, relay_timeout_s)
         if reply is not None and reply.is_reached:
-            search.path.relay = self._good_relay = relay
+            search.path.last_relay = self._last_good_relay = relay
             return reply.payload
         search.path.note_relay_failed(relay, _now_s())
         search.num_unreached += reply is not None and not reply.is_cut_here
@@ -129,7 +129,7 @@
             )
         except PeerUnreachable as error:
             note_failure(self._isolation, error, self._adaptive_timeout, relay)
-            self._silent_until_s[relay] = _now_s() + RELAY_SILENT_S
+            self._silent_until_s[relay] = _now_s() + RELAY_AVOIDANCE_S
             return None
         self._isolation.note_relay_answer(_now_s())
         return wire.RelayReply.FromString(content)
@@ -142,16 +142,16 @@
             for node in self._relays()
             if node != peer
             and self._silent_until_s.get(node, 0.0) <= now_s
-            and path.may_request(node, now_s)
+            and path.may_use_relay(node, now_s)
         ]
         self._rng.shuffle(eligible)
         near = self._adaptive_timeout.host_locations
         far = {node.host for node in eligible if near.is_far(node.host)}
-        return relay_order(eligible, path.relay, self._good_relay, far)
+        return rank_relays(eligible, path.last_relay, self._last_good_relay, far)
 
 
 def note_failure(
-    isolation: IsolationWatch, error: PeerUnreachable, timeouts: AdaptiveTimeout, peer: Address
+    isolation: IsolationDetector, error: PeerUnreachable, timeouts: AdaptiveTimeout, peer: Address
 ) -> None:
     """Count a failed request; a refused connection is an answer of the peer's machine."""
     if error.is_silent:
--- a/src/bendshed/paths/relay_server.py
+++ b/src/bendshed/paths/relay_server.py
@@ -18,11 +18,11 @@
         self,
         transport: Transport,
         relayed_methods: frozenset[str],
-        is_cut: Callable[[Address], bool],
+        is_relay_only: Callable[[Address], bool],
     ) -> None:
         self._transport = transport
         self._relayed_methods = relayed_methods
-        self._is_cut = is_cut
+        self._is_relay_only = is_relay_only
         self._num_open = 0
         transport.handlers[RELAY_METHOD] = self._relay
 
@@ -30,7 +30,7 @@
         """Send a target directly what another node has for it."""
         request = wire.RelayRequest.FromString(payload)
         target = Address(request.target.host, request.target.port)
-        if self._is_cut(target):
+        if self._is_relay_only(target):
             return wire.RelayReply(is_cut_here=True).SerializeToString()
         is_known = request.method in self._relayed_methods
         if not is_known or self._num_open >= MAX_OPEN_RELAYS:
--- a/src/bendshed/paths/relayed.py
+++ b/src/bendshed/paths/relayed.py
@@ -12,7 +12,7 @@
 from bendshed.model.address import Address
 from bendshed.paths.adaptive_timeout import AdaptiveTimeout
 from bendshed.paths.host_locations import HostLocations
-from bendshed.paths.path_state import IsolationWatch, KnownPaths, PathState
+from bendshed.paths.path_state import IsolationDetector, KnownPaths, PathState
 from bendshed.paths.relay_search import RelaySearch, note_failure, spawn
 from bendshed.paths.relay_server import RelayServer
 from bendshed.ports.transport import PeerUnreachable, Transport
@@ -44,10 +44,10 @@
             transport.round_trip_s,
             host_locations if host_locations is not None else HostLocations(),
         )
-        self._isolation = IsolationWatch()
+        self._isolation = IsolationDetector()
         self._search = RelaySearch(transport, rng, relays, self._adaptive_timeout, self._isolation)
         self._paths = KnownPaths()
-        self._server = RelayServer(transport, relayed_methods, self.is_cut)
+        self._server = RelayServer(transport, relayed_methods, self.is_relay_only)
 
     @property
     def is_isolated(self) -> bool:
@@ -60,9 +60,9 @@
         """The round trip to a peer as measured, or what is usual at its distance."""
         return self._adaptive_timeout.expected_round_trip_s(peer)
 
-    def is_cut(self, peer: Address) -> bool:
+    def is_relay_only(self, peer: Address) -> bool:
         """Whether only relays reach a peer: a request must not wait there for news."""
-        return self._paths.is_cut(peer)
+        return self._paths.is_relay_only(peer)
 
     async def request(self, peer: Address, method: str, payload: bytes, timeout_s: float) -> bytes:
         """Send a request; raise ``PeerUnreachable`` when no path brings an answer in time."""
@@ -71,19 +71,21 @@
         until_s = now_s + timeout_s
         direct_timeout_s = self._adaptive_timeout.direct_timeout_s(peer, method, now_s)
         tasks: set[asyncio.Task[bytes]] = set()
-        if path.begin_direct(now_s):
+        if path.claim_direct_request(now_s):
             tasks.add(spawn(self._directly(path, peer, method, payload, timeout_s)))
         try:
-            if not path.is_cut and not self._paths.is_likely_cut(path):
+            if not path.is_relay_only and not self._paths.may_be_relay_only(path):
                 done, _ = await asyncio.wait(tasks, timeout=min(direct_timeout_s, timeout_s))
                 if done and not _failed(done):
                     return done.pop().result()
             now_s = asyncio.get_running_loop().time()
             left_s = until_s - now_s
             if left_s > 0 and path.may_relay(now_s, direct_timeout_s):
-                self.num_doubled += not path.is_cut and any(not task.done() for task in tasks)
+                self.num_doubled += not path.is_relay_only and any(
+                    not task.done() for task in tasks
+                )
                 tasks.add(spawn(self._indirectly(path, peer, method, payload, left_s)))
-            elif left_s > 0 and path.search is not None:
+            elif left_s > 0 and path.search_done is not None:
                 tasks.add(spawn(self._after_search(path, peer, method, payload, until_s)))
             return await _first_answer(tasks)
         finally:
@@ -102,8 +104,8 @@
         path.answered_s = asyncio.get_running_loop().time()
         self._adaptive_timeout.note(peer, method, path.answered_s - began_s, path.answered_s)
         self._isolation.note_answer()
-        if path.is_cut:
-            path.is_cut = False
+        if path.is_relay_only:
+            path.is_relay_only = False
             log.say("direct path in use again", peer=str(peer))
         return answer
 
@@ -111,36 +113,38 @@
         self, path: PathState, peer: Address, method: str, payload: bytes, timeout_s: float
     ) -> bytes:
         search = asyncio.Event()
-        if not path.is_cut:
-            path.search = search
+        if not path.is_relay_only:
+            path.search_done = search
         try:
             answer = await self._search.find(path, peer, method, payload, timeout_s)
         except PeerUnreachable as error:
-            path.note_unreached(asyncio.get_running_loop().time())
-            raise PeerUnreachable(str(error), is_silent=not self._paths.is_behind_cut) from error
+            path.note_unreachable(asyncio.get_running_loop().time())
+            raise PeerUnreachable(
+                str(error), is_silent=not self._paths.has_relay_only_path
+            ) from error
         else:
             self._note_relayed(path, peer)
         finally:
-            if path.search is search:
-                path.search = None
+            if path.search_done is search:
+                path.search_done = None
             search.set()
         return answer
 
     def _note_relayed(self, path: PathState, peer: Address) -> None:
         self.num_relayed += 1
-        if not path.is_cut:
-            path.is_cut = True
-            self._paths.cut_since_s = asyncio.get_running_loop().time()
+        if not path.is_relay_only:
+            path.is_relay_only = True
+            self._paths.last_relay_only_s = asyncio.get_running_loop().time()
             log.say("relayed path in use: direct path timed out", peer=str(peer))
 
     async def _after_search(
         self, path: PathState, peer: Address, method: str, payload: bytes, until_s: float
     ) -> bytes:
         """Another request searches for a relay already: use the one that it finds."""
-        if path.search is not None:
-            await path.search.wait()
+        if path.search_done is not None:
+            await path.search_done.wait()
         left_s = until_s - asyncio.get_running_loop().time()
-        if not path.is_cut or left_s <= 0:
+        if not path.is_relay_only or left_s <= 0:
             raise PeerUnreachable(f"no path to {peer} was found")
         return await self._indirectly(path, peer, method, payload, left_s)
 
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -123,7 +123,9 @@
         self, transport: Transport, place: NodePlace, times: CatalogTimes, rng: random.Random
     ) -> CatalogFollower:
         return CatalogFollower(
-            FollowerPaths(transport, self._requests, self.host_locations, self._requests.is_cut),
+            FollowerPaths(
+                transport, self._requests, self.host_locations, self._requests.is_relay_only
+            ),
             self.directory,
             _CatalogTaker(self),
             place.address,
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -11,7 +11,7 @@
     RELAY_MARGIN_S,
     RELAY_TARGET_SLACK_S,
 )
-from bendshed.paths.path_state import DIRECT_PROBE_S, ISOLATED_S
+from bendshed.paths.path_state import DIRECT_PROBE_S, MIN_ISOLATION_TIMEOUT_S
 from bendshed.paths.relay_search import RELAY_METHOD
 from bendshed.paths.relayed import RelayedRequests
 from bendshed.ports.transport import PeerUnreachable
@@ -98,15 +98,15 @@
         self.transports["second"].handlers[METHOD] = self.answer
         self.cut(("node", "target"), ("node", "second"), ("relay-1", "second"))
         self.wait_until(lambda: self.ask()[0] is not None)
-        found = self.ways["node"]._paths.get(self.at["target"]).relay
-        self.assertTrue(self.ways["node"].is_cut(self.at["target"]))
-        self.assertFalse(self.ways["node"].is_cut(self.at["second"]))
+        found = self.ways["node"]._paths.get(self.at["target"]).last_relay
+        self.assertTrue(self.ways["node"].is_relay_only(self.at["target"]))
+        self.assertFalse(self.ways["node"].is_relay_only(self.at["second"]))
         answer, took_s = self.ask(target="second")
         self.assertEqual(answer, b"heard x")
         self.assertLess(took_s, MIN_DIRECT_TIMEOUT_S)
-        self.assertTrue(self.ways["node"].is_cut(self.at["second"]))
+        self.assertTrue(self.ways["node"].is_relay_only(self.at["second"]))
         if found != self.at["relay-1"]:
-            self.assertEqual(self.ways["node"]._paths.get(self.at["second"]).relay, found)
+            self.assertEqual(self.ways["node"]._paths.get(self.at["second"]).last_relay, found)
 
     def test_a_relay_that_knows_its_own_cut_says_so_at_once_and_proves_nothing(self) -> None:
         cut_off = [f"relay-{number}" for number in (1, 2)]
@@ -114,7 +114,7 @@
         for name in cut_off:
             asking = self.ways[name].request(self.at["target"], METHOD, b"y", TIMEOUT_S)
             self.loop.run_until_complete(asking)
-            self.assertTrue(self.ways[name].is_cut(self.at["target"]))
+            self.assertTrue(self.ways[name].is_relay_only(self.at["target"]))
         answer, took_s = self.ask()
         self.assertEqual(answer, b"heard x")
         self.assertLess(took_s, MIN_DIRECT_TIMEOUT_S + 0.03)
@@ -150,7 +150,7 @@
     def test_when_the_relay_in_use_falls_dark_another_is_found_within_one_request(self) -> None:
         self.cut(("node", "target"))
         self.ask()
-        relay = self.ways["node"]._paths.get(self.at["target"]).relay
+        relay = self.ways["node"]._paths.get(self.at["target"]).last_relay
         assert relay is not None
         self.cut(("node", relay.host))
         answer, took_s = self.ask()
@@ -180,7 +180,7 @@
         self.assertFalse(self.is_isolated())
         self.cut(*(("node", name) for name in self.at if name != "node"))
         self.ask()
-        self.loop.run_until_complete(asyncio.sleep(ISOLATED_S))
+        self.loop.run_until_complete(asyncio.sleep(MIN_ISOLATION_TIMEOUT_S))
         self.assertTrue(self.is_isolated())
         self.network.cuts.clear()
         self.ask()
