--- a/src/bendshed/paths/relay_search.py
+++ b/src/bendshed/paths/relay_search.py
@@ -13,9 +13,9 @@
 from bendshed.wire import catalog_pb2 as wire
 
 RELAY_METHOD = "paths.relay"
-MAX_RELAYS_AT_ONCE = 2
+MAX_CONCURRENT_RELAYS = 2
 """Relays that one request tries at the same time: each may bring the target a copy of it."""
-MAX_UNREACHED = 2
+MAX_FAILED_RELAYS = 2
 """So many relays that do not reach a target prove that it is not this node that is cut off."""
 
 
@@ -25,7 +25,7 @@
 
     Attributes:
         until_s: loop time after which no answer helps.
-        num_unreached: relays that do not reach the target, and know of no cut of their own.
+        num_failed_relays: relays that do not reach the target, and know of no cut of their own.
 
     """
 
@@ -34,12 +34,12 @@
     method: str
     payload: bytes
     until_s: float
-    num_unreached: int = 0
+    num_failed_relays: int = 0
 
     @property
     def may_try_more(self) -> bool:
         """Whether the target may be well although some relays do not reach it."""
-        return self.num_unreached < MAX_UNREACHED
+        return self.num_failed_relays < MAX_FAILED_RELAYS
 
 
 class RelaySearch:
@@ -61,41 +61,41 @@
         self._silent_until_s: dict[Address, float] = {}
         self._last_good_relay: Address | None = None
 
-    async def find(
+    async def send(
         self, path: PathState, peer: Address, method: str, payload: bytes, timeout_s: float
     ) -> bytes:
         """Try one relay after the other, and a second one beside it when that takes too long."""
         until_s = asyncio.get_running_loop().time() + timeout_s
         search = _Search(path, peer, method, payload, until_s)
         candidates = self._candidates(path, peer)
-        trying: set[asyncio.Task[bytes]] = set()
-        num_at_once, late_s = 1, 0.0
+        pending: set[asyncio.Task[bytes]] = set()
+        max_concurrent, second_delay_s = 1, 0.0
         try:
             while True:
-                while candidates and len(trying) < num_at_once and search.may_try_more:
+                while candidates and len(pending) < max_concurrent and search.may_try_more:
                     relay = candidates.pop(0)
-                    late_s = self._adaptive_timeout.second_relay_delay_s(
+                    second_delay_s = self._adaptive_timeout.second_relay_delay_s(
                         relay, peer, method, _now_s()
                     )
-                    trying.add(spawn(self._through(relay, search)))
-                if not trying:
+                    pending.add(spawn(self._request_via(relay, search)))
+                if not pending:
                     break
-                may_add = candidates and len(trying) < MAX_RELAYS_AT_ONCE
-                done, trying = await asyncio.wait(
-                    trying,
-                    timeout=late_s if may_add else None,
+                may_add = candidates and len(pending) < MAX_CONCURRENT_RELAYS
+                done, pending = await asyncio.wait(
+                    pending,
+                    timeout=second_delay_s if may_add else None,
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 for task in done:
                     if task.exception() is None:
                         return task.result()
-                num_at_once = 1 if done else MAX_RELAYS_AT_ONCE
+                max_concurrent = 1 if done else MAX_CONCURRENT_RELAYS
         finally:
-            for task in trying:
+            for task in pending:
                 task.cancel()
         raise PeerUnreachable(f"no relay reaches {peer}")
 
-    async def _through(self, relay: Address, search: _Search) -> bytes:
+    async def _request_via(self, relay: Address, search: _Search) -> bytes:
         """Try one relay; raise ``PeerUnreachable`` unless it reaches the target in time."""
         now_s, peer, method = _now_s(), search.peer, search.method
         left_s = search.until_s - now_s
@@ -116,7 +116,7 @@
             search.path.last_relay = self._last_good_relay = relay
             return reply.payload
         search.path.note_relay_failed(relay, _now_s())
-        search.num_unreached += reply is not None and not reply.is_cut_here
+        search.num_failed_relays += reply is not None and not reply.is_cut_here
         raise PeerUnreachable(f"{relay} does not reach {peer}")
 
     async def _request(
@@ -145,8 +145,8 @@
             and path.may_use_relay(node, now_s)
         ]
         self._rng.shuffle(eligible)
-        near = self._adaptive_timeout.host_locations
-        far = {node.host for node in eligible if near.is_far(node.host)}
+        locations = self._adaptive_timeout.host_locations
+        far = {node.host for node in eligible if locations.is_far(node.host)}
         return rank_relays(eligible, path.last_relay, self._last_good_relay, far)
 
 
@@ -163,11 +163,11 @@
 def spawn(work: Coroutine[Any, Any, bytes]) -> "asyncio.Task[bytes]":
     """Start one path of a request; it may fail without being waited for."""
     task = asyncio.get_running_loop().create_task(work)
-    task.add_done_callback(_see_failure)
+    task.add_done_callback(_retrieve_exception)
     return task
 
 
-def _see_failure(task: "asyncio.Task[bytes]") -> None:
+def _retrieve_exception(task: "asyncio.Task[bytes]") -> None:
     """A path that was not waited for may fail; the loop must not report that."""
     if not task.cancelled():
         task.exception()
--- a/src/bendshed/paths/relayed.py
+++ b/src/bendshed/paths/relayed.py
@@ -72,7 +72,7 @@
         direct_timeout_s = self._adaptive_timeout.direct_timeout_s(peer, method, now_s)
         tasks: set[asyncio.Task[bytes]] = set()
         if path.claim_direct_request(now_s):
-            tasks.add(spawn(self._directly(path, peer, method, payload, timeout_s)))
+            tasks.add(spawn(self._request_directly(path, peer, method, payload, timeout_s)))
         try:
             if not path.is_relay_only and not self._paths.may_be_relay_only(path):
                 done, _ = await asyncio.wait(tasks, timeout=min(direct_timeout_s, timeout_s))
@@ -84,39 +84,39 @@
                 self.num_doubled += not path.is_relay_only and any(
                     not task.done() for task in tasks
                 )
-                tasks.add(spawn(self._indirectly(path, peer, method, payload, left_s)))
+                tasks.add(spawn(self._request_via_relay(path, peer, method, payload, left_s)))
             elif left_s > 0 and path.search_done is not None:
-                tasks.add(spawn(self._after_search(path, peer, method, payload, until_s)))
+                tasks.add(spawn(self._request_after_search(path, peer, method, payload, until_s)))
             return await _first_answer(tasks)
         finally:
             for task in tasks:
                 task.cancel()
 
-    async def _directly(
+    async def _request_directly(
         self, path: PathState, peer: Address, method: str, payload: bytes, timeout_s: float
     ) -> bytes:
-        began_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         try:
             answer = await self._transport.request(peer, method, payload, timeout_s)
         except PeerUnreachable as error:
             note_failure(self._isolation, error, self._adaptive_timeout, peer)
             raise
         path.answered_s = asyncio.get_running_loop().time()
-        self._adaptive_timeout.note(peer, method, path.answered_s - began_s, path.answered_s)
+        self._adaptive_timeout.note(peer, method, path.answered_s - started_s, path.answered_s)
         self._isolation.note_answer()
         if path.is_relay_only:
             path.is_relay_only = False
             log.say("direct path in use again", peer=str(peer))
         return answer
 
-    async def _indirectly(
+    async def _request_via_relay(
         self, path: PathState, peer: Address, method: str, payload: bytes, timeout_s: float
     ) -> bytes:
         search = asyncio.Event()
         if not path.is_relay_only:
             path.search_done = search
         try:
-            answer = await self._search.find(path, peer, method, payload, timeout_s)
+            answer = await self._search.send(path, peer, method, payload, timeout_s)
         except PeerUnreachable as error:
             path.note_unreachable(asyncio.get_running_loop().time())
             raise PeerUnreachable(
@@ -137,7 +137,7 @@
             self._paths.last_relay_only_s = asyncio.get_running_loop().time()
             log.say("relayed path in use: direct path timed out", peer=str(peer))
 
-    async def _after_search(
+    async def _request_after_search(
         self, path: PathState, peer: Address, method: str, payload: bytes, until_s: float
     ) -> bytes:
         """Another request searches for a relay already: use the one that it finds."""
@@ -146,7 +146,7 @@
         left_s = until_s - asyncio.get_running_loop().time()
         if not path.is_relay_only or left_s <= 0:
             raise PeerUnreachable(f"no path to {peer} was found")
-        return await self._indirectly(path, peer, method, payload, left_s)
+        return await self._request_via_relay(path, peer, method, payload, left_s)
 
 
 def _failed(done: "set[asyncio.Task[bytes]]") -> bool:
