--- a/src/bendshed/admission/budget_use.py
+++ b/src/bendshed/admission/budget_use.py
@@ -4,14 +4,14 @@
 from enum import StrEnum
 
 
-class Verdict(StrEnum):
+class BudgetStatus(StrEnum):
     """What a refused turn's budget says."""
 
     SPENT = "spent"
     """Ended turns have spent so much that the turn does not fit: the program ends."""
     RESERVED = "reserved"
     """Reservations hold the rest, and may be released unused: the turn may come back."""
-    HELD = "held"
+    SUFFICIENT = "held"
     """The budget holds the turn: the refusal rests on something else."""
 
 
@@ -34,7 +34,7 @@
             self.spent_tokens + other.spent_tokens, self.reserved_tokens + other.reserved_tokens
         )
 
-    def judge(self, most_tokens: int, budget_tokens: int) -> Verdict:
+    def status_for_turn(self, most_tokens: int, budget_tokens: int) -> BudgetStatus:
         """Say why a budget is short of a turn that generates up to ``most_tokens``.
 
         A reservation never makes a budget spent, however long it lasts: the turn may not have run,
@@ -42,7 +42,7 @@
         """
         left_tokens = budget_tokens - self.spent_tokens
         if left_tokens < most_tokens:
-            return Verdict.SPENT
+            return BudgetStatus.SPENT
         if left_tokens - self.reserved_tokens < most_tokens:
-            return Verdict.RESERVED
-        return Verdict.HELD
+            return BudgetStatus.RESERVED
+        return BudgetStatus.SUFFICIENT
--- a/src/bendshed/turns/codec.py
+++ b/src/bendshed/turns/codec.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from bendshed.admission.budget_use import BudgetUse, Verdict
+from bendshed.admission.budget_use import BudgetStatus, BudgetUse
 from bendshed.admission.standing_reservations import RETRY_AFTER_MS
 from bendshed.wire import turns_pb2 as wire
 
@@ -142,11 +142,11 @@
     return BudgetUse(reply.spent_tokens, reply.reserved_tokens)
 
 
-def apply_verdict(reply: wire.TurnReply, verdict: Verdict) -> None:
-    """Write into a refusal by the budget what it rests on; ``HELD`` leaves it as it is."""
-    if verdict is Verdict.SPENT:
+def apply_verdict(reply: wire.TurnReply, verdict: BudgetStatus) -> None:
+    """Write into a refusal by the budget what it rests on; ``SUFFICIENT`` leaves it as it is."""
+    if verdict is BudgetStatus.SPENT:
         reply.answer = wire.TURN_ANSWER_BUDGET_SPENT
-    elif verdict is Verdict.RESERVED:
+    elif verdict is BudgetStatus.RESERVED:
         reply.answer = wire.TURN_ANSWER_BUDGET_RESERVED
         reply.retry_after_ms = RETRY_AFTER_MS
 
--- a/src/bendshed/turns/shares.py
+++ b/src/bendshed/turns/shares.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from bendshed.admission.budget_use import BudgetUse, Verdict
+from bendshed.admission.budget_use import BudgetStatus, BudgetUse
 from bendshed.logs import PartLog
 from bendshed.placement.groups import TurnGroups
 from bendshed.turns.codec import budget_use_of
@@ -36,16 +36,16 @@
     has_all: bool
     elsewhere: BudgetUse
 
-    def judge(self, begin: wire.BeginTurn, reply: wire.TurnReply) -> Verdict:
+    def judge(self, begin: wire.BeginTurn, reply: wire.TurnReply) -> BudgetStatus:
         """Why this group's share is short of a turn, by what all groups together use.
 
-        ``HELD``: by none of them. Tokens that groups take from each other at once are on their way,
-        and for a moment no group holds them; a group that is silent may hold them too.
+        ``SUFFICIENT``: by none of them. Tokens that groups take from each other at once are on
+        their way, and for a moment no group holds them; a group that is silent may hold them too.
         """
         if not self.has_all:
-            return Verdict.HELD
+            return BudgetStatus.SUFFICIENT
         used = budget_use_of(reply) + self.elsewhere
-        return used.judge(begin.most_tokens, begin.budget_tokens)
+        return used.status_for_turn(begin.most_tokens, begin.budget_tokens)
 
 
 class ShareGatherer:
--- a/tests/site_budget_defects.py
+++ b/tests/site_budget_defects.py
@@ -3,7 +3,7 @@
 import contextlib
 from unittest import mock
 
-from bendshed.admission.budget_use import BudgetUse, Verdict
+from bendshed.admission.budget_use import BudgetStatus, BudgetUse
 from bendshed.rehearsal.site.documents import WIDE
 from bendshed.rehearsal.site.layout import TWO_REGIONS_WITH_TENANTS
 from bendshed.rehearsal.site.oracle import Rule, Violation
@@ -304,22 +304,22 @@
         return [*ask_again(site, stored), *site.settle()]
 
 
-def reservations_are_spent(use: BudgetUse, most_tokens: int, budget_tokens: int) -> Verdict:
+def reservations_are_spent(use: BudgetUse, most_tokens: int, budget_tokens: int) -> BudgetStatus:
     """What is reserved counts as spent."""
     left_tokens = budget_tokens - use.spent_tokens - use.reserved_tokens
-    return Verdict.SPENT if left_tokens < most_tokens else Verdict.HELD
+    return BudgetStatus.SPENT if left_tokens < most_tokens else BudgetStatus.SUFFICIENT
 
 
 BUDGET_DEFECTS: dict[str, Defect] = {
     "reservations count as spent": Defect(
         Rule.SPENT,
         a_program_asks_before_its_begins_are_withdrawn,
-        patch(BudgetUse, "judge", reservations_are_spent),
+        patch(BudgetUse, "status_for_turn", reservations_are_spent),
     ),
     "reservations of the other region count as spent": Defect(
         Rule.SPENT,
         reserved_in_the_other_region,
-        patch(BudgetUse, "judge", reservations_are_spent),
+        patch(BudgetUse, "status_for_turn", reservations_are_spent),
     ),
     "the end of a turn that was not served is dropped": Defect(
         Rule.RELEASED,
--- a/tests/test_budget_use.py
+++ b/tests/test_budget_use.py
@@ -11,7 +11,7 @@
 
 import unittest
 
-from bendshed.admission.budget_use import BudgetUse, Verdict
+from bendshed.admission.budget_use import BudgetStatus, BudgetUse
 from bendshed.turns.shares import GatheredShares
 from bendshed.wire import turns_pb2 as wire
 
@@ -20,37 +20,37 @@
 
 
 class BudgetUseTest(unittest.TestCase):
-    def judge(self, spent: int, reserved: int) -> Verdict:
-        return BudgetUse(spent, reserved).judge(MOST, BUDGET)
+    def judge(self, spent: int, reserved: int) -> BudgetStatus:
+        return BudgetUse(spent, reserved).status_for_turn(MOST, BUDGET)
 
     def test_only_spent_tokens_make_a_budget_spent(self) -> None:
-        self.assertEqual(self.judge(spent=21, reserved=0), Verdict.SPENT)
-        self.assertEqual(self.judge(spent=20, reserved=0), Verdict.HELD)
-        self.assertEqual(self.judge(spent=20, reserved=1), Verdict.RESERVED)
-        self.assertEqual(self.judge(spent=0, reserved=30), Verdict.RESERVED)
+        self.assertEqual(self.judge(spent=21, reserved=0), BudgetStatus.SPENT)
+        self.assertEqual(self.judge(spent=20, reserved=0), BudgetStatus.SUFFICIENT)
+        self.assertEqual(self.judge(spent=20, reserved=1), BudgetStatus.RESERVED)
+        self.assertEqual(self.judge(spent=0, reserved=30), BudgetStatus.RESERVED)
 
     def test_a_budget_below_one_turn_is_spent(self) -> None:
-        self.assertEqual(BudgetUse().judge(MOST, MOST - 1), Verdict.SPENT)
+        self.assertEqual(BudgetUse().status_for_turn(MOST, MOST - 1), BudgetStatus.SPENT)
 
 
 class GatheredSharesTest(unittest.TestCase):
     """A turn that one group's share does not hold, by what all groups use."""
 
-    def judge(self, here: BudgetUse, elsewhere: BudgetUse, has_all: bool = True) -> Verdict:
+    def judge(self, here: BudgetUse, elsewhere: BudgetUse, has_all: bool = True) -> BudgetStatus:
         begin = wire.BeginTurn(most_tokens=MOST, budget_tokens=BUDGET)
         reply = wire.TurnReply(spent_tokens=here.spent_tokens, reserved_tokens=here.reserved_tokens)
         return GatheredShares(has_all, elsewhere).judge(begin, reply)
 
     def test_what_is_spent_in_all_groups_counts(self) -> None:
-        self.assertEqual(self.judge(BudgetUse(11, 0), BudgetUse(10, 0)), Verdict.SPENT)
+        self.assertEqual(self.judge(BudgetUse(11, 0), BudgetUse(10, 0)), BudgetStatus.SPENT)
 
     def test_what_is_reserved_in_any_group_does_not(self) -> None:
-        self.assertEqual(self.judge(BudgetUse(10, 0), BudgetUse(0, 11)), Verdict.RESERVED)
-        self.assertEqual(self.judge(BudgetUse(0, 11), BudgetUse(10, 0)), Verdict.RESERVED)
+        self.assertEqual(self.judge(BudgetUse(10, 0), BudgetUse(0, 11)), BudgetStatus.RESERVED)
+        self.assertEqual(self.judge(BudgetUse(0, 11), BudgetUse(10, 0)), BudgetStatus.RESERVED)
 
     def test_tokens_on_their_way_between_groups_count_for_none(self) -> None:
-        self.assertEqual(self.judge(BudgetUse(10, 0), BudgetUse(10, 0)), Verdict.HELD)
+        self.assertEqual(self.judge(BudgetUse(10, 0), BudgetUse(10, 0)), BudgetStatus.SUFFICIENT)
 
     def test_nothing_is_said_while_a_group_is_silent(self) -> None:
         silent = self.judge(BudgetUse(11, 0), BudgetUse(), has_all=False)
-        self.assertEqual(silent, Verdict.HELD)
+        self.assertEqual(silent, BudgetStatus.SUFFICIENT)
