--- a/src/bendshed/admission/cold_permits.py
+++ b/src/bendshed/admission/cold_permits.py
@@ -12,11 +12,12 @@
 - any other a quarter, and one that does not hear a majority nothing.
 
 Two established leaders cannot meet in one second. The later one's term began after the earlier one
-last heard its majority, so the earlier one's permits end within ``STALE_S`` (a leader notices the
-loss within 0.25 s, a frozen one when it wakes) plus ``PERMIT_VALID_S``, and the later one is
-established more than a second after: ``ESTABLISHED_S > 1 + PERMIT_VALID_S + STALE_S``. So one
-second holds at most one half and the quarters of two more leaders: the leader may change twice
-within it. A leader that was frozen or cut off starts as a new one, with a quarter.
+last heard its majority, so the earlier one's permits end within ``MAX_STALE_LEADER_S`` (a leader
+notices the loss within 0.25 s, a frozen one when it wakes) plus ``PERMIT_VALID_S``, and the later
+one is established more than a second after: ``ESTABLISHED_S > 1 + PERMIT_VALID_S +
+MAX_STALE_LEADER_S``. So one second holds at most one half and the quarters of two more leaders: the
+leader may change twice within it. A leader that was frozen or cut off starts as a new one, with a
+quarter.
 
 What is not permitted of the half is room for dispatches of nodes that have not yet received that a
 warm runner turned cold. With several groups of the turn log each leader has its part of the bound.
@@ -33,7 +34,7 @@
 WINDOW_MS = 1_000 + int(1000 * PERMIT_VALID_S)
 """Span over which permits are counted, in milliseconds: the second of the bound, and the
 validity."""
-STALE_S = 0.5
+MAX_STALE_LEADER_S = 0.5
 """Longest time, in seconds, for which a replaced leader may still give permits. Used by the proof
 above, and by the test that checks its inequality."""
 ESTABLISHED_S = 2.0
@@ -42,7 +43,7 @@
 """Share of the bound that an established leader may permit."""
 NEW_LEADER_SHARE = 0.25
 """Share of the bound that any other leader may permit."""
-LOOK_GAP_S = 0.25
+MAX_UPDATE_GAP_S = 0.25
 """Time, in seconds, without a look after which a process may have been replaced unnoticed: an
 election starts 0.25 s after the leader's last heartbeat."""
 NEW_PROGRAM_SHARE = 0.8
@@ -54,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class LeaderTouch:
+class LeadershipTracker:
     """Since when a process has led without a gap in hearing its majority.
 
     Attributes:
@@ -64,27 +65,28 @@
 
     since_s: float | None = None
     _term: int = -1
-    _looked_s: float = float("-inf")
+    _updated_s: float = float("-inf")
 
-    def look(self, term: int, has_majority: bool, now_s: float) -> None:
-        """Note what the group reports now; after a gap of ``LOOK_GAP_S`` it starts as a new leader.
+    def update(self, term: int, has_majority: bool, now_s: float) -> None:
+        """Note what the group reports now; after a gap of ``MAX_UPDATE_GAP_S`` it starts as a new
+        leader.
 
         Args:
             term: of the leader.
-            hears_majority: whether it leads, and a majority replies.
+            has_majority: whether it leads, and a majority replies.
             now_s: steady time.
 
         """
-        is_continued = now_s - self._looked_s <= LOOK_GAP_S and term == self._term
+        is_continued = now_s - self._updated_s <= MAX_UPDATE_GAP_S and term == self._term
         if not has_majority:
             self.since_s = None
         elif not is_continued or self.since_s is None:
             self.since_s = now_s
-        self._term, self._looked_s = term, now_s
+        self._term, self._updated_s = term, now_s
 
     def share(self, now_s: float) -> float:
         """Share of the bound that may be permitted now."""
-        if self.since_s is None or now_s - self._looked_s > LOOK_GAP_S:
+        if self.since_s is None or now_s - self._updated_s > MAX_UPDATE_GAP_S:
             return 0.0
         return ESTABLISHED_SHARE if now_s - self.since_s >= ESTABLISHED_S else NEW_LEADER_SHARE
 
@@ -101,26 +103,28 @@
 
     terms: ColdTerms = field(default_factory=ColdTerms)
     num_leaders: int = 1
-    touch: LeaderTouch = field(default_factory=LeaderTouch)
+    leadership: LeadershipTracker = field(default_factory=LeadershipTracker)
     _granted: dict[str, SlidingCount] = field(default_factory=dict)
 
-    def most(self, cold_per_s: float, is_new_program: bool, now_s: float) -> int:
+    def max_permits(self, cold_per_s: float, is_new_program: bool, now_s: float) -> int:
         """Most permits for one runner within a window; fewer for requests of new programs."""
-        share = self.touch.share(now_s) / self.num_leaders
-        most = int(share * self.terms.most_per_s(cold_per_s))
-        if not is_new_program or not most:
-            return most
-        return max(1, int(NEW_PROGRAM_SHARE * most))
+        share = self.leadership.share(now_s) / self.num_leaders
+        max_permits = int(share * self.terms.most_per_s(cold_per_s))
+        if not is_new_program or not max_permits:
+            return max_permits
+        return max(1, int(NEW_PROGRAM_SHARE * max_permits))
 
     def num_granted(self, runner_id: str, now_s: float) -> int:
         """Permits given within the window that ends now."""
         counts = self._granted.get(runner_id)
         return counts.in_window(_ms(now_s), WINDOW_MS) if counts is not None else 0
 
-    def room(self, runner_id: str, cold_per_s: float, is_new_program: bool, now_s: float) -> int:
+    def num_available(
+        self, runner_id: str, cold_per_s: float, is_new_program: bool, now_s: float
+    ) -> int:
         """Permits that may still be given now; 0 or less: none."""
-        most = self.most(cold_per_s, is_new_program, now_s)
-        return most - self.num_granted(runner_id, now_s)
+        max_permits = self.max_permits(cold_per_s, is_new_program, now_s)
+        return max_permits - self.num_granted(runner_id, now_s)
 
     def grant(self, runner_id: str, now_s: float) -> None:
         """Count one permit."""
@@ -130,12 +134,12 @@
 
     def wait_ms(self, runner_id: str, cold_per_s: float, is_new_program: bool, now_s: float) -> int:
         """Time until one more permit may be given for a runner, in milliseconds."""
-        most = self.most(cold_per_s, is_new_program, now_s)
-        excess = self.num_granted(runner_id, now_s) + 1 - most
+        max_permits = self.max_permits(cold_per_s, is_new_program, now_s)
+        excess = self.num_granted(runner_id, now_s) + 1 - max_permits
         if excess <= 0:
             return 0
         counts = self._granted.get(runner_id)
-        if most <= 0 or counts is None:
+        if max_permits <= 0 or counts is None:
             return WINDOW_MS
         return counts.wait_ms(_ms(now_s), WINDOW_MS, excess)
 
--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -143,7 +143,7 @@
 
     def _room(self, runner: ServiceRunner, request: PermitRequest, now_s: float) -> int:
         rate = self.tracker.rate_of(runner.runner_id)
-        return self.grants.room(runner.runner_id, rate, request.is_new_program, now_s)
+        return self.grants.num_available(runner.runner_id, rate, request.is_new_program, now_s)
 
     def least_loaded(
         self,
@@ -180,7 +180,7 @@
             runner=runner_id,
             is_new_program=request.is_new_program,
             granted=self.grants.num_granted(runner_id, now_s),
-            most=self.grants.most(self.tracker.rate_of(runner_id), False, now_s),
+            most=self.grants.max_permits(self.tracker.rate_of(runner_id), False, now_s),
             cold_for_ms=self.tracker.left_ms(runner_id),
         )
         return Placement(runner_id, PERMIT_MS)
@@ -202,7 +202,7 @@
             request=request.request_id,
             is_new_program=request.is_new_program,
             runners=len(runners),
-            share=self.grants.touch.share(now_s),
+            share=self.grants.leadership.share(now_s),
             retry_after_ms=retry_ms,
         )
         return Placement(retry_after_ms=retry_ms)
@@ -217,7 +217,7 @@
         rates = {runner.runner_id: self.tracker.rate_of(runner.runner_id) for runner in runners}
         is_new = request.is_new_program
         least_ms = min(self.grants.wait_ms(r, rate, is_new, now_s) for r, rate in rates.items())
-        per_window = sum(self.grants.most(rate, is_new, now_s) for rate in rates.values())
+        per_window = sum(self.grants.max_permits(rate, is_new, now_s) for rate in rates.values())
         return cold_retry_after_ms(least_ms, num_before, per_window, WINDOW_MS)
 
     def _note_rejected(self, request_id: str, retry_ms: int, now_s: float) -> None:
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -48,7 +48,7 @@
 """Pause between two looks for begins that this process did not answer."""
 LOOK_S = 0.1
 """Pause between two checks whether this process still hears a majority; below the gap after which
-permits stop (``cold_permits.LOOK_GAP_S``, 0.25 s)."""
+permits stop (``cold_permits.MAX_UPDATE_GAP_S``, 0.25 s)."""
 
 SendToGroup = Callable[[wire.TurnCommand, float], Awaitable[wire.TurnReply | None]]
 """Commits a command in its group at another process; ``None``: no leader answered in time."""
@@ -299,7 +299,7 @@
             for number, group in self._host.groups.items()
             if group.replica.is_ready_leader and group.replica.has_majority
         ]
-        self._placement.cold.grants.touch.look(min(terms, default=0), bool(terms), now_s)
+        self._placement.cold.grants.leadership.update(min(terms, default=0), bool(terms), now_s)
         return now_s
 
     def _take_report(self, command: wire.TurnCommand) -> None:
--- a/tests/site_cold_defects.py
+++ b/tests/site_cold_defects.py
@@ -1,6 +1,6 @@
 """Planted defects around cold runners, and scenarios that must catch them."""
 
-from bendshed.admission.cold_permits import LeaderTouch
+from bendshed.admission.cold_permits import LeadershipTracker
 from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
 from bendshed.model.permit import TimedPermit
 from bendshed.model.runner import ServiceRunner
@@ -80,7 +80,7 @@
         return site.settle()
 
 
-def _whole_share(_touch: LeaderTouch, _now_s: float) -> float:
+def _whole_share(_touch: LeadershipTracker, _now_s: float) -> float:
     return 1.0
 
 
@@ -103,7 +103,7 @@
 
 COLD_DEFECTS: dict[str, Defect] = {
     "each leader grants the whole bound": Defect(
-        Rule.COLD, all_cold_while_leaders_change, patch(LeaderTouch, "share", _whole_share)
+        Rule.COLD, all_cold_while_leaders_change, patch(LeadershipTracker, "share", _whole_share)
     ),
     "a front without a word goes on": Defect(
         Rule.COLD, all_cold_while_fronts_are_cut, patch(PermitClient, "ask", _request_no_one)
--- a/tests/test_cold_runners.py
+++ b/tests/test_cold_runners.py
@@ -9,12 +9,12 @@
 
 from bendshed.admission.cold_permits import (
     ESTABLISHED_S,
-    LOOK_GAP_S,
+    MAX_STALE_LEADER_S,
+    MAX_UPDATE_GAP_S,
     PERMIT_VALID_S,
-    STALE_S,
     WINDOW_MS,
     ColdPermitCounts,
-    LeaderTouch,
+    LeadershipTracker,
 )
 from bendshed.model.address import Address
 from bendshed.model.runner import RunnerState, ServiceRunner
@@ -126,8 +126,8 @@
     def lead(self, from_s: float, to_s: float, rng: random.Random, term: int) -> None:
         at_s = from_s
         while at_s < to_s:
-            self.grants.touch.look(term, has_majority=True, now_s=at_s)
-            if self.grants.room("r", COLD_PER_S, False, at_s) > 0:
+            self.grants.leadership.update(term, has_majority=True, now_s=at_s)
+            if self.grants.num_available("r", COLD_PER_S, False, at_s) > 0:
                 self.grants.grant("r", at_s)
                 self.sent_s.append(at_s + rng.uniform(0, PERMIT_VALID_S))
             at_s += rng.uniform(0.001, 0.02)
@@ -140,26 +140,26 @@
 
 class ColdGrantsTest(unittest.TestCase):
     def test_the_times_bear_the_shares(self) -> None:
-        self.assertGreater(ESTABLISHED_S, 1 + PERMIT_VALID_S + STALE_S)
+        self.assertGreater(ESTABLISHED_S, 1 + PERMIT_VALID_S + MAX_STALE_LEADER_S)
         self.assertEqual(WINDOW_MS, 1000 * (1 + PERMIT_VALID_S))
 
     def test_an_established_leader_grants_half_and_a_new_one_a_quarter(self) -> None:
         grants = ColdPermitCounts(TERMS)
-        grants.touch.look(1, True, 0.0)
-        self.assertEqual(grants.most(COLD_PER_S, False, 0.1), int(BOUND / 4))
+        grants.leadership.update(1, True, 0.0)
+        self.assertEqual(grants.max_permits(COLD_PER_S, False, 0.1), int(BOUND / 4))
         for tenth in range(1, 30):
-            grants.touch.look(1, True, tenth / 10)
-        self.assertEqual(grants.most(COLD_PER_S, False, 2.9), int(BOUND / 2))
-        halved = ColdPermitCounts(TERMS, num_leaders=2, touch=grants.touch)
-        self.assertEqual(halved.most(COLD_PER_S, False, 2.9), int(BOUND / 4))
+            grants.leadership.update(1, True, tenth / 10)
+        self.assertEqual(grants.max_permits(COLD_PER_S, False, 2.9), int(BOUND / 2))
+        halved = ColdPermitCounts(TERMS, num_leaders=2, leadership=grants.leadership)
+        self.assertEqual(halved.max_permits(COLD_PER_S, False, 2.9), int(BOUND / 4))
 
     def test_programs_under_way_have_room_that_new_ones_have_not(self) -> None:
         grants = ColdPermitCounts(TERMS)
-        grants.touch.look(1, True, 0.0)
-        while grants.room("r", COLD_PER_S, True, 0.1) > 0:
+        grants.leadership.update(1, True, 0.0)
+        while grants.num_available("r", COLD_PER_S, True, 0.1) > 0:
             grants.grant("r", 0.1)
         self.assertGreater(grants.wait_ms("r", COLD_PER_S, True, 0.1), 0)
-        self.assertGreater(grants.room("r", COLD_PER_S, False, 0.1), 0)
+        self.assertGreater(grants.num_available("r", COLD_PER_S, False, 0.1), 0)
         self.assertEqual(grants.wait_ms("r", COLD_PER_S, False, 0.1), 0)
 
     @settings(max_examples=100)
@@ -178,7 +178,7 @@
         """Each that was replaced goes on granting for a while beside its successors."""
         rng = random.Random(seed)
         began_s = [0.0, 4.0 + min(first_s, second_s), 4.0 + max(first_s, second_s)]
-        ended_s = [began_s[1] + STALE_S, began_s[2] + STALE_S, 9.0]
+        ended_s = [began_s[1] + MAX_STALE_LEADER_S, began_s[2] + MAX_STALE_LEADER_S, 9.0]
         reigns = [Reign(), Reign(), Reign()]
         for term, reign in enumerate(reigns):
             reign.lead(began_s[term], ended_s[term], rng, term)
@@ -189,10 +189,10 @@
         rng = random.Random(5)
         frozen, second, third = Reign(), Reign(), Reign()
         frozen.lead(0.0, 5.0, rng, term=1)
-        second.lead(5.4, 8.0 + STALE_S, rng, term=2)
+        second.lead(5.4, 8.0 + MAX_STALE_LEADER_S, rng, term=2)
         third.lead(8.0, 12.0, rng, term=3)
-        self.assertEqual(frozen.grants.touch.share(8.1), 0.0)
-        frozen.lead(8.1, 8.1 + STALE_S, rng, term=1)
+        self.assertEqual(frozen.grants.leadership.share(8.1), 0.0)
+        frozen.lead(8.1, 8.1 + MAX_STALE_LEADER_S, rng, term=1)
         sent_s = [*frozen.sent_s, *second.sent_s, *third.sent_s]
         self.assertLessEqual(most_in_a_second(sent_s), BOUND)
 
@@ -200,9 +200,9 @@
         reign = Reign()
         reign.lead(0.0, 3.0, random.Random(1), term=1)
         before = reign.grants.num_granted("r", 3.0)
-        reign.grants.touch.look(3, True, 3.05)
+        reign.grants.leadership.update(3, True, 3.05)
         self.assertEqual(reign.grants.num_granted("r", 3.0), before)
-        self.assertLessEqual(reign.grants.room("r", COLD_PER_S, False, 3.05), 0)
+        self.assertLessEqual(reign.grants.num_available("r", COLD_PER_S, False, 3.05), 0)
 
     def test_grants_take_bounded_memory(self) -> None:
         grants = ColdPermitCounts(TERMS)
@@ -219,21 +219,21 @@
         self.assertEqual(grants._granted, {})
 
 
-class LeaderTouchTest(unittest.TestCase):
+class LeadershipTrackerTest(unittest.TestCase):
     def test_without_a_majority_nothing_may_be_granted(self) -> None:
-        touch = LeaderTouch()
-        self.assertEqual(touch.share(0.0), 0.0)
-        touch.look(1, True, 0.0)
-        touch.look(1, False, 0.1)
-        self.assertEqual(touch.share(0.1), 0.0)
-        touch.look(1, True, 0.2)
-        self.assertEqual(touch.share(0.2), 0.25)
+        leadership = LeadershipTracker()
+        self.assertEqual(leadership.share(0.0), 0.0)
+        leadership.update(1, True, 0.0)
+        leadership.update(1, False, 0.1)
+        self.assertEqual(leadership.share(0.1), 0.0)
+        leadership.update(1, True, 0.2)
+        self.assertEqual(leadership.share(0.2), 0.25)
 
     def test_a_process_that_did_not_run_grants_nothing_until_it_has_looked(self) -> None:
-        touch = LeaderTouch()
+        leadership = LeadershipTracker()
         for tenth in range(40):
-            touch.look(1, True, tenth / 10)
-        self.assertEqual(touch.share(3.95), 0.5)
-        self.assertEqual(touch.share(3.9 + LOOK_GAP_S + 0.1), 0.0)
-        touch.look(1, True, 5.0)
-        self.assertEqual(touch.share(5.0), 0.25)
+            leadership.update(1, True, tenth / 10)
+        self.assertEqual(leadership.share(3.95), 0.5)
+        self.assertEqual(leadership.share(3.9 + MAX_UPDATE_GAP_S + 0.1), 0.0)
+        leadership.update(1, True, 5.0)
+        self.assertEqual(leadership.share(5.0), 0.25)
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -147,7 +147,7 @@
         until_s = self.clock.now_s + seconds
         while self.clock.now_s < until_s:
             self.clock.now_s += 0.05
-            self.advice.cold.grants.touch.look(1, True, self.clock.now_s)
+            self.advice.cold.grants.leadership.update(1, True, self.clock.now_s)
 
     def preview(self, is_new: bool) -> wire.TurnReply:
         self.num_turns += 1
@@ -243,7 +243,7 @@
         self.assertEqual(refused, 0)
 
     def test_a_leader_that_hears_no_majority_permits_nothing(self) -> None:
-        self.advice.cold.grants.touch.look(1, False, self.clock.now_s)
+        self.advice.cold.grants.leadership.update(1, False, self.clock.now_s)
         self.assertFalse(self.preview(is_new=False).permit_ms)
         self.assertGreater(self.place().retry_after_ms, 0)
 
@@ -264,7 +264,7 @@
         for one in self.pool:
             tracker.put(one)
         self.cold = ColdAdmission(tracker, TERMS, TurnLogMetrics(CollectorRegistry()))
-        self.cold.grants.touch.look(1, True, -10.0)
+        self.cold.grants.leadership.update(1, True, -10.0)
         self.rng = random.Random(1)
 
     def arrivals(self) -> list[tuple[float, int, int]]:
@@ -279,9 +279,9 @@
 
     def ask(self, program: int, left: int, now_s: float) -> bool:
         """Whether a turn may go."""
-        while self.cold.grants.touch._looked_s < now_s:
-            looked_s = self.cold.grants.touch._looked_s
-            self.cold.grants.touch.look(1, True, min(now_s, looked_s + 0.1))
+        while self.cold.grants.leadership._updated_s < now_s:
+            looked_s = self.cold.grants.leadership._updated_s
+            self.cold.grants.leadership.update(1, True, min(now_s, looked_s + 0.1))
         is_new = left == self.TURNS
         ask = PermitRequest(f"t{program}.{left}", f"p{program}", is_new)
         openings = self.cold.openings(self.pool, ask, now_s)
