--- a/src/bendshed/admission/program_budget.py
+++ b/src/bendshed/admission/program_budget.py
@@ -16,7 +16,7 @@
 """Stands for begins that carry no number: nobody can tell which of them were answered."""
 
 
-def first_share(budget_tokens: int, group_id: int, num_groups: int) -> int:
+def initial_share(budget_tokens: int, group_id: int, num_groups: int) -> int:
     """Tokens of a budget that a group may spend before it has taken over any other share."""
     if num_groups <= 1:
         return budget_tokens
@@ -68,20 +68,20 @@
 
     def spare_tokens(self, budget_tokens: int, group_id: int, num_groups: int) -> int:
         """What the group holds of a budget and has neither spent nor reserved."""
-        held = first_share(budget_tokens, group_id, num_groups)
+        held = initial_share(budget_tokens, group_id, num_groups)
         held += sum(self.taken.values()) - sum(self.released.values())
         return held - self.used_tokens
 
-    def holds(self, begin: wire.BeginTurn, group_id: int, num_turns: int = 1) -> bool:
+    def can_reserve(self, begin: wire.BeginTurn, group_id: int, num_turns: int = 1) -> bool:
         """Whether the group's share holds ``num_turns`` more turns like this one."""
         if not begin.has_budget:
             return True
-        spare = self.spare_tokens(begin.budget_tokens, group_id, begin.num_groups)
-        return spare >= num_turns * begin.most_tokens
+        available = self.spare_tokens(begin.budget_tokens, group_id, begin.num_groups)
+        return available >= num_turns * begin.most_tokens
 
     def reserve(self, begin: wire.BeginTurn, group_id: int) -> bool:
         """Reserve a turn's worst case; ``False``: the group's share does not hold it."""
-        if not self.holds(begin, group_id):
+        if not self.can_reserve(begin, group_id):
             return False
         self.reserved[begin.turn_id] = begin.most_tokens
         return True
@@ -90,23 +90,23 @@
         """Remember which begin was granted; several may be of the same turn."""
         self.granted.setdefault(begin.turn_id, set()).add(begin.proposal)
 
-    def surely_holds(self, begin: wire.BeginTurn, group_id: int, num_turns: int) -> bool:
+    def has_headroom(self, begin: wire.BeginTurn, group_id: int, num_turns: int) -> bool:
         """Whether turns that begin at the same time can hardly use up what this one needs.
 
         Until the other groups' shares were taken over, this group's need not hold more than the
         turn itself: if it runs short by then, theirs are taken.
         """
-        if self.holds(begin, group_id, num_turns):
+        if self.can_reserve(begin, group_id, num_turns):
             return True
         used = self.used_tokens + num_turns * begin.most_tokens
         may_take = begin.num_groups > 1 and not self.shares_taken_ms
-        return may_take and used <= begin.budget_tokens and self.holds(begin, group_id)
+        return may_take and used <= begin.budget_tokens and self.can_reserve(begin, group_id)
 
-    def is_spent(self, begin: wire.BeginTurn) -> bool:
+    def exceeds_budget(self, begin: wire.BeginTurn) -> bool:
         """Whether the whole budget, with all groups' shares, does not hold the turn."""
         return self.used_tokens + begin.most_tokens > begin.budget_tokens
 
-    def main_receiver(self) -> int | None:
+    def largest_receiver(self) -> int | None:
         """Group that has got the most of this one's share; ``None``: it has given none away."""
         given = {
             group: tokens - self.taken.get(group, 0) for group, tokens in self.released.items()
@@ -116,12 +116,12 @@
 
     def release(self, request: wire.ReleaseShare, group_id: int) -> int:
         """Give up what is neither spent nor reserved; return what that group got in all."""
-        spare = self.spare_tokens(request.budget_tokens, group_id, request.num_groups)
-        released = self.released.get(request.to_group, 0) + max(0, spare)
+        available = self.spare_tokens(request.budget_tokens, group_id, request.num_groups)
+        released = self.released.get(request.to_group, 0) + max(0, available)
         self.released[request.to_group] = released
         return released
 
-    def take(self, share: wire.TakeShare) -> None:
+    def take_over_share(self, share: wire.TakeShare) -> None:
         """Count what another group has given up; its total only rises, so repeats count once."""
         known = self.taken.get(share.from_group, 0)
         self.taken[share.from_group] = max(known, share.released_tokens)
@@ -165,7 +165,7 @@
         )
 
     @classmethod
-    def of_wire(cls, row: wire.ProgramBudget) -> "ProgramBudget":
+    def from_wire(cls, row: wire.ProgramBudget) -> "ProgramBudget":
         """Read it from a snapshot; one without shares is of a turn log with one group."""
         return cls(
             row.spent_tokens,
--- a/src/bendshed/turns/state.py
+++ b/src/bendshed/turns/state.py
@@ -94,7 +94,7 @@
         self.clock_ms = snapshot.clock_ms
         self.turns = {(row.tenant, row.turn_id): StoredTurn.of_wire(row) for row in snapshot.turns}
         self.programs = {
-            (row.tenant, row.program_id): ProgramBudget.of_wire(row) for row in snapshot.programs
+            (row.tenant, row.program_id): ProgramBudget.from_wire(row) for row in snapshot.programs
         }
         self.usage = UsageWindows.of_snapshot(snapshot)
 
@@ -125,7 +125,7 @@
         if self._is_unknown(begin):
             return wire.TurnReply(answer=wire.TURN_ANSWER_UNKNOWN_TURN)
         program = self.programs.get((begin.tenant, begin.program_id), ProgramBudget())
-        if not program.surely_holds(begin, self.group_id, PREVIEW_TURNS):
+        if not program.has_headroom(begin, self.group_id, PREVIEW_TURNS):
             return self._reply(wire.TURN_ANSWER_BUDGET_SPENT, program)
         reply = self._reply(wire.TURN_ANSWER_GRANTED, program)
         self._add_chain(reply, begin)
@@ -168,10 +168,10 @@
         over the others' shares first, if it stores the turn's chain, if another group has sent the
         node here, or if no other holds this group's share.
         """
-        if begin.num_groups <= 1 or program.is_spent(begin):
+        if begin.num_groups <= 1 or program.exceeds_budget(begin):
             return self._reply(wire.TURN_ANSWER_BUDGET_SPENT, program)
         reply = self._reply(wire.TURN_ANSWER_OTHER_GROUP, program)
-        receiver = program.main_receiver()
+        receiver = program.largest_receiver()
         stays = begin.is_sent_on or bool(begin.previous_turn) or receiver is None
         reply.owner_group = self.group_id if stays or receiver is None else receiver
         return reply
@@ -188,7 +188,7 @@
         if program is None:
             return False
         if not program.shares_taken_ms:
-            return not program.holds(begin, self.group_id, GATHER_TURNS)
+            return not program.can_reserve(begin, self.group_id, GATHER_TURNS)
         return self.clock_ms - program.shares_taken_ms > _stored_ms(begin.retention_ms)
 
     # --- shares of several groups --------------------------------------------------------
@@ -205,7 +205,7 @@
     def _take(self, share: wire.TakeShare) -> wire.TurnReply:
         """Count what another group has given up."""
         program = self._program((share.tenant, share.program_id), share.retention_ms)
-        program.take(share)
+        program.take_over_share(share)
         program.shares_taken_ms = max(1, self.clock_ms)
         return self._reply(wire.TURN_ANSWER_GRANTED, program)
 
--- a/tests/region_defects.py
+++ b/tests/region_defects.py
@@ -184,12 +184,12 @@
     "each group spends the whole budget": (
         Rule.BUDGET,
         loops_while_regions_are_cut,
-        patch(program_budget, "first_share", _whole_budget),
+        patch(program_budget, "initial_share", _whole_budget),
     ),
     "a share told twice counts twice": (
         Rule.BUDGET,
         loops_in_both_regions,
-        patch(ProgramBudget, "take", _add),
+        patch(ProgramBudget, "take_over_share", _add),
     ),
     "a release is told before it is committed": (
         Rule.BUDGET,
--- a/tests/test_budget_shares.py
+++ b/tests/test_budget_shares.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bendshed.admission.program_budget import first_share
+from bendshed.admission.program_budget import initial_share
 from bendshed.consensus.raft import RaftReplica
 from bendshed.ports.log_storage import StoredGroup
 from bendshed.turns.state import MIN_PROGRAM_RETENTION_MS, RELEASED_RETENTION_FACTOR, TurnLogState
@@ -91,7 +91,7 @@
 class ShareTest(unittest.TestCase):
     def test_first_shares_add_up(self) -> None:
         for num_groups in range(1, 6):
-            shares = [first_share(BUDGET, group, num_groups) for group in range(num_groups)]
+            shares = [initial_share(BUDGET, group, num_groups) for group in range(num_groups)]
             self.assertEqual(sum(shares), BUDGET)
 
     def test_each_group_spends_its_share_without_a_word(self) -> None:
