--- a/src/bendshed/admission/quota_allowance.py
+++ b/src/bendshed/admission/quota_allowance.py
@@ -4,13 +4,13 @@
 
 from bendshed.model.permit import NO_PERMIT, TimedPermit
 
-USABLE_S = 0.9
+ALLOWANCE_VALID_S = 0.9
 """A node uses an allowance for this long after its receipt. The leader counts it 0.1 s longer
 (``quota_ledger.ALLOWANCE_MS``), which covers the reply's time to the node."""
 
 
 @dataclass(frozen=True, slots=True)
-class Spending:
+class UsageReport:
     """What a node reports of one tenant.
 
     Attributes:
@@ -54,10 +54,10 @@
     """
 
     _accounts: dict[str, _Account] = field(default_factory=dict)
-    _allowed: dict[str, None] = field(default_factory=dict)
+    _active: dict[str, None] = field(default_factory=dict)
     _unreported: dict[str, None] = field(default_factory=dict)
 
-    def try_spend(self, tenant: str, now_s: float) -> bool:
+    def try_admit(self, tenant: str, now_s: float) -> bool:
         """Admit one call by the allowance; ``False``: the leader must be requested."""
         account = self._accounts.get(tenant)
         if account is None or account.total >= account.ceiling:
@@ -67,7 +67,7 @@
         self._count(tenant, account, now_s)
         return True
 
-    def spend_granted(self, tenant: str, counted_total: int, now_s: float) -> None:
+    def record_admitted(self, tenant: str, counted_total: int, now_s: float) -> None:
         """Count one call that the leader admitted.
 
         ``counted_total`` is what the leader has counted of this node; 0: the tenant is not limited.
@@ -94,21 +94,21 @@
         account = self._accounts.get(tenant)
         return account.reported if account is not None else 0
 
-    def take_allowance(self, tenant: str, ceiling: int, now_s: float) -> None:
+    def add_allowance(self, tenant: str, ceiling: int, now_s: float) -> None:
         """Calls up to this total may be admitted from now on."""
         account = self._accounts.setdefault(tenant, _Account())
         if ceiling > account.total:
             is_valid = account.permit.is_valid(now_s)
             account.ceiling = max(account.ceiling, ceiling) if is_valid else ceiling
-            account.permit = TimedPermit(now_s + USABLE_S)
-            self._allowed[tenant] = None
+            account.permit = TimedPermit(now_s + ALLOWANCE_VALID_S)
+            self._active[tenant] = None
 
-    def unreported(self, now_s: float) -> list[Spending]:
+    def unreported(self, now_s: float) -> list[UsageReport]:
         """What is not known to be committed; lapsed allowances are given back with it."""
-        self._end_lapsed(now_s)
-        return [self._spending(tenant) for tenant in self._unreported]
+        self._expire_allowances(now_s)
+        return [self._report_of(tenant) for tenant in self._unreported]
 
-    def must_report(self, now_s: float, after_s: float) -> bool:
+    def is_report_due(self, now_s: float, after_s: float) -> bool:
         """Whether an admitted call has been unreported for ``after_s``."""
         for tenant in self._unreported:
             account = self._accounts[tenant]
@@ -117,22 +117,22 @@
                 return True
         return False
 
-    def _end_lapsed(self, now_s: float) -> None:
-        for tenant in list(self._allowed):
+    def _expire_allowances(self, now_s: float) -> None:
+        for tenant in list(self._active):
             account = self._accounts[tenant]
             if account.total >= account.ceiling:
-                del self._allowed[tenant]
+                del self._active[tenant]
             elif not account.permit.is_valid(now_s):
                 account.lapsed_ceiling = max(account.lapsed_ceiling, account.ceiling)
                 account.ceiling = account.total
                 self._unreported[tenant] = None
-                del self._allowed[tenant]
+                del self._active[tenant]
 
-    def _spending(self, tenant: str) -> Spending:
+    def _report_of(self, tenant: str) -> UsageReport:
         account = self._accounts[tenant]
-        return Spending(tenant, account.total, account.lapsed_ceiling, account.reported)
+        return UsageReport(tenant, account.total, account.lapsed_ceiling, account.reported)
 
-    def note_reported(self, rows: list[Spending], now_s: float) -> None:
+    def note_reported(self, rows: list[UsageReport], now_s: float) -> None:
         """A report was committed."""
         for row in rows:
             account = self._accounts[row.tenant]
--- a/src/bendshed/admission/quota_ledger.py
+++ b/src/bendshed/admission/quota_ledger.py
@@ -27,7 +27,7 @@
 commit, some 7 ms. A turn is followed by 1.1 calls in the mean of the measured work."""
 ALLOWANCE_MS = 1_000
 """How long the leader counts an allowance beyond the window; its node uses it for 900 ms
-(``quota_allowance.USABLE_S``)."""
+(``quota_allowance.ALLOWANCE_VALID_S``)."""
 MAX_GRANTED = 50_000
 """Pairs of node and tenant with admitted calls that are remembered; some 10 MB."""
 
--- a/src/bendshed/services/quota_client.py
+++ b/src/bendshed/services/quota_client.py
@@ -7,7 +7,7 @@
 import asyncio
 from collections.abc import Callable
 
-from bendshed.admission.quota_allowance import LocalAllowances, Spending
+from bendshed.admission.quota_allowance import LocalAllowances, UsageReport
 from bendshed.admission.retry_schedule import retry_after_s
 from bendshed.consensus.group_client import GroupUnavailable
 from bendshed.errors import ErrorKind, Refusal
@@ -71,7 +71,7 @@
         if not principal.is_limited:
             return None
         loop = asyncio.get_running_loop()
-        if self._allowances.try_spend(principal.name, loop.time()):
+        if self._allowances.try_admit(principal.name, loop.time()):
             self._count(QuotaEnd.ALLOWED)
             return None
         decision = await self._request(principal.name, request, deadline_s)
@@ -84,7 +84,7 @@
             self._count(QuotaEnd.REFUSED)
             return _quota_refusal(decision.retry_after_ms)
         self._count(QuotaEnd.REQUESTED)
-        self._allowances.spend_granted(principal.name, decision.counted_total, loop.time())
+        self._allowances.record_admitted(principal.name, decision.counted_total, loop.time())
         self._allowances.note_committed(principal.name, decision.counted_total, loop.time())
         return None
 
@@ -109,7 +109,7 @@
         """Take the allowance that came with a turn's end; 0: there was none."""
         if ceiling:
             now_s = asyncio.get_running_loop().time()
-            self._allowances.take_allowance(principal.name, ceiling, now_s)
+            self._allowances.add_allowance(principal.name, ceiling, now_s)
 
     def report(self, command: wire.TurnCommand) -> Callable[[], None]:
         """Add a report of admitted calls to a command, of tenants that its group counts.
@@ -127,7 +127,7 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(REPORT_CHECK_S)
-            if not self._allowances.must_report(loop.time(), REPORT_AFTER_S):
+            if not self._allowances.is_report_due(loop.time(), REPORT_AFTER_S):
                 continue
             unreported = self._allowances.unreported(loop.time())
             for group in sorted({self._groups.of_tenant(row.tenant) for row in unreported}):
@@ -163,7 +163,7 @@
     )
 
 
-def _to_wire(row: Spending) -> wire.TenantSpent:
+def _to_wire(row: UsageReport) -> wire.TenantSpent:
     return wire.TenantSpent(
         tenant=row.tenant,
         total=row.total,
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -241,7 +241,7 @@
 
 
 def _spend_always(gate: LocalAllowances, tenant: str, now_s: float) -> bool:
-    gate.spend_granted(tenant, 0, now_s)
+    gate.record_admitted(tenant, 0, now_s)
     return True
 
 
@@ -363,7 +363,7 @@
     "a front that is cut off goes on": Defect(
         Rule.QUOTA,
         a_tenant_floods_through_cut_fronts,
-        patch(LocalAllowances, "try_spend", _spend_always),
+        patch(LocalAllowances, "try_admit", _spend_always),
     ),
     "windows are fixed spans": Defect(
         Rule.QUOTA, a_tenant_floods_in_bursts, patch(SlidingCount, "_inside", _inside_fixed_span)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bendshed.admission.quota_allowance import USABLE_S, LocalAllowances
+from bendshed.admission.quota_allowance import ALLOWANCE_VALID_S, LocalAllowances
 from bendshed.admission.quota_ledger import GUARD_MS, QuotaLedger, QuotaRequest, Rank
 from bendshed.admission.quota_limits import QuotaTerms, TenantLimit, limit_of
 from bendshed.admission.quota_usage import USAGE_MEMORY_MS, UsageWindows
@@ -318,30 +318,30 @@
         self.gate = LocalAllowances()
 
     def test_nothing_passes_without_an_allowance_or_after_it(self) -> None:
-        self.assertFalse(self.gate.try_spend("t", 0.0))
-        self.gate.take_allowance("t", 2, 0.0)
-        spent = [self.gate.try_spend("t", 0.1) for _ in range(3)]
+        self.assertFalse(self.gate.try_admit("t", 0.0))
+        self.gate.add_allowance("t", 2, 0.0)
+        spent = [self.gate.try_admit("t", 0.1) for _ in range(3)]
         self.assertEqual(spent, [True, True, False])
-        self.gate.take_allowance("t", 4, 0.2)
-        self.assertFalse(self.gate.try_spend("t", 0.2 + USABLE_S))
+        self.gate.add_allowance("t", 4, 0.2)
+        self.assertFalse(self.gate.try_admit("t", 0.2 + ALLOWANCE_VALID_S))
 
     def test_a_grant_by_name_opens_nothing_else(self) -> None:
-        self.gate.take_allowance("t", 2, 0.0)
-        self.gate.unreported(USABLE_S)
-        self.gate.spend_granted("t", 3, 5.0)  # with the lapsed allowance, which was counted then
+        self.gate.add_allowance("t", 2, 0.0)
+        self.gate.unreported(ALLOWANCE_VALID_S)
+        self.gate.record_admitted("t", 3, 5.0)  # with the lapsed allowance, which was counted then
         self.assertEqual(self.gate.total("t"), 3)
-        self.assertFalse(self.gate.try_spend("t", 5.1))
+        self.assertFalse(self.gate.try_admit("t", 5.1))
 
     def test_a_newer_allowance_does_not_open_one_that_lapsed(self) -> None:
-        self.gate.take_allowance("t", 5, 0.0)
-        self.gate.take_allowance("t", 2, 5.0)
-        spent = [self.gate.try_spend("t", 5.1) for _ in range(3)]
+        self.gate.add_allowance("t", 5, 0.0)
+        self.gate.add_allowance("t", 2, 5.0)
+        spent = [self.gate.try_admit("t", 5.1) for _ in range(3)]
         self.assertEqual(spent, [True, True, False])
 
     def test_what_was_let_through_is_told_until_it_is_committed(self) -> None:
-        self.gate.spend_granted("t", 1, 0.0)
+        self.gate.record_admitted("t", 1, 0.0)
         (first,) = self.gate.unreported(0.1)
-        self.gate.spend_granted("t", 2, 0.2)
+        self.gate.record_admitted("t", 2, 0.2)
         (second,) = self.gate.unreported(0.2)
         self.assertEqual([first.total, second.total, second.reported], [1, 2, 0])
         self.gate.note_reported([first], 0.3)
@@ -351,22 +351,22 @@
         self.assertEqual(self.gate.unreported(0.5), [])
 
     def test_a_lapsed_allowance_is_given_back_until_that_is_committed(self) -> None:
-        self.gate.take_allowance("t", 2, 0.0)
+        self.gate.add_allowance("t", 2, 0.0)
         self.assertEqual(self.gate.unreported(0.5), [])
-        (told,) = self.gate.unreported(USABLE_S)
+        (told,) = self.gate.unreported(ALLOWANCE_VALID_S)
         self.assertEqual((told.total, told.lapsed_ceiling), (0, 2))
-        (again,) = self.gate.unreported(USABLE_S + 0.1)
+        (again,) = self.gate.unreported(ALLOWANCE_VALID_S + 0.1)
         self.assertEqual(again.lapsed_ceiling, 2)
-        self.gate.note_reported([again], USABLE_S + 0.2)
-        self.assertEqual(self.gate.unreported(USABLE_S + 0.3), [])
+        self.gate.note_reported([again], ALLOWANCE_VALID_S + 0.2)
+        self.assertEqual(self.gate.unreported(ALLOWANCE_VALID_S + 0.3), [])
 
     def test_only_requests_must_be_told_by_themselves(self) -> None:
-        self.gate.take_allowance("t", 2, 0.0)
-        self.gate.unreported(USABLE_S)
-        self.assertFalse(self.gate.must_report(5.0, 0.15))
-        self.gate.spend_granted("t", 1, 5.0)
-        self.assertFalse(self.gate.must_report(5.1, 0.15))
-        self.assertTrue(self.gate.must_report(5.2, 0.15))
+        self.gate.add_allowance("t", 2, 0.0)
+        self.gate.unreported(ALLOWANCE_VALID_S)
+        self.assertFalse(self.gate.is_report_due(5.0, 0.15))
+        self.gate.record_admitted("t", 1, 5.0)
+        self.assertFalse(self.gate.is_report_due(5.1, 0.15))
+        self.assertTrue(self.gate.is_report_due(5.2, 0.15))
 
 
 class RetryTimeTest(unittest.TestCase):
