--- a/src/bendshed/admission/quota_allowance.py
+++ b/src/bendshed/admission/quota_allowance.py
@@ -6,7 +6,7 @@
 
 ALLOWANCE_VALID_S = 0.9
 """A node uses an allowance for this long after its receipt. The leader counts it 0.1 s longer
-(``quota_ledger.ALLOWANCE_MS``), which covers the reply's time to the node."""
+(``quota_ledger.ALLOWANCE_COUNTED_MS``), which covers the reply's time to the node."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/bendshed/admission/quota_ledger.py
+++ b/src/bendshed/admission/quota_ledger.py
@@ -18,17 +18,17 @@
 from bendshed.admission.retry_schedule import ChainKey, RetrySchedule, quota_retry_after_ms
 from bendshed.admission.turn_reservations import Admission, TurnReservations
 
-GUARD_MS = 100
+ARRIVAL_MARGIN_MS = 100
 """The window is judged this much longer than it is: a request reaches its runner up to 100 ms after
 it was admitted. Requests that a broken connection holds up longer fall into the part of the limit
 that nobody is given (``quota_limits.py``)."""
-SPARE_PER_GRANT = 2
+ALLOWANCE_PER_TURN = 2
 """Calls that a node may admit locally after a turn of the same tenant; saves them a message and a
 commit, some 7 ms. A turn is followed by 1.1 calls in the mean of the measured work."""
-ALLOWANCE_MS = 1_000
+ALLOWANCE_COUNTED_MS = 1_000
 """How long the leader counts an allowance beyond the window; its node uses it for 900 ms
 (``quota_allowance.ALLOWANCE_VALID_S``)."""
-MAX_GRANTED = 50_000
+MAX_GRANTED_TOTALS = 50_000
 """Pairs of node and tenant with admitted calls that are remembered; some 10 MB."""
 
 
@@ -39,7 +39,7 @@
     TURN = "turn"
     CALL = "call"
 
-    def most(self, limit: TenantLimit) -> float:
+    def max_count(self, limit: TenantLimit) -> float:
         """Requests that may be counted, this one included."""
         match self:
             case Rank.NEW_PROGRAM:
@@ -82,19 +82,19 @@
     within ``limit.calls``.
 
     Attributes:
-        puts_programs_first: new programs are rejected before turns of programs under way, and
-            these before calls; otherwise first come, first served.
+        prioritizes_running_programs: new programs are rejected before turns of programs under way,
+            and these before calls; otherwise first come, first served.
 
     """
 
     window_ms: int
-    puts_programs_first: bool = True
+    prioritizes_running_programs: bool = True
     _term: int = -1
     _turns: TurnReservations = field(default_factory=TurnReservations)
-    _granted: dict[tuple[str, str], int] = field(default_factory=dict)
-    _num_calls: Counter[str] = field(default_factory=Counter)
+    _granted_totals: dict[tuple[str, str], int] = field(default_factory=dict)
+    _num_uncommitted_calls: Counter[str] = field(default_factory=Counter)
     _uncommitted_ceilings: dict[str, dict[str, int]] = field(default_factory=dict)
-    _schedules: dict[str, RetrySchedule] = field(default_factory=dict)
+    _retry_schedules: dict[str, RetrySchedule] = field(default_factory=dict)
 
     def begin_term(self, term: int) -> None:
         """Forget what an earlier term decided: it may have been overtaken since."""
@@ -102,10 +102,10 @@
             return
         self._term = term
         self._turns.clear()
-        self._granted.clear()
-        self._num_calls.clear()
+        self._granted_totals.clear()
+        self._num_uncommitted_calls.clear()
         self._uncommitted_ceilings.clear()
-        self._schedules.clear()
+        self._retry_schedules.clear()
 
     # --- turns -----------------------------------------------------------------------------
 
@@ -157,26 +157,26 @@
         if admission.is_granted:
             key = (node, request.tenant)
             reached = max(node_total, usage.total_of(*key), usage.ceiling(*key))
-            if len(self._granted) >= MAX_GRANTED:
-                self._granted.clear()
-            self._granted[key] = max(reached, self._granted.get(key, 0)) + 1
-            self._num_calls[request.tenant] += 1
+            if len(self._granted_totals) >= MAX_GRANTED_TOTALS:
+                self._granted_totals.clear()
+            self._granted_totals[key] = max(reached, self._granted_totals.get(key, 0)) + 1
+            self._num_uncommitted_calls[request.tenant] += 1
         return admission
 
     def settle_call(self, tenant: str) -> None:
         """An admitted call was committed, so that it is counted there, or was not."""
-        if self._num_calls[tenant] > 1:
-            self._num_calls[tenant] -= 1
+        if self._num_uncommitted_calls[tenant] > 1:
+            self._num_uncommitted_calls[tenant] -= 1
         else:
-            del self._num_calls[tenant]
+            del self._num_uncommitted_calls[tenant]
 
     def granted_total(self, node: str, tenant: str) -> int:
         """Total that a node has reached with the calls that were admitted here; 0: none."""
-        return self._granted.get((node, tenant), 0)
+        return self._granted_totals.get((node, tenant), 0)
 
     # --- allowances ------------------------------------------------------------------------
 
-    def spare(
+    def extend_allowance(
         self,
         node: str,
         node_total: int,
@@ -187,17 +187,17 @@
     ) -> int:
         """Total up to which a node may admit calls that follow a turn; 0: no allowance."""
         held = self._num_allowed(tenant, usage, now_ms)
-        level = self._level(tenant, usage, now_ms)
-        room = min(limit.allowances - held, limit.unhurried - level)
+        num_counted = self._num_counted(tenant, usage, now_ms)
+        room = min(limit.allowances - held, limit.unhurried - num_counted)
         total = max(node_total, usage.total_of(node, tenant), self.granted_total(node, tenant))
         ceiling = max(total, usage.ceiling(node, tenant))
-        wanted = min(SPARE_PER_GRANT - (ceiling - total), int(room))
+        wanted = min(ALLOWANCE_PER_TURN - (ceiling - total), int(room))
         if wanted <= 0:
             return 0
         self._uncommitted_ceilings.setdefault(tenant, {})[node] = ceiling + wanted
         return ceiling + wanted
 
-    def settle_spare(self, node: str, tenant: str) -> None:
+    def settle_allowance(self, node: str, tenant: str) -> None:
         """An allowance was committed, so that it is counted there, or was not given."""
         ceilings = self._uncommitted_ceilings.get(tenant, {})
         ceilings.pop(node, None)
@@ -215,38 +215,38 @@
         a free place before them, and is told to come back behind them.
         """
         tenant = request.tenant
-        rank = request.rank if self.puts_programs_first else Rank.CALL
-        used = self._level(tenant, usage, now_ms)
-        schedule = self._schedules.setdefault(tenant, RetrySchedule())
+        rank = request.rank if self.prioritizes_running_programs else Rank.CALL
+        num_counted = self._num_counted(tenant, usage, now_ms)
+        schedule = self._retry_schedules.setdefault(tenant, RetrySchedule())
         num_expected = schedule.num_others(request.chain_key, now_ms)
         is_new = rank is Rank.NEW_PROGRAM
-        excess = used + 1 + (num_expected if is_new else 0) - rank.most(limit)
+        excess = num_counted + 1 + (num_expected if is_new else 0) - rank.max_count(limit)
         num_allowed = self._num_allowed(tenant, usage, now_ms)
         if excess <= 0:
             schedule.forget(request.chain_key)
-            return Admission(True, used, num_allowed)
+            return Admission(True, num_counted, num_allowed)
         retry_after_ms = quota_retry_after_ms(
-            lambda count: usage.wait_ms(tenant, now_ms, self._judged_ms, count),
+            lambda count: usage.wait_ms(tenant, now_ms, self._counted_window_ms, count),
             excess,
             0 if is_new else num_expected,
         )
         if request.rank is not Rank.NEW_PROGRAM:
             schedule.note(request.chain_key, now_ms + retry_after_ms)
-        return Admission(False, used, num_allowed, retry_after_ms)
+        return Admission(False, num_counted, num_allowed, retry_after_ms)
 
     @property
-    def _judged_ms(self) -> int:
-        return self.window_ms + GUARD_MS
+    def _counted_window_ms(self) -> int:
+        return self.window_ms + ARRIVAL_MARGIN_MS
 
-    def _level(self, tenant: str, usage: UsageWindows, now_ms: int) -> int:
+    def _num_counted(self, tenant: str, usage: UsageWindows, now_ms: int) -> int:
         """Requests that count against the limit."""
-        counted = usage.in_window(tenant, now_ms, self._judged_ms)
-        uncommitted = self._turns.num_open(tenant) + self._num_calls.get(tenant, 0)
+        counted = usage.in_window(tenant, now_ms, self._counted_window_ms)
+        uncommitted = self._turns.num_open(tenant) + self._num_uncommitted_calls.get(tenant, 0)
         return counted + uncommitted + self._num_allowed(tenant, usage, now_ms)
 
     def _num_allowed(self, tenant: str, usage: UsageWindows, now_ms: int) -> int:
         """Requests that nodes may admit locally, or have admitted and not reported."""
-        allowed = usage.num_allowed(tenant, now_ms - self._judged_ms - ALLOWANCE_MS)
+        allowed = usage.num_allowed(tenant, now_ms - self._counted_window_ms - ALLOWANCE_COUNTED_MS)
         for node, ceiling in self._uncommitted_ceilings.get(tenant, {}).items():
             counted = max(usage.total_of(node, tenant), usage.ceiling(node, tenant))
             allowed += max(0, ceiling - counted)
--- a/src/bendshed/turns/quota_counting.py
+++ b/src/bendshed/turns/quota_counting.py
@@ -97,7 +97,9 @@
             return
         self._ledger.begin_term(term)
         reported = next((row.total for row in command.spent.spent if row.tenant == tenant), 0)
-        ceiling = self._ledger.spare(node, reported, tenant, limit, state.usage, command.elapsed_ms)
+        ceiling = self._ledger.extend_allowance(
+            node, reported, tenant, limit, state.usage, command.elapsed_ms
+        )
         if ceiling:
             allowance = wire.Allowance(node=node, tenant=tenant, ceiling=ceiling)
             command.allowance.CopyFrom(allowance)
@@ -109,7 +111,7 @@
     def settle_allowance(self, command: wire.TurnCommand) -> None:
         """A command with an allowance was committed, or was not."""
         if command.HasField("allowance"):
-            self._ledger.settle_spare(command.allowance.node, command.allowance.tenant)
+            self._ledger.settle_allowance(command.allowance.node, command.allowance.tenant)
 
     def _limit(self, tenant: str) -> TenantLimit | None:
         """The limit in force; ``None``: there is none."""
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -234,10 +234,12 @@
 _TERM_BEGAN_MS: dict[tuple[int, int], int] = {}
 
 
-def _level_of_one_term(ledger: QuotaLedger, tenant: str, usage: UsageWindows, now_ms: int) -> int:
+def _num_counted_in_one_term(
+    ledger: QuotaLedger, tenant: str, usage: UsageWindows, now_ms: int
+) -> int:
     """Counts just what was let through since this leader began."""
     began_ms = _TERM_BEGAN_MS.setdefault((id(ledger), ledger._term), now_ms)
-    return usage.in_window(tenant, now_ms, min(ledger._judged_ms, now_ms - began_ms))
+    return usage.in_window(tenant, now_ms, min(ledger._counted_window_ms, now_ms - began_ms))
 
 
 def _spend_always(gate: LocalAllowances, tenant: str, now_s: float) -> bool:
@@ -358,7 +360,7 @@
     "a new leader gives again what the last one gave": Defect(
         Rule.QUOTA,
         a_tenant_floods_while_leaders_change,
-        patch(QuotaLedger, "_level", _level_of_one_term),
+        patch(QuotaLedger, "_num_counted", _num_counted_in_one_term),
     ),
     "a front that is cut off goes on": Defect(
         Rule.QUOTA,
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from bendshed.admission.quota_allowance import ALLOWANCE_VALID_S, LocalAllowances
-from bendshed.admission.quota_ledger import GUARD_MS, QuotaLedger, QuotaRequest, Rank
+from bendshed.admission.quota_ledger import ARRIVAL_MARGIN_MS, QuotaLedger, QuotaRequest, Rank
 from bendshed.admission.quota_limits import QuotaTerms, TenantLimit, limit_of
 from bendshed.admission.quota_usage import USAGE_MEMORY_MS, UsageWindows
 from bendshed.admission.retry_schedule import (
@@ -117,10 +117,10 @@
 
     def spare(self, node: str, now_ms: int, limit: TenantLimit) -> int:
         """What a node is allowed after a turn; committed as the turn's end is."""
-        ceiling = self.ledger.spare(node, 0, "t", limit, self.usage, now_ms)
+        ceiling = self.ledger.extend_allowance(node, 0, "t", limit, self.usage, now_ms)
         if ceiling:
             self.usage.allow(node, "t", ceiling, now_ms)
-            self.ledger.settle_spare(node, "t")
+            self.ledger.settle_allowance(node, "t")
         return ceiling
 
     def call(self, node: str, now_ms: int, limit: TenantLimit = EXACT_LIMIT) -> bool:
@@ -152,7 +152,7 @@
         for number in range(800):
             now_ms += rng.choice((0, 20, 60))
             if self.turn(str(number), now_ms):
-                arrivals.append(now_ms + rng.randint(0, GUARD_MS))
+                arrivals.append(now_ms + rng.randint(0, ARRIVAL_MARGIN_MS))
         self.assertLessEqual(most_in_any_window(arrivals), 10)
 
     def test_promised_turns_count_before_they_are_committed(self) -> None:
@@ -192,7 +192,7 @@
         self.assertEqual(granted, [True] * 18)
 
     def test_first_come_first_served_makes_no_difference(self) -> None:
-        self.ledger = QuotaLedger(WINDOW_MS, puts_programs_first=False)
+        self.ledger = QuotaLedger(WINDOW_MS, prioritizes_running_programs=False)
         limit = limit_of(SMALL, TERMS)
         number = 0
         while self.turn(f"new-{number}", 0, limit):
@@ -228,7 +228,7 @@
             self.turn(str(number), 0, limit, under_way=True)
         for program in ("a", "b"):
             self.assertFalse(self.turn(f"{program}-1", 4_900, limit, True, program=program))
-        back_ms = WINDOW_MS + GUARD_MS + SPAN_MS
+        back_ms = WINDOW_MS + ARRIVAL_MARGIN_MS + SPAN_MS
         for number in range(8):
             self.assertTrue(
                 self.turn(f"new-{number}", back_ms + number, TenantLimit(10, 10, 99, 99, 0, 0))
@@ -287,7 +287,8 @@
     def test_allowances_count_before_they_are_committed(self) -> None:
         limit = limit_of(SMALL, TERMS)
         given = [
-            self.ledger.spare(f"n{number}", 0, "t", limit, self.usage, 0) for number in range(6)
+            self.ledger.extend_allowance(f"n{number}", 0, "t", limit, self.usage, 0)
+            for number in range(6)
         ]
         self.assertEqual(sum(given), limit.allowances)
 
