--- a/src/bendshed/admission/quota_ledger.py
+++ b/src/bendshed/admission/quota_ledger.py
@@ -188,7 +188,7 @@
         """Total up to which a node may admit calls that follow a turn; 0: no allowance."""
         held = self._num_allowed(tenant, usage, now_ms)
         num_counted = self._num_counted(tenant, usage, now_ms)
-        room = min(limit.allowances - held, limit.unhurried - num_counted)
+        room = min(limit.allowances - held, limit.allowance_threshold - num_counted)
         total = max(node_total, usage.total_of(node, tenant), self.granted_total(node, tenant))
         ceiling = max(total, usage.ceiling(node, tenant))
         wanted = min(ALLOWANCE_PER_TURN - (ceiling - total), int(room))
--- a/src/bendshed/admission/quota_limits.py
+++ b/src/bendshed/admission/quota_limits.py
@@ -15,9 +15,9 @@
 
 MAX_WINDOW_S = 10.0
 """Longest window that can be judged; usage is stored for it (``quota_usage.KEPT_MS``)."""
-NEW_SHARE = 0.4
-TURN_SHARE = 0.7
-CALL_SHARE = 0.85
+NEW_PROGRAM_MARGIN_SHARE = 0.4
+TURN_MARGIN_SHARE = 0.7
+CALL_MARGIN_SHARE = 0.85
 """Parts of the margin for new programs, turns and calls. Measured on a day with a lowered limit and
 a burst of 1.8 at 0.3, 0.6 and 0.8: a share of 0.027 and 0.035 was rejected in two runs, 0.048 first
 come, first served, 0.038 with half of the margin for turns and calls alike. Two runs of one code
@@ -25,12 +25,12 @@
 ALLOWANCE_SHARE = 0.2
 """Part of a tenant's limit that all allowances together may hold: one whose node is lost counts
 as used for a window."""
-UNHURRIED_SHARE = 0.8
+ALLOWANCE_THRESHOLD_SHARE = 0.8
 """Nodes get allowances while less than this part of a tenant's limit is used."""
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaTerms:
+class QuotaTolerance:
     """How exactly the installation keeps every tenant's limit.
 
     Attributes:
@@ -45,7 +45,7 @@
     slack: float = 0.0
 
 
-EXACT = QuotaTerms()
+NO_TOLERANCE = QuotaTolerance()
 """Not one request more than a tenant's limit."""
 
 
@@ -59,7 +59,7 @@
         turns: count up to which turns of programs under way are admitted.
         calls: count up to which calls between turns are admitted.
         allowances: calls that all nodes together may hold as allowances.
-        unhurried: count below which nodes get allowances.
+        allowance_threshold: count below which nodes get allowances.
 
     """
 
@@ -68,18 +68,18 @@
     turns: float
     calls: float
     allowances: int
-    unhurried: float
+    allowance_threshold: float
 
 
-def limit_of(tenant: Tenant, terms: QuotaTerms) -> TenantLimit:
+def tenant_limit(tenant: Tenant, tolerance: QuotaTolerance) -> TenantLimit:
     """The limits that follow from a tenant's rate and burst."""
-    nominal = tenant.rate_per_s * terms.window_s + tenant.burst
-    margin = nominal * terms.over + terms.slack
+    nominal = tenant.rate_per_s * tolerance.window_s + tenant.burst
+    margin = nominal * tolerance.over + tolerance.slack
     return TenantLimit(
         nominal,
-        nominal + NEW_SHARE * margin,
-        nominal + TURN_SHARE * margin,
-        nominal + CALL_SHARE * margin,
+        nominal + NEW_PROGRAM_MARGIN_SHARE * margin,
+        nominal + TURN_MARGIN_SHARE * margin,
+        nominal + CALL_MARGIN_SHARE * margin,
         int(ALLOWANCE_SHARE * nominal),
-        UNHURRIED_SHARE * nominal,
+        ALLOWANCE_THRESHOLD_SHARE * nominal,
     )
--- a/src/bendshed/platform/settings.py
+++ b/src/bendshed/platform/settings.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Meta
 
-from bendshed.admission.quota_limits import MAX_WINDOW_S, QuotaTerms
+from bendshed.admission.quota_limits import MAX_WINDOW_S, QuotaTolerance
 from bendshed.catalog.times import CatalogTimes
 from bendshed.model.address import Address
 from bendshed.model.places import Places
@@ -90,9 +90,9 @@
         return self.evacMs / 1000 if self.evacMs is not None else None
 
     @property
-    def quota_terms(self) -> QuotaTerms:
+    def quota_terms(self) -> QuotaTolerance:
         """How exact the limits of tenants must be."""
-        return QuotaTerms(self.quotaWindowS, self.quotaOver, self.quotaSlack)
+        return QuotaTolerance(self.quotaWindowS, self.quotaOver, self.quotaSlack)
 
 
 class MetadataStore(_Section, frozen=True):
--- a/src/bendshed/rehearsal/site/documents.py
+++ b/src/bendshed/rehearsal/site/documents.py
@@ -1,6 +1,6 @@
 """The configuration of rehearsed sites."""
 
-from bendshed.admission.quota_limits import QuotaTerms
+from bendshed.admission.quota_limits import QuotaTolerance
 from bendshed.identifiers import credential_digest
 from bendshed.model.service_document import (
     EngineFeatures,
@@ -18,7 +18,7 @@
 RETENTION_MS = 60_000
 NARROW, WIDE, GUEST = "narrow", "wide", "guest"
 """Tenants: one with a limit that programs reach, one without, one whose key may be removed."""
-QUOTA_TERMS = QuotaTerms(window_s=5.0, over=0.1, slack=5.0)
+QUOTA_TERMS = QuotaTolerance(window_s=5.0, over=0.1, slack=5.0)
 NARROW_RATE_PER_S, NARROW_BURST = 2.0, 4.0
 
 
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -4,7 +4,7 @@
 import random
 from dataclasses import dataclass, field
 
-from bendshed.admission.quota_limits import EXACT, QuotaTerms
+from bendshed.admission.quota_limits import NO_TOLERANCE, QuotaTolerance
 from bendshed.catalog.confirmations import CatalogPart
 from bendshed.catalog.replica_parts import CatalogSurroundings, ReplicaCatalogParts
 from bendshed.catalog.times import CatalogTimes
@@ -87,7 +87,7 @@
     num_voters: int
     times: CatalogTimes
     policy: Policy = EVERYTHING
-    quotas: QuotaTerms = EXACT
+    quotas: QuotaTolerance = NO_TOLERANCE
     groups: TurnGroups = ONE_GROUP
     cold: ColdTerms = field(default_factory=ColdTerms)
     links: LinkTerms = field(default_factory=LinkTerms)
--- a/src/bendshed/turns/quota_counting.py
+++ b/src/bendshed/turns/quota_counting.py
@@ -5,7 +5,7 @@
 """
 
 from bendshed.admission.quota_ledger import QuotaLedger, QuotaRequest, Rank
-from bendshed.admission.quota_limits import QuotaTerms, TenantLimit, limit_of
+from bendshed.admission.quota_limits import QuotaTolerance, TenantLimit, tenant_limit
 from bendshed.admission.turn_reservations import Admission
 from bendshed.catalog.state import Catalog
 from bendshed.logs import PartLog
@@ -30,7 +30,7 @@
     """
 
     def __init__(
-        self, catalog: Catalog, terms: QuotaTerms, puts_programs_first: bool = True
+        self, catalog: Catalog, terms: QuotaTolerance, puts_programs_first: bool = True
     ) -> None:
         self._catalog = catalog
         self._terms = terms
@@ -121,7 +121,7 @@
         if document is not None and document.version != self._version:
             self._version = document.version
             self._limits = {
-                row.name: limit_of(row, self._terms)
+                row.name: tenant_limit(row, self._terms)
                 for row in document.tenants
                 if row.rate_per_s > 0
             }
--- a/tests/patterns/test_quota_siblings.py
+++ b/tests/patterns/test_quota_siblings.py
@@ -11,12 +11,12 @@
 import unittest
 
 from bendshed.admission.quota_ledger import QuotaLedger, QuotaRequest, Rank
-from bendshed.admission.quota_limits import QuotaTerms, limit_of
+from bendshed.admission.quota_limits import QuotaTolerance, tenant_limit
 from bendshed.admission.quota_usage import UsageWindows
 from bendshed.model.service_document import Tenant
 
 WINDOW_MS = 5_000
-LIMIT = limit_of(Tenant("t", rate_per_s=4, burst=10), QuotaTerms(5.0, 0.1, 20))
+LIMIT = tenant_limit(Tenant("t", rate_per_s=4, burst=10), QuotaTolerance(5.0, 0.1, 20))
 NUM_SIBLINGS = 5
 MAX_WAIT_MS = 1_000
 MAX_TRIES = 6
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -8,7 +8,7 @@
 
 from bendshed.admission.quota_allowance import ALLOWANCE_VALID_S, LocalAllowances
 from bendshed.admission.quota_ledger import ARRIVAL_MARGIN_MS, QuotaLedger, QuotaRequest, Rank
-from bendshed.admission.quota_limits import QuotaTerms, TenantLimit, limit_of
+from bendshed.admission.quota_limits import QuotaTolerance, TenantLimit, tenant_limit
 from bendshed.admission.quota_usage import USAGE_MEMORY_MS, UsageWindows
 from bendshed.admission.retry_schedule import (
     MIN_RETRY_AFTER_MS,
@@ -24,7 +24,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 WINDOW_MS = 5_000
-TERMS = QuotaTerms(5.0, 0.1, 20)
+TERMS = QuotaTolerance(5.0, 0.1, 20)
 SMALL = Tenant("small", rate_per_s=3, burst=3)
 EXACT_LIMIT = TenantLimit(10, 10, 10, 10, 0, 0)
 
@@ -173,7 +173,7 @@
         self.assertFalse(self.turn("refused", 1))
 
     def test_programs_under_way_come_before_new_ones(self) -> None:
-        limit = limit_of(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TERMS)
         now_ms, number = 0, 0
         while self.turn(f"new-{number}", now_ms, limit):
             number += 1
@@ -187,13 +187,13 @@
         self.assertGreater(under_way, 5)
 
     def test_within_its_own_limit_a_tenant_is_never_refused(self) -> None:
-        limit = limit_of(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TERMS)
         granted = [self.turn(f"new-{number}", 0, limit) for number in range(18)]
         self.assertEqual(granted, [True] * 18)
 
     def test_first_come_first_served_makes_no_difference(self) -> None:
         self.ledger = QuotaLedger(WINDOW_MS, prioritizes_running_programs=False)
-        limit = limit_of(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TERMS)
         number = 0
         while self.turn(f"new-{number}", 0, limit):
             number += 1
@@ -201,7 +201,7 @@
 
     def test_calls_come_before_turns(self) -> None:
         """A turn is sent again three times; a call that fails ends its program."""
-        limit = limit_of(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TERMS)
         number = 0
         while self.turn(f"turn-{number}", 0, limit, under_way=True, program=str(number)):
             number += 1
@@ -246,7 +246,7 @@
         self.assertTrue(self.turn("in time", back_ms))
 
     def test_allowances_of_all_nodes_stay_under_their_share(self) -> None:
-        limit = limit_of(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TERMS)
         held = 0
         for number in range(40):
             node = f"n{number}"
@@ -270,7 +270,7 @@
         self.assertTrue(self.call("m", 0, limit))
 
     def test_a_new_leader_knows_what_others_allowed(self) -> None:
-        limit = limit_of(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TERMS)
         self.assertEqual(limit.allowances, 3)
         held = sum(self.spare(f"n{number}", 0, limit) for number in range(6))
         self.assertEqual(held, limit.allowances)
@@ -285,7 +285,7 @@
         self.assertEqual(granted + held, int(limit.calls))
 
     def test_allowances_count_before_they_are_committed(self) -> None:
-        limit = limit_of(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TERMS)
         given = [
             self.ledger.extend_allowance(f"n{number}", 0, "t", limit, self.usage, 0)
             for number in range(6)
@@ -309,7 +309,7 @@
         self.assertEqual(totals, [5, 6, 7])
 
     def test_a_tenant_that_hurries_gets_no_allowances(self) -> None:
-        limit = limit_of(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TERMS)
         self.usage.charge("t", 0, 15)
         self.assertEqual(self.spare("n", 0, limit), 0)
 
