--- a/src/bendshed/admission/quota_ledger.py
+++ b/src/bendshed/admission/quota_ledger.py
@@ -156,7 +156,7 @@
         admission = self._decide(request, limit, usage, now_ms)
         if admission.is_granted:
             key = (node, request.tenant)
-            reached = max(node_total, usage.total_of(*key), usage.ceiling(*key))
+            reached = max(node_total, usage.reported_total(*key), usage.ceiling(*key))
             if len(self._granted_totals) >= MAX_GRANTED_TOTALS:
                 self._granted_totals.clear()
             self._granted_totals[key] = max(reached, self._granted_totals.get(key, 0)) + 1
@@ -189,7 +189,9 @@
         held = self._num_allowed(tenant, usage, now_ms)
         num_counted = self._num_counted(tenant, usage, now_ms)
         room = min(limit.allowances - held, limit.allowance_threshold - num_counted)
-        total = max(node_total, usage.total_of(node, tenant), self.granted_total(node, tenant))
+        total = max(
+            node_total, usage.reported_total(node, tenant), self.granted_total(node, tenant)
+        )
         ceiling = max(total, usage.ceiling(node, tenant))
         wanted = min(ALLOWANCE_PER_TURN - (ceiling - total), int(room))
         if wanted <= 0:
@@ -248,6 +250,6 @@
         """Requests that nodes may admit locally, or have admitted and not reported."""
         allowed = usage.num_allowed(tenant, now_ms - self._counted_window_ms - ALLOWANCE_COUNTED_MS)
         for node, ceiling in self._uncommitted_ceilings.get(tenant, {}).items():
-            counted = max(usage.total_of(node, tenant), usage.ceiling(node, tenant))
+            counted = max(usage.reported_total(node, tenant), usage.ceiling(node, tenant))
             allowed += max(0, ceiling - counted)
         return allowed
--- a/src/bendshed/admission/quota_usage.py
+++ b/src/bendshed/admission/quota_usage.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class _Spent:
+class _ReportedTotal:
     """Total that a node last reported of a tenant, and when."""
 
     total: int
@@ -36,10 +36,10 @@
     """
 
     _counts: dict[str, SlidingCount] = field(default_factory=dict)
-    _spent: dict[tuple[str, str], _Spent] = field(default_factory=dict)
+    _reported: dict[tuple[str, str], _ReportedTotal] = field(default_factory=dict)
     _allowances: dict[str, dict[str, _Allowance]] = field(default_factory=dict)
 
-    def allow(self, node: str, tenant: str, ceiling: int, at_ms: int) -> None:
+    def set_allowance(self, node: str, tenant: str, ceiling: int, at_ms: int) -> None:
         """Give a node an allowance: it may admit calls of a tenant up to a total."""
         held = self._allowances.setdefault(tenant, {}).get(node)
         if held is None or ceiling >= held.ceiling:
@@ -53,7 +53,7 @@
     def num_allowed(self, tenant: str, since_ms: int) -> int:
         """Calls that nodes may admit, or have and did not report, by allowances since a time."""
         return sum(
-            max(0, held.ceiling - self.total_of(node, tenant))
+            max(0, held.ceiling - self.reported_total(node, tenant))
             for node, held in self._allowances.get(tenant, {}).items()
             if held.at_ms >= since_ms
         )
@@ -62,17 +62,19 @@
         """Count requests of a tenant."""
         self._counts.setdefault(tenant, SlidingCount()).add(at_ms, count)
 
-    def take_report(self, node: str, spent: Iterable[wire.TenantSpent], at_ms: int) -> None:
+    def apply_report(self, node: str, spent: Iterable[wire.TenantSpent], at_ms: int) -> None:
         """Count what a node has admitted since its last report."""
         for row in spent:
-            known = self._spent.setdefault((node, row.tenant), _Spent(row.reported, at_ms))
+            known = self._reported.setdefault(
+                (node, row.tenant), _ReportedTotal(row.reported, at_ms)
+            )
             if row.total > known.total:
                 self.charge(row.tenant, at_ms, row.total - known.total)
                 known.total = row.total
             known.at_ms = at_ms
-            self._end_allowance(node, row.tenant, max(known.total, row.lapsed_ceiling))
+            self._remove_allowance(node, row.tenant, max(known.total, row.lapsed_ceiling))
 
-    def _end_allowance(self, node: str, tenant: str, reached: int) -> None:
+    def _remove_allowance(self, node: str, tenant: str, reached: int) -> None:
         """Remove an allowance that was used up or has lapsed."""
         of_tenant = self._allowances.get(tenant, {})
         held = of_tenant.get(node)
@@ -81,9 +83,9 @@
             if not of_tenant:
                 del self._allowances[tenant]
 
-    def total_of(self, node: str, tenant: str) -> int:
+    def reported_total(self, node: str, tenant: str) -> int:
         """Calls of a tenant that a node has reported, in all."""
-        known = self._spent.get((node, tenant))
+        known = self._reported.get((node, tenant))
         return known.total if known is not None else 0
 
     def in_window(self, tenant: str, now_ms: int, window_ms: int) -> int:
@@ -107,17 +109,17 @@
             self._allowances[tenant] = valid
             if not valid:
                 del self._allowances[tenant]
-        for key in [key for key, known in self._spent.items() if known.at_ms < oldest_ms]:
-            del self._spent[key]
+        for key in [key for key, known in self._reported.items() if known.at_ms < oldest_ms]:
+            del self._reported[key]
 
     # --- snapshot --------------------------------------------------------------------------
 
-    def pieces(self) -> Iterator[wire.TurnLogSnapshot]:
+    def snapshot_parts(self) -> Iterator[wire.TurnLogSnapshot]:
         """Parts of a snapshot."""
         for tenant, held in self._counts.items():
             spans = [wire.UsageSpan(at_ms=span.at_ms, count=span.count) for span in held.spans]
             yield wire.TurnLogSnapshot(usage=[wire.TenantUsage(tenant=tenant, spans=spans)])
-        for (node, tenant), known in self._spent.items():
+        for (node, tenant), known in self._reported.items():
             row = wire.NodeSpent(node=node, tenant=tenant, total=known.total, at_ms=known.at_ms)
             yield wire.TurnLogSnapshot(spent=[row])
         for tenant, nodes in self._allowances.items():
@@ -128,14 +130,16 @@
             yield wire.TurnLogSnapshot(allowances=rows)
 
     @classmethod
-    def of_snapshot(cls, snapshot: wire.TurnLogSnapshot) -> "UsageWindows":
+    def from_snapshot(cls, snapshot: wire.TurnLogSnapshot) -> "UsageWindows":
         """Read them back."""
         counts = {
             row.tenant: SlidingCount.of_spans(Span(span.at_ms, span.count) for span in row.spans)
             for row in snapshot.usage
         }
-        spent = {(row.node, row.tenant): _Spent(row.total, row.at_ms) for row in snapshot.spent}
+        spent = {
+            (row.node, row.tenant): _ReportedTotal(row.total, row.at_ms) for row in snapshot.spent
+        }
         windows = cls(counts, spent)
         for row in snapshot.allowances:
-            windows.allow(row.node, row.tenant, row.ceiling, row.at_ms)
+            windows.set_allowance(row.node, row.tenant, row.ceiling, row.at_ms)
         return windows
--- a/src/bendshed/turns/state.py
+++ b/src/bendshed/turns/state.py
@@ -54,10 +54,12 @@
         if before_ms // SWEEP_INTERVAL_MS != self.clock_ms // SWEEP_INTERVAL_MS:
             self._sweep()
         if command.HasField("spent"):
-            self.usage.take_report(command.spent.node, command.spent.spent, self.clock_ms)
+            self.usage.apply_report(command.spent.node, command.spent.spent, self.clock_ms)
         if command.HasField("allowance"):
             allowance = command.allowance
-            self.usage.allow(allowance.node, allowance.tenant, allowance.ceiling, self.clock_ms)
+            self.usage.set_allowance(
+                allowance.node, allowance.tenant, allowance.ceiling, self.clock_ms
+            )
         match command.WhichOneof("command"):
             case "begin":
                 return self._begin(command.begin)
@@ -85,7 +87,7 @@
         for (tenant, program_id), program in self.programs.items():
             budget = program.to_wire(tenant, program_id)
             yield wire.TurnLogSnapshot(programs=[budget]).SerializeToString()
-        for piece in self.usage.pieces():
+        for piece in self.usage.snapshot_parts():
             yield piece.SerializeToString()
 
     def restore(self, state: bytes) -> None:
@@ -96,7 +98,7 @@
         self.programs = {
             (row.tenant, row.program_id): ProgramBudget.from_wire(row) for row in snapshot.programs
         }
-        self.usage = UsageWindows.of_snapshot(snapshot)
+        self.usage = UsageWindows.from_snapshot(snapshot)
 
     # --- begin ---------------------------------------------------------------------------
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -69,15 +69,15 @@
             for total, told in ((2, 0), (5, 2), (5, 2), (2, 0), (6, 5))
         ]
         for row in rows:
-            usage.take_report("n", [row], 100)
+            usage.apply_report("n", [row], 100)
         self.assertEqual(usage.in_window("t", 100, WINDOW_MS), 6)
 
     def test_a_node_that_was_forgotten_is_not_counted_anew(self) -> None:
         usage = UsageWindows()
-        usage.take_report("n", [wire.TenantSpent(tenant="t", total=50)], 0)
+        usage.apply_report("n", [wire.TenantSpent(tenant="t", total=50)], 0)
         usage.sweep(2 * USAGE_MEMORY_MS)
         row = wire.TenantSpent(tenant="t", total=51, reported=50)
-        usage.take_report("n", [row], 2 * USAGE_MEMORY_MS)
+        usage.apply_report("n", [row], 2 * USAGE_MEMORY_MS)
         self.assertEqual(usage.in_window("t", 2 * USAGE_MEMORY_MS, WINDOW_MS), 1)
 
 
@@ -119,19 +119,19 @@
         """What a node is allowed after a turn; committed as the turn's end is."""
         ceiling = self.ledger.extend_allowance(node, 0, "t", limit, self.usage, now_ms)
         if ceiling:
-            self.usage.allow(node, "t", ceiling, now_ms)
+            self.usage.set_allowance(node, "t", ceiling, now_ms)
             self.ledger.settle_allowance(node, "t")
         return ceiling
 
     def call(self, node: str, now_ms: int, limit: TenantLimit = EXACT_LIMIT) -> bool:
         """Ask for a call; it is committed as it is granted."""
         request = QuotaRequest("c", "t", node, Rank.CALL)
-        total = self.usage.total_of(node, "t")
+        total = self.usage.reported_total(node, "t")
         granted = self.ledger.admit_call(request, node, total, limit, self.usage, now_ms).is_granted
         if granted:
             reached = self.ledger.granted_total(node, "t")
             row = wire.TenantSpent(tenant="t", total=reached, reported=total)
-            self.usage.take_report(node, [row], now_ms)
+            self.usage.apply_report(node, [row], now_ms)
             self.ledger.settle_call("t")
         return granted
 
@@ -266,7 +266,7 @@
         limit = TenantLimit(2, 2, 2, 2, 2, 2)
         self.spare("n", 0, limit)
         self.assertFalse(self.call("m", 0, limit))
-        self.usage.take_report("n", [wire.TenantSpent(tenant="t", lapsed_ceiling=2)], 0)
+        self.usage.apply_report("n", [wire.TenantSpent(tenant="t", lapsed_ceiling=2)], 0)
         self.assertTrue(self.call("m", 0, limit))
 
     def test_a_new_leader_knows_what_others_allowed(self) -> None:
@@ -275,9 +275,9 @@
         held = sum(self.spare(f"n{number}", 0, limit) for number in range(6))
         self.assertEqual(held, limit.allowances)
         restored = wire.TurnLogSnapshot()
-        for piece in self.usage.pieces():
+        for piece in self.usage.snapshot_parts():
             restored.MergeFrom(piece)
-        self.usage = UsageWindows.of_snapshot(restored)
+        self.usage = UsageWindows.from_snapshot(restored)
         self.ledger.begin_term(2)
         granted = 0
         while self.call(f"m{granted}", 0, limit):
--- a/tests/test_turn_state.py
+++ b/tests/test_turn_state.py
@@ -192,7 +192,7 @@
         copy.state.restore(log.state.snapshot())
         for state in (log.state, copy.state):
             self.assertEqual(state.usage.in_window("one", 0, 5000), 4)
-            self.assertEqual(state.usage.total_of("n", "one"), 3)
+            self.assertEqual(state.usage.reported_total("n", "one"), 3)
 
 
 class BudgetTest(unittest.TestCase):
