--- a/src/bendshed/admission/quota_ledger.py
+++ b/src/bendshed/admission/quota_ledger.py
@@ -220,7 +220,7 @@
         rank = request.rank if self.prioritizes_running_programs else Rank.CALL
         num_counted = self._num_counted(tenant, usage, now_ms)
         schedule = self._retry_schedules.setdefault(tenant, RetrySchedule())
-        num_expected = schedule.num_others(request.chain_key, now_ms)
+        num_expected = schedule.num_expected_others(request.chain_key, now_ms)
         is_new = rank is Rank.NEW_PROGRAM
         excess = num_counted + 1 + (num_expected if is_new else 0) - rank.max_count(limit)
         num_allowed = self._num_allowed(tenant, usage, now_ms)
--- a/src/bendshed/admission/retry_schedule.py
+++ b/src/bendshed/admission/retry_schedule.py
@@ -16,7 +16,7 @@
 MIN_RETRY_AFTER_MS = 100
 """Shortest time that a caller is told. A round trip takes some ms; callers that come back sooner
 use up their tries: three of a call, six of a turn."""
-LATE_MS = 500
+RETURN_GRACE_MS = 500
 """A chain that has not come back this long after its time is no longer expected, and its place
 goes to others."""
 
@@ -64,13 +64,13 @@
 
     def note(self, chain: ChainKey, returns_ms: int) -> None:
         """A chain was told to come back at this time."""
-        self._expected_until_ms[chain] = returns_ms + LATE_MS
+        self._expected_until_ms[chain] = returns_ms + RETURN_GRACE_MS
 
     def forget(self, chain: ChainKey) -> None:
         """A chain was admitted."""
         self._expected_until_ms.pop(chain, None)
 
-    def num_others(self, chain: ChainKey, now_ms: int) -> int:
+    def num_expected_others(self, chain: ChainKey, now_ms: int) -> int:
         """Other chains that are still expected back."""
         expected = self._expected_until_ms
         for late in [name for name, until_ms in expected.items() if until_ms < now_ms]:
--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -139,7 +139,7 @@
         """Permits that rejected requests of running programs will request again."""
         if not request.is_new_program:
             return 0
-        return self._retries[False].num_others(request.retry_key, int(1000 * now_s))
+        return self._retries[False].num_expected_others(request.retry_key, int(1000 * now_s))
 
     def _room(self, runner: ServiceRunner, request: PermitRequest, now_s: float) -> int:
         rate = self.tracker.rate_of(runner.runner_id)
@@ -192,7 +192,7 @@
         self.grants.sweep(now_s)
         now_ms = int(1000 * now_s)
         retries = self._retries[request.is_new_program]
-        num_before = retries.num_others(request.retry_key, now_ms)
+        num_before = retries.num_expected_others(request.retry_key, now_ms)
         retry_ms = self._retry_after_ms(runners, request, num_before, now_s)
         retries.note(request.retry_key, now_ms + retry_ms)
         self._note_rejected(request.request_id, retry_ms, now_s)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -385,11 +385,11 @@
         schedule = RetrySchedule()
         for name, returns_ms in (("a", 100), ("b", 2_000)):
             schedule.note(("program", name), returns_ms)
-        self.assertEqual(schedule.num_others(("program", "c"), 600), 2)
-        self.assertEqual(schedule.num_others(("program", "b"), 600), 1)
-        self.assertEqual(schedule.num_others(("program", "c"), 601), 1)
+        self.assertEqual(schedule.num_expected_others(("program", "c"), 600), 2)
+        self.assertEqual(schedule.num_expected_others(("program", "b"), 600), 1)
+        self.assertEqual(schedule.num_expected_others(("program", "c"), 601), 1)
         schedule.forget(("program", "b"))
-        self.assertEqual(schedule.num_others(("program", "c"), 601), 0)
+        self.assertEqual(schedule.num_expected_others(("program", "c"), 601), 0)
 
 
 class PromisedTurnTest(unittest.TestCase):
