--- a/src/bendshed/admission/cold_permits.py
+++ b/src/bendshed/admission/cold_permits.py
@@ -25,7 +25,7 @@
 
 from dataclasses import dataclass, field
 
-from bendshed.admission.sliding_window import SPAN_MS, SlidingCount
+from bendshed.admission.sliding_window import BUCKET_MS, SlidingWindowCounter
 from bendshed.placement.cold_runners import ColdTerms
 
 PERMIT_VALID_S = 0.25
@@ -104,7 +104,7 @@
     terms: ColdTerms = field(default_factory=ColdTerms)
     num_leaders: int = 1
     leadership: LeadershipTracker = field(default_factory=LeadershipTracker)
-    _granted: dict[str, SlidingCount] = field(default_factory=dict)
+    _granted: dict[str, SlidingWindowCounter] = field(default_factory=dict)
 
     def max_permits(self, cold_per_s: float, is_new_program: bool, now_s: float) -> int:
         """Most permits for one runner within a window; fewer for requests of new programs."""
@@ -128,8 +128,8 @@
 
     def grant(self, runner_id: str, now_s: float) -> None:
         """Count one permit."""
-        counts = self._granted.setdefault(runner_id, SlidingCount())
-        counts.forget_before(_oldest_ms(now_s))
+        counts = self._granted.setdefault(runner_id, SlidingWindowCounter())
+        counts.drop_before(_oldest_ms(now_s))
         counts.add(_ms(now_s))
 
     def wait_ms(self, runner_id: str, cold_per_s: float, is_new_program: bool, now_s: float) -> int:
@@ -147,7 +147,7 @@
         """Forget permits that are in no window any more."""
         oldest_ms = _oldest_ms(now_s)
         for runner_id in [
-            r for r, counts in self._granted.items() if counts.forget_before(oldest_ms)
+            r for r, counts in self._granted.items() if counts.drop_before(oldest_ms)
         ]:
             del self._granted[runner_id]
 
@@ -158,4 +158,4 @@
 
 def _oldest_ms(now_s: float) -> int:
     """Begin of the oldest span that a window may still hold, in milliseconds."""
-    return _ms(now_s) - WINDOW_MS - SPAN_MS
+    return _ms(now_s) - WINDOW_MS - BUCKET_MS
--- a/src/bendshed/admission/quota_usage.py
+++ b/src/bendshed/admission/quota_usage.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from bendshed.admission.sliding_window import SlidingCount, Span
+from bendshed.admission.sliding_window import Bucket, SlidingWindowCounter
 from bendshed.wire import turns_pb2 as wire
 
 USAGE_MEMORY_MS = 12_000
@@ -35,7 +35,7 @@
     carries a total that only rises.
     """
 
-    _counts: dict[str, SlidingCount] = field(default_factory=dict)
+    _counts: dict[str, SlidingWindowCounter] = field(default_factory=dict)
     _reported: dict[tuple[str, str], _ReportedTotal] = field(default_factory=dict)
     _allowances: dict[str, dict[str, _Allowance]] = field(default_factory=dict)
 
@@ -60,7 +60,7 @@
 
     def charge(self, tenant: str, at_ms: int, count: int) -> None:
         """Count requests of a tenant."""
-        self._counts.setdefault(tenant, SlidingCount()).add(at_ms, count)
+        self._counts.setdefault(tenant, SlidingWindowCounter()).add(at_ms, count)
 
     def apply_report(self, node: str, spent: Iterable[wire.TenantSpent], at_ms: int) -> None:
         """Count what a node has admitted since its last report."""
@@ -95,13 +95,13 @@
 
     def wait_ms(self, tenant: str, now_ms: int, window_ms: int, excess: float) -> int:
         """Time in ms until ``excess`` of the counted requests have left the window."""
-        held = self._counts.get(tenant, SlidingCount())
+        held = self._counts.get(tenant, SlidingWindowCounter())
         return held.wait_ms(now_ms, window_ms, excess)
 
     def sweep(self, now_ms: int) -> None:
         """Remove what no window holds any more."""
         oldest_ms = now_ms - USAGE_MEMORY_MS
-        for tenant in [t for t, held in self._counts.items() if held.forget_before(oldest_ms)]:
+        for tenant in [t for t, held in self._counts.items() if held.drop_before(oldest_ms)]:
             del self._counts[tenant]
         for tenant in list(self._allowances):
             held = self._allowances[tenant]
@@ -117,7 +117,9 @@
     def snapshot_parts(self) -> Iterator[wire.TurnLogSnapshot]:
         """Parts of a snapshot."""
         for tenant, held in self._counts.items():
-            spans = [wire.UsageSpan(at_ms=span.at_ms, count=span.count) for span in held.spans]
+            spans = [
+                wire.UsageSpan(at_ms=bucket.at_ms, count=bucket.count) for bucket in held.buckets
+            ]
             yield wire.TurnLogSnapshot(usage=[wire.TenantUsage(tenant=tenant, spans=spans)])
         for (node, tenant), known in self._reported.items():
             row = wire.NodeSpent(node=node, tenant=tenant, total=known.total, at_ms=known.at_ms)
@@ -133,7 +135,9 @@
     def from_snapshot(cls, snapshot: wire.TurnLogSnapshot) -> "UsageWindows":
         """Read them back."""
         counts = {
-            row.tenant: SlidingCount.of_spans(Span(span.at_ms, span.count) for span in row.spans)
+            row.tenant: SlidingWindowCounter.from_buckets(
+                Bucket(bucket.at_ms, bucket.count) for bucket in row.spans
+            )
             for row in snapshot.usage
         }
         spent = {
--- a/src/bendshed/admission/sliding_window.py
+++ b/src/bendshed/admission/sliding_window.py
@@ -4,64 +4,64 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-SPAN_MS = 50
-"""Events of one span are counted together, as if all had come at its end. So a count is never too
-small, and may hold events that are up to ``SPAN_MS`` older than the window."""
+BUCKET_MS = 50
+"""Events of one bucket are counted together, as if all had come at its end. So a count is never too
+small, and may hold events that are up to ``BUCKET_MS`` older than the window."""
 
 
 @dataclass(slots=True)
-class Span:
-    """Events whose time lies in ``[at_ms, at_ms + SPAN_MS)``."""
+class Bucket:
+    """Events whose time lies in ``[at_ms, at_ms + BUCKET_MS)``."""
 
     at_ms: int
     count: int
 
 
 @dataclass(slots=True)
-class SlidingCount:
+class SlidingWindowCounter:
     """Events by time, counted in windows that end now; times are added in order.
 
     Attributes:
-        spans: the oldest first.
+        buckets: the oldest first.
 
     """
 
-    spans: deque[Span] = field(default_factory=deque)
+    buckets: deque[Bucket] = field(default_factory=deque)
 
     @classmethod
-    def of_spans(cls, spans: Iterable[Span]) -> "SlidingCount":
-        """Restore a count from its ``spans``."""
-        return cls(deque(spans))
+    def from_buckets(cls, buckets: Iterable[Bucket]) -> "SlidingWindowCounter":
+        """Restore a count from its ``buckets``."""
+        return cls(deque(buckets))
 
     def add(self, at_ms: int, count: int = 1) -> None:
         """Count events."""
-        begins_ms = at_ms - at_ms % SPAN_MS
-        if self.spans and self.spans[-1].at_ms == begins_ms:
-            self.spans[-1].count += count
+        begins_ms = at_ms - at_ms % BUCKET_MS
+        if self.buckets and self.buckets[-1].at_ms == begins_ms:
+            self.buckets[-1].count += count
         else:
-            self.spans.append(Span(begins_ms, count))
+            self.buckets.append(Bucket(begins_ms, count))
 
     def in_window(self, now_ms: int, window_ms: int) -> int:
         """Events counted in the window that ends now."""
-        return sum(span.count for span in self._inside(now_ms, window_ms))
+        return sum(bucket.count for bucket in self._buckets_in_window(now_ms, window_ms))
 
     def wait_ms(self, now_ms: int, window_ms: int, excess: float) -> int:
         """Time in ms until ``excess`` of the counted events have left the window."""
         left = 0
-        for span in self._inside(now_ms, window_ms):
-            left += span.count
+        for bucket in self._buckets_in_window(now_ms, window_ms):
+            left += bucket.count
             if left >= excess:
-                return span.at_ms + SPAN_MS + window_ms - now_ms
-        return window_ms + SPAN_MS
+                return bucket.at_ms + BUCKET_MS + window_ms - now_ms
+        return window_ms + BUCKET_MS
 
-    def _inside(self, now_ms: int, window_ms: int) -> Iterator[Span]:
+    def _buckets_in_window(self, now_ms: int, window_ms: int) -> Iterator[Bucket]:
         oldest_ms = now_ms - window_ms
-        for span in self.spans:
-            if span.at_ms + SPAN_MS > oldest_ms:
-                yield span
-
-    def forget_before(self, oldest_ms: int) -> bool:
-        """Remove older spans; ``True``: nothing is left."""
-        while self.spans and self.spans[0].at_ms < oldest_ms:
-            self.spans.popleft()
-        return not self.spans
+        for bucket in self.buckets:
+            if bucket.at_ms + BUCKET_MS > oldest_ms:
+                yield bucket
+
+    def drop_before(self, oldest_ms: int) -> bool:
+        """Remove older buckets; ``True``: nothing is left."""
+        while self.buckets and self.buckets[0].at_ms < oldest_ms:
+            self.buckets.popleft()
+        return not self.buckets
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -9,7 +9,7 @@
 from bendshed.admission.quota_allowance import LocalAllowances
 from bendshed.admission.quota_ledger import QuotaLedger
 from bendshed.admission.quota_usage import UsageWindows
-from bendshed.admission.sliding_window import SlidingCount
+from bendshed.admission.sliding_window import SlidingWindowCounter
 from bendshed.consensus.raft import RaftReplica
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.model.route_index import RouteIndex
@@ -247,9 +247,11 @@
     return True
 
 
-def _inside_fixed_span(count: SlidingCount, now_ms: int, window_ms: int) -> Iterator[object]:
+def _buckets_in_fixed_window(
+    count: SlidingWindowCounter, now_ms: int, window_ms: int
+) -> Iterator[object]:
     begins_ms = now_ms - now_ms % window_ms
-    return (span for span in count.spans if span.at_ms >= begins_ms)
+    return (bucket for bucket in count.buckets if bucket.at_ms >= begins_ms)
 
 
 _REAL_INDEX = AccessIndex.__init__
@@ -368,7 +370,9 @@
         patch(LocalAllowances, "try_admit", _spend_always),
     ),
     "windows are fixed spans": Defect(
-        Rule.QUOTA, a_tenant_floods_in_bursts, patch(SlidingCount, "_inside", _inside_fixed_span)
+        Rule.QUOTA,
+        a_tenant_floods_in_bursts,
+        patch(SlidingWindowCounter, "_buckets_in_window", _buckets_in_fixed_window),
     ),
     "keys of older configurations stay known": Defect(
         Rule.ACCESS, a_key_is_removed, patch(AccessIndex, "__init__", _index_of_all_versions)
--- a/tests/test_cold_runners.py
+++ b/tests/test_cold_runners.py
@@ -208,7 +208,7 @@
         grants = ColdPermitCounts(TERMS)
         for number in range(10_000):
             grants.grant("r", number / 100)
-        self.assertLess(len(grants._granted["r"].spans), 30)
+        self.assertLess(len(grants._granted["r"].buckets), 30)
 
     def test_what_no_window_holds_is_forgotten(self) -> None:
         grants = ColdPermitCounts(TERMS)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -16,7 +16,7 @@
     cold_retry_after_ms,
     quota_retry_after_ms,
 )
-from bendshed.admission.sliding_window import SPAN_MS
+from bendshed.admission.sliding_window import BUCKET_MS
 from bendshed.catalog.state import Catalog
 from bendshed.model.service_document import ServiceDocument, Tenant
 from bendshed.turns.quota_counting import QuotaCounting
@@ -45,10 +45,10 @@
         for at_ms in sorted(times):
             usage.charge("t", at_ms, 1)
         really = sum(1 for t in times if t > now_ms - WINDOW_MS)
-        with_spans = sum(1 for t in times if t > now_ms - WINDOW_MS - SPAN_MS)
+        with_buckets = sum(1 for t in times if t > now_ms - WINDOW_MS - BUCKET_MS)
         counted = usage.in_window("t", now_ms, WINDOW_MS)
         self.assertLessEqual(really, counted)
-        self.assertLessEqual(counted, with_spans)
+        self.assertLessEqual(counted, with_buckets)
 
     @settings(max_examples=200)
     @given(st.lists(st.integers(0, 9_000), min_size=1, max_size=30), st.integers(1, 30))
@@ -228,7 +228,7 @@
             self.turn(str(number), 0, limit, under_way=True)
         for program in ("a", "b"):
             self.assertFalse(self.turn(f"{program}-1", 4_900, limit, True, program=program))
-        back_ms = WINDOW_MS + ARRIVAL_MARGIN_MS + SPAN_MS
+        back_ms = WINDOW_MS + ARRIVAL_MARGIN_MS + BUCKET_MS
         for number in range(8):
             self.assertTrue(
                 self.turn(f"new-{number}", back_ms + number, TenantLimit(10, 10, 99, 99, 0, 0))
@@ -242,7 +242,7 @@
         request = QuotaRequest("x", "t", "x", Rank.NEW_PROGRAM)
         admission = self.ledger.admit_turn(request, EXACT_LIMIT, self.usage, 1_000)
         back_ms = 1_000 + admission.retry_after_ms
-        self.assertFalse(self.turn("too early", back_ms - SPAN_MS - 1))
+        self.assertFalse(self.turn("too early", back_ms - BUCKET_MS - 1))
         self.assertTrue(self.turn("in time", back_ms))
 
     def test_allowances_of_all_nodes_stay_under_their_share(self) -> None:
