--- a/src/bendshed/admission/standing_reservations.py
+++ b/src/bendshed/admission/standing_reservations.py
@@ -10,7 +10,7 @@
 """A front that runs ends its turns within this time of finding a leader (``turn_ends.py``: a pause
 and a time-out). What stands longer belongs to a turn that runs for long, or to one whose front is
 away."""
-RETRY_AFTER_MS = 300
+RESERVED_RETRY_AFTER_MS = 300
 """When a turn is told to come back that only reservations hold back: after some commits."""
 STANDING_RETRY_AFTER_MS = 1_000
 """The same where reservations that stand hold it back."""
--- a/src/bendshed/turns/codec.py
+++ b/src/bendshed/turns/codec.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from bendshed.admission.budget_use import BudgetStatus, BudgetUse
-from bendshed.admission.standing_reservations import RETRY_AFTER_MS
+from bendshed.admission.standing_reservations import RESERVED_RETRY_AFTER_MS
 from bendshed.wire import turns_pb2 as wire
 
 
@@ -148,7 +148,7 @@
         reply.answer = wire.TURN_ANSWER_BUDGET_SPENT
     elif verdict is BudgetStatus.RESERVED:
         reply.answer = wire.TURN_ANSWER_BUDGET_RESERVED
-        reply.retry_after_ms = RETRY_AFTER_MS
+        reply.retry_after_ms = RESERVED_RETRY_AFTER_MS
 
 
 def no_room_reply(retry_after_ms: int) -> wire.TurnReply:
