--- a/src/bendshed/admission/quota_ledger.py
+++ b/src/bendshed/admission/quota_ledger.py
@@ -16,7 +16,7 @@
 from bendshed.admission.quota_limits import TenantLimit
 from bendshed.admission.quota_usage import UsageWindows
 from bendshed.admission.retry_schedule import ChainKey, RetrySchedule, quota_retry_after_ms
-from bendshed.admission.turn_reservations import Admission, TurnReservations
+from bendshed.admission.turn_reservations import AdmissionDecision, TurnReservations
 
 ARRIVAL_MARGIN_MS = 100
 """The window is judged this much longer than it is: a request reaches its runner up to 100 ms after
@@ -111,7 +111,7 @@
 
     def admit_turn(
         self, request: QuotaRequest, limit: TenantLimit, usage: UsageWindows, now_ms: int
-    ) -> Admission:
+    ) -> AdmissionDecision:
         """Reserve a place for a turn, or reject it; a repeated request gets the same decision."""
         self._turns.expire(now_ms)
         known = self._turns.decision(request.request_id)
@@ -125,7 +125,7 @@
         """Count a turn that was dispatched on an earlier leader's uncommitted reservation."""
         self._turns.expire(now_ms)
         self._turns.withdraw(request.request_id)
-        self._turns.note(request.request_id, request.tenant, Admission(True, 0, 0), now_ms)
+        self._turns.note(request.request_id, request.tenant, AdmissionDecision(True, 0, 0), now_ms)
 
     def settle_turn(self, request_id: str) -> None:
         """An admitted turn was committed, so that it is counted there, or will not run."""
@@ -141,7 +141,7 @@
         limit: TenantLimit,
         usage: UsageWindows,
         now_ms: int,
-    ) -> Admission:
+    ) -> AdmissionDecision:
         """Decide on a request that is no turn; an admitted one counts until it is committed.
 
         Args:
@@ -210,7 +210,7 @@
 
     def _decide(
         self, request: QuotaRequest, limit: TenantLimit, usage: UsageWindows, now_ms: int
-    ) -> Admission:
+    ) -> AdmissionDecision:
         """Admit while the count with this request stays within the limit of its rank.
 
         A new program leaves room for all chains that are expected back. Any other request may take
@@ -226,7 +226,7 @@
         num_allowed = self._num_allowed(tenant, usage, now_ms)
         if excess <= 0:
             schedule.forget(request.chain_key)
-            return Admission(True, num_counted, num_allowed)
+            return AdmissionDecision(True, num_counted, num_allowed)
         retry_after_ms = quota_retry_after_ms(
             lambda count: usage.wait_ms(tenant, now_ms, self._counted_window_ms, count),
             excess,
@@ -234,7 +234,7 @@
         )
         if request.rank is not Rank.NEW_PROGRAM:
             schedule.note(request.chain_key, now_ms + retry_after_ms)
-        return Admission(False, num_counted, num_allowed, retry_after_ms)
+        return AdmissionDecision(False, num_counted, num_allowed, retry_after_ms)
 
     @property
     def _counted_window_ms(self) -> int:
--- a/src/bendshed/admission/turn_reservations.py
+++ b/src/bendshed/admission/turn_reservations.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Admission:
+class AdmissionDecision:
     """The decision on one request.
 
     Attributes:
@@ -25,8 +25,8 @@
 
 
 @dataclass(slots=True)
-class _Decision:
-    admission: Admission
+class _ReservedTurn:
+    admission: AdmissionDecision
     tenant: str
     at_ms: int
     is_open: bool
@@ -40,7 +40,7 @@
 
     """
 
-    _decided: "OrderedDict[str, _Decision]" = field(default_factory=OrderedDict)
+    _decided: "OrderedDict[str, _ReservedTurn]" = field(default_factory=OrderedDict)
     _num_open: dict[str, int] = field(default_factory=dict)
 
     def clear(self) -> None:
@@ -48,7 +48,7 @@
         self._decided.clear()
         self._num_open.clear()
 
-    def decision(self, turn_id: str) -> Admission | None:
+    def decision(self, turn_id: str) -> AdmissionDecision | None:
         """What was decided on a turn; ``None``: nothing yet."""
         known = self._decided.get(turn_id)
         return known.admission if known is not None else None
@@ -57,10 +57,10 @@
         """Places that a tenant's turns hold."""
         return self._num_open.get(tenant, 0)
 
-    def note(self, turn_id: str, tenant: str, admission: Admission, now_ms: int) -> None:
+    def note(self, turn_id: str, tenant: str, admission: AdmissionDecision, now_ms: int) -> None:
         """Remember a decision."""
         is_open = admission.is_granted
-        self._decided[turn_id] = _Decision(admission, tenant, now_ms, is_open)
+        self._decided[turn_id] = _ReservedTurn(admission, tenant, now_ms, is_open)
         if is_open:
             self._num_open[tenant] = self._num_open.get(tenant, 0) + 1
 
@@ -84,7 +84,7 @@
                 return
             self.withdraw(turn_id)
 
-    def _close(self, decision: _Decision) -> None:
+    def _close(self, decision: _ReservedTurn) -> None:
         if not decision.is_open:
             return
         decision.is_open = False
--- a/src/bendshed/turns/quota_counting.py
+++ b/src/bendshed/turns/quota_counting.py
@@ -6,7 +6,7 @@
 
 from bendshed.admission.quota_ledger import QuotaLedger, QuotaRequest, Rank
 from bendshed.admission.quota_limits import QuotaTolerance, TenantLimit, tenant_limit
-from bendshed.admission.turn_reservations import Admission
+from bendshed.admission.turn_reservations import AdmissionDecision
 from bendshed.catalog.state import Catalog
 from bendshed.logs import PartLog
 from bendshed.turns.codec import (
@@ -128,7 +128,7 @@
         return self._limits.get(tenant)
 
     def _log_rejection(
-        self, request: QuotaRequest, admission: Admission, limit: TenantLimit
+        self, request: QuotaRequest, admission: AdmissionDecision, limit: TenantLimit
     ) -> None:
         log.say(
             "request rejected: the tenant's quota is used",
