--- a/src/bendshed/dispatch/call_steps.py
+++ b/src/bendshed/dispatch/call_steps.py
@@ -22,7 +22,7 @@
 
     Attributes:
         live: what its callers read.
-        order_until_s: loop time until which it may wait for its predecessor.
+        predecessor_deadline_s: loop time until which it may wait for its predecessor.
         failed_runners: where an attempt failed.
         known_call, known_digest: history that this node holds.
         streamed_whole: the live answer holds a stream up to its last event.
@@ -31,7 +31,7 @@
     """
 
     live: LiveAnswer
-    order_until_s: float
+    predecessor_deadline_s: float
     failed_runners: set[str]
     known_call: int = 0
     known_digest: bytes = b""
--- a/src/bendshed/dispatch/executor.py
+++ b/src/bendshed/dispatch/executor.py
@@ -27,11 +27,11 @@
 from bendshed.routing.scheduler import Scheduler
 from bendshed.wire import programs_pb2 as wire
 
-ORDER_WAIT_S = 10.0
+PREDECESSOR_TIMEOUT_S = 10.0
 """How long a call waits for its predecessor before it is closed unrun."""
-FINISHED_READABLE_S = 5.0
+ANSWER_RETENTION_S = 5.0
 """A finished answer stays readable on this node for a caller that reconnects."""
-HAND_BACK_LIMIT_S = 5.0
+GRANT_RETURN_TIMEOUT_S = 5.0
 """A node that stops waits this long for groups that take grants back: they may have no leader."""
 
 log = PartLog("dispatch")
@@ -69,7 +69,7 @@
         )
         self._requests: dict[str, CallRequest] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._hand_backs: set[asyncio.Task[None]] = set()
+        self._grant_returns: set[asyncio.Task[None]] = set()
         transport.handlers[EXECUTING_METHOD] = self._on_executing
 
     # --- entry ---------------------------------------------------------------------------
@@ -90,15 +90,15 @@
         self.live[request.key] = live
         self._requests[request.request_id] = request
         self._retries.record_first_attempt()
-        self._spawn(self._run_guarded(live), self._tasks)
+        self._spawn(self._run_to_outcome(live), self._tasks)
         return live
 
     async def drain(self) -> None:
         """Wait until every call under way has its outcome."""
         while self._tasks:
             await asyncio.wait(list(self._tasks))
-        if self._hand_backs:
-            await asyncio.wait(list(self._hand_backs), timeout=HAND_BACK_LIMIT_S)
+        if self._grant_returns:
+            await asyncio.wait(list(self._grant_returns), timeout=GRANT_RETURN_TIMEOUT_S)
 
     @staticmethod
     def _spawn(work: Coroutine[Any, Any, None], among: "set[asyncio.Task[None]]") -> None:
@@ -111,10 +111,10 @@
         executing = question.request_id in self._requests
         return wire.ExecutingReply(executing=executing).SerializeToString()
 
-    async def _run_guarded(self, live: LiveAnswer) -> None:
+    async def _run_to_outcome(self, live: LiveAnswer) -> None:
         loop = asyncio.get_running_loop()
         request = live.request
-        run = CallRun(live, loop.time() + ORDER_WAIT_S, set())
+        run = CallRun(live, loop.time() + PREDECESSOR_TIMEOUT_S, set())
         may_hold_grant = False
         try:
             outcome = await self._run(run)
@@ -125,13 +125,13 @@
             log.say("call failed: internal error", error=repr(error), call=request.call_number)
             outcome = Refusal(ErrorKind.INTERNAL, "internal error; ask again with the same key")
         if may_hold_grant:
-            self._spawn(self._hand_back(run), self._hand_backs)
+            self._spawn(self._return_grant(run), self._grant_returns)
         else:
             self._requests.pop(request.request_id, None)
         live.finish(outcome)
-        loop.call_later(FINISHED_READABLE_S, self._forget, live)
+        loop.call_later(ANSWER_RETENTION_S, self._forget, live)
 
-    async def _hand_back(self, run: CallRun) -> None:
+    async def _return_grant(self, run: CallRun) -> None:
         """Close a call that may have been granted and was not sent, however long that takes.
 
         Until then this node answers that it executes the call: the grant is its own, and whoever
@@ -139,7 +139,7 @@
         """
         request = run.request
         try:
-            while not await self._is_handed_back(run):
+            while not await self._try_return_grant(run):
                 pass  # each try waits for a leader
         finally:
             self._requests.pop(request.request_id, None)
@@ -149,7 +149,7 @@
             call=request.call_number,
         )
 
-    async def _is_handed_back(self, run: CallRun) -> bool:
+    async def _try_return_grant(self, run: CallRun) -> bool:
         try:
             await self._steps.give_up(run, ErrorKind.GROUP_UNAVAILABLE)
         except GroupUnavailable:
@@ -210,14 +210,14 @@
                 return None, await self._attempts.send(run, result)
             case wire.CALL_STATUS_DISPATCHED if result.orphaned:
                 return None, await self._attempts.take_over(run, result)
-        return await self._wait_longer(run, result)
+        return await self._wait(run, result)
 
-    async def _wait_longer(
+    async def _wait(
         self, run: CallRun, result: wire.CallResult
     ) -> tuple[Outcome | None, wire.CallResult]:
         """The call waits for its predecessor, or another node runs it."""
         now_s = asyncio.get_running_loop().time()
-        if result.status == wire.CALL_STATUS_QUEUED and now_s >= run.order_until_s:
+        if result.status == wire.CALL_STATUS_QUEUED and now_s >= run.predecessor_deadline_s:
             return None, await self._steps.give_up(run, ErrorKind.OUT_OF_ORDER)
         if self._steps.left_s(run) <= 0:
             if result.status == wire.CALL_STATUS_QUEUED:
--- a/tests/test_hand_back.py
+++ b/tests/test_hand_back.py
@@ -12,7 +12,7 @@
 import unittest
 
 from bendshed.dispatch.calls import Answered
-from bendshed.dispatch.executor import HAND_BACK_LIMIT_S
+from bendshed.dispatch.executor import GRANT_RETURN_TIMEOUT_S
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.rehearsal.simulator.callers import PlannedCall, ProgramDriver, RequestRecord
 from bendshed.rehearsal.simulator.world import World
@@ -75,5 +75,5 @@
         self.lose_answers()
         self.ask(call, "node-4", REFUSED_S)
         self.world.drain_node("node-4")
-        self.world.run_for(2 * HAND_BACK_LIMIT_S)
+        self.world.run_for(2 * GRANT_RETURN_TIMEOUT_S)
         self.assertFalse(self.world.nodes["node-4"].is_up)
