--- a/src/bendshed/dispatch/attempt_sender.py
+++ b/src/bendshed/dispatch/attempt_sender.py
@@ -68,7 +68,7 @@
         table = self._scheduler.table
         now_s = asyncio.get_running_loop().time
         if not await self._confirm_runner(runner_id):
-            return await self._not_started(run, granted)
+            return await self._settle_not_started(run, granted)
         run.sent_attempts.add(granted.attempt)
         table.begin(runner_id, run.request.program_id)
         succeeded = False
@@ -91,7 +91,7 @@
     ) -> wire.CallResult:
         engine = self._engine_of(granted.runner)
         if engine is None:
-            return await self._not_started(run, granted)
+            return await self._settle_not_started(run, granted)
         request = EngineRequest(
             attempt_id=attempt_id(run.request, granted.attempt),
             request_id=run.request.request_id,
@@ -103,11 +103,11 @@
         )
         try:
             stream = await engine.generate(request)
-            summary = await self._read_whole(run, engine, request.attempt_id, stream)
+            summary = await self._read_to_end(run, engine, request.attempt_id, stream)
         except EngineNotStarted as error:
             if error.leaving:
                 self._report_leaving(granted.runner)
-            return await self._not_started(run, granted)
+            return await self._settle_not_started(run, granted)
         except EngineRejected as error:
             log.say("call rejected by its engine", runner=granted.runner, reason=str(error))
             return await self._steps.finish(
@@ -119,10 +119,10 @@
                 final=True,
             )
         except (EngineBroken, StreamUnknown):
-            return await self._broken(run, granted)
-        return await self._answered(run, granted, history, summary)
+            return await self._settle_broken(run, granted)
+        return await self._settle_answered(run, granted, history, summary)
 
-    async def _read_whole(
+    async def _read_to_end(
         self, run: CallRun, engine: Engine, name: str, stream: EngineStream
     ) -> StreamSummary:
         """Forward a stream to its end, resuming it where the connection broke."""
@@ -131,7 +131,7 @@
                 if tries:
                     stream = await engine.resume(name)
                 await self._forward(run, stream)
-                run.streamed_whole = True
+                run.is_stream_complete = True
                 return stream.summary
             except EngineBroken as error:
                 log.say("stream interrupted", attempt=name, reason=str(error))
@@ -150,7 +150,7 @@
         if not stream.summary.finish_reason:
             raise EngineBroken("the stream ended without a finish reason")
 
-    async def _answered(
+    async def _settle_answered(
         self,
         run: CallRun,
         granted: wire.CallResult,
@@ -166,10 +166,10 @@
             request = run.request
             self._steps.history.put(request.program_id, request.branch, request.call_number, turn)
             return result
-        run.streamed_whole = False  # another attempt won
+        run.is_stream_complete = False  # another attempt won
         return result
 
-    async def _not_started(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
+    async def _settle_not_started(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
         """Hand the attempt back unstarted and try elsewhere while that makes sense."""
         run.failed_runners.add(granted.runner)
         final = not self._may_retry(run, granted)
@@ -185,7 +185,7 @@
             await asyncio.sleep(backoff_s(granted.attempt, self._rng))
         return result
 
-    async def _broken(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
+    async def _settle_broken(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
         """The engine was lost. Run again only if no byte reached the caller."""
         run.failed_runners.add(granted.runner)
         seen = run.live.num_bytes > 0
@@ -197,7 +197,9 @@
 
     def _may_retry(self, run: CallRun, granted: wire.CallResult) -> bool:
         return (
-            granted.attempt < MAX_ATTEMPTS and self._steps.left_s(run) > 0 and self._retries.take()
+            granted.attempt < MAX_ATTEMPTS
+            and self._steps.remaining_s(run) > 0
+            and self._retries.take()
         )
 
     # --- takeover ------------------------------------------------------------------------
@@ -216,19 +218,19 @@
         engine = self._engine_of(orphan.runner)
         name = attempt_id(run.request, orphan.attempt)
         if engine is None:
-            return await self._lost(run, orphan)
+            return await self._settle_lost(run, orphan)
         try:
             stream = await engine.resume(name)
-            summary = await self._read_whole(run, engine, name, stream)
+            summary = await self._read_to_end(run, engine, name, stream)
         except (EngineBroken, EngineNotStarted, StreamUnknown):
-            return await self._lost(run, orphan)
+            return await self._settle_lost(run, orphan)
         result = await self._steps.finish(
             run, orphan, wire.ATTEMPT_OUTCOME_ANSWERED, summary, None, final=True
         )
-        run.streamed_whole = result.attempt == orphan.attempt
+        run.is_stream_complete = result.attempt == orphan.attempt
         return result
 
-    async def _lost(self, run: CallRun, orphan: wire.CallResult) -> wire.CallResult:
+    async def _settle_lost(self, run: CallRun, orphan: wire.CallResult) -> wire.CallResult:
         """The orphan's stream cannot be had."""
         cancelled = await self._cancel(orphan.runner, attempt_id(run.request, orphan.attempt))
         if orphan.unrepeatable or run.live.num_bytes:
--- a/src/bendshed/dispatch/call_steps.py
+++ b/src/bendshed/dispatch/call_steps.py
@@ -25,7 +25,7 @@
         predecessor_deadline_s: loop time until which it may wait for its predecessor.
         failed_runners: where an attempt failed.
         known_call, known_digest: history that this node holds.
-        streamed_whole: the live answer holds a stream up to its last event.
+        is_stream_complete: the live answer holds a stream up to its last event.
         sent_attempts: attempts that left this process.
 
     """
@@ -35,7 +35,7 @@
     failed_runners: set[str]
     known_call: int = 0
     known_digest: bytes = b""
-    streamed_whole: bool = False
+    is_stream_complete: bool = False
     sent_attempts: set[int] = field(default_factory=set)
 
     @property
@@ -62,16 +62,16 @@
         self._scheduler = scheduler
         self._clock = clock
 
-    def left_s(self, run: CallRun) -> float:
+    def remaining_s(self, run: CallRun) -> float:
         """Seconds until the call's deadline, by the wall clock."""
         return (run.request.deadline_ms - self._clock.wall_ms()) / 1000
 
     def may_send(self, run: CallRun, result: wire.CallResult) -> bool:
         """Whether this process holds the grant and has not used it."""
         is_unused = (*run.request.key, result.attempt) not in self.sent
-        return is_unused and self._is_mine(run, result)
+        return is_unused and self._is_granted_to(run, result)
 
-    def _is_mine(self, run: CallRun, result: wire.CallResult) -> bool:
+    def _is_granted_to(self, run: CallRun, result: wire.CallResult) -> bool:
         """Whether the grant was given to this run."""
         grantee = (result.executor, result.request_id)
         return grantee == (self._group.identity, run.request.request_id)
@@ -102,7 +102,9 @@
 
     async def wait_for_runner(self, run: CallRun, last_runner: str) -> str:
         """Wait for a free runner until the deadline; empty: none came free."""
-        return await self._scheduler.acquire(self._waiting_call(run, last_runner), self.left_s(run))
+        return await self._scheduler.acquire(
+            self._waiting_call(run, last_runner), self.remaining_s(run)
+        )
 
     async def dispatch(self, run: CallRun, result: wire.CallResult) -> wire.CallResult:
         """The call's turn has come: wait for a runner, then request the grant."""
@@ -120,7 +122,9 @@
     async def give_up(self, run: CallRun, kind: ErrorKind) -> wire.CallResult:
         """Commit that the call was not run; a grant that crossed is handed back."""
         result = await self._group.abandon(run.request, kind)
-        is_granted = result.status == wire.CALL_STATUS_DISPATCHED and self._is_mine(run, result)
+        is_granted = result.status == wire.CALL_STATUS_DISPATCHED and self._is_granted_to(
+            run, result
+        )
         if is_granted and result.attempt not in run.sent_attempts:
             self.sent.add((*run.request.key, result.attempt))  # never send it
             return await self.finish(
--- a/src/bendshed/dispatch/calls.py
+++ b/src/bendshed/dispatch/calls.py
@@ -86,7 +86,7 @@
             if not waiter.done():
                 waiter.set_result(None)
 
-    async def _grown(self) -> None:
+    async def _wait_for_change(self) -> None:
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
         await waiter
@@ -102,15 +102,15 @@
             elif self.outcome is not None:
                 return
             else:
-                await self._grown()
+                await self._wait_for_change()
 
     async def started(self) -> None:
         """Wait for the first byte or the outcome."""
         while not self.chunks and self.outcome is None:
-            await self._grown()
+            await self._wait_for_change()
 
     async def wait(self) -> Outcome:
         """Wait for the outcome."""
         while self.outcome is None:
-            await self._grown()
+            await self._wait_for_change()
         return self.outcome
--- a/src/bendshed/dispatch/executor.py
+++ b/src/bendshed/dispatch/executor.py
@@ -181,7 +181,7 @@
         Another executor may have finished the attempt that this one was streaming; the rest is
         then taken from the committed answer. Bytes of another attempt cannot be completed.
         """
-        if not isinstance(outcome, Answered) or run.streamed_whole:
+        if not isinstance(outcome, Answered) or run.is_stream_complete:
             return outcome
         streamed = summarize(b"".join(run.live.chunks)).text
         if not outcome.result.answer.startswith(streamed):
@@ -219,7 +219,7 @@
         now_s = asyncio.get_running_loop().time()
         if result.status == wire.CALL_STATUS_QUEUED and now_s >= run.predecessor_deadline_s:
             return None, await self._steps.give_up(run, ErrorKind.OUT_OF_ORDER)
-        if self._steps.left_s(run) <= 0:
+        if self._steps.remaining_s(run) <= 0:
             if result.status == wire.CALL_STATUS_QUEUED:
                 return None, await self._steps.give_up(run, ErrorKind.DEADLINE_EXCEEDED)
             detail = "another node still runs this call; ask again with the same key"
--- a/tests/defects.py
+++ b/tests/defects.py
@@ -110,7 +110,7 @@
     ),
     "a broken stream counts as not started": Defect(
         7,
-        _replace(AttemptSender, "_broken", AttemptSender._not_started),
+        _replace(AttemptSender, "_settle_broken", AttemptSender._settle_not_started),
         scenario=scenarios.connection_breaks_for_long,
     ),
     "leaving is ignored": Defect(
