--- a/tests/test_regions_site.py
+++ b/tests/test_regions_site.py
@@ -11,7 +11,7 @@
 from bendshed.catalog import demand
 from bendshed.model.places import Distance, Places
 from bendshed.paths import echo
-from bendshed.paths.echo import ECHO_INTERVAL_S, ECHO_TIMEOUT_S, ROUNDS_UNHEARD
+from bendshed.paths.echo import ECHO_INTERVAL_S, ECHO_TIMEOUT_S, UNREACHABLE_ROUNDS
 from bendshed.rehearsal.simulator.network import LATENCY_S
 from bendshed.rehearsal.site.cold import COLD_START_S
 from bendshed.rehearsal.site.documents import WIDE
@@ -101,8 +101,10 @@
             self.assertAlmostEqual(measured_ms[Distance.SAME_REGION], 2000 * LATENCY_S, delta=2.0)
         self.cut_the_link(world)
         with mock.patch.object(echo, "log") as log:
-            world.run_for((ROUNDS_UNHEARD + 1) * (ECHO_INTERVAL_S + ECHO_TIMEOUT_S))
-            self.assertEqual([replica._echo.watch.num_unheard for replica in stores], [1] * 4)
+            world.run_for((UNREACHABLE_ROUNDS + 1) * (ECHO_INTERVAL_S + ECHO_TIMEOUT_S))
+            self.assertEqual(
+                [replica._echo.reachability.num_unreachable for replica in stores], [1] * 4
+            )
             world.network.cuts.clear()
             world.run_for(2 * (ECHO_INTERVAL_S + ECHO_TIMEOUT_S))
         told = [(call.args[0], call.kwargs["region"]) for call in log.say.call_args_list]
