--- a/src/bendshed/paths/adaptive_timeout.py
+++ b/src/bendshed/paths/adaptive_timeout.py
@@ -1,8 +1,8 @@
-"""How long an answer is waited for before another path is tried, from measured round trips.
+"""Timeouts after which a request tries another path, derived from measured round trips.
 
-A timeout that suits neighbours is shorter than the mere round trip to another region. So each is
-the least that serves neighbours, or more where that peer was measured to take longer. Pure but for
-what the transport has measured (docs/design/0011).
+A timeout that suits nearby peers is shorter than a round trip to another region. Each timeout is
+therefore the minimum that suits nearby peers, or longer for a peer that was measured to take
+longer. Pure except for the transport's measurements (docs/design/0011).
 """
 
 from collections.abc import Callable
@@ -13,22 +13,24 @@
 from bendshed.ports.round_trips import RoundTrips
 
 MIN_DIRECT_TIMEOUT_S = 0.06
-"""A neighbour that has not answered for this long may be cut off: a relay is tried beside it. It
-bounds what a cut costs the first request; longer commits of a neighbour in a burst go twice."""
+"""A nearby peer that has not answered within this time may be cut off, so a relay is tried in
+parallel. This bounds the delay of the first request after a network partition. A request whose
+commit at a nearby peer takes longer, as in a burst, is sent twice."""
 ANSWER_TIME_FACTOR = 2.0
-"""A far peer has so many times its quickest answer to the same method: a connection that must be
-opened first costs one round trip more. With 60 ms for all, on two regions 30 ms apart one way, 235
-to 241 calm requests went through relays; with this none (simulated, twelve fronts, four stores)."""
+"""A distant peer may take this multiple of its fastest answer to the same method, because opening a
+connection first costs one more round trip. With 60 ms for all peers, on two regions 30 ms apart one
+way, 235 to 241 requests were relayed although nothing had failed; with this factor none were
+(simulated: twelve fronts, four stores)."""
 ANSWER_SLACK_S = 0.03
-"""Beside that: what a commit takes longer in a burst."""
+"""Added to that: the extra time that a commit takes during a burst."""
 RELAY_TARGET_SLACK_S = 0.08
-"""A relay waits this much longer for a target than the target's quickest answer takes."""
+"""A relay waits for the target this much longer than the target's fastest answer takes."""
 RELAY_MARGIN_S = 0.02
-"""A relay gives its target up this long before the requesting node gives up the relay, so that a
-silent target is told apart from a silent relay."""
+"""A relay stops waiting for its target this long before the requesting node stops waiting for the
+relay, so that a silent target can be distinguished from a silent relay."""
 SECOND_RELAY_FACTOR, SECOND_RELAY_SLACK_S = 1.25, 0.03
-"""A relay is late after so many times the least that its path can take, and this. Then a second one
-is tried beside it: a third of all nodes may be cut off together."""
+"""A relay is late after its minimum path time multiplied by the factor, plus the slack. A second
+relay is then tried in parallel, because a third of all nodes may be cut off together."""
 
 
 @dataclass(slots=True)
@@ -36,7 +38,7 @@
     """Timeouts of one node's requests; all in seconds.
 
     Attributes:
-        round_trip_s: what the transport measured to a peer; ``None``: nothing.
+        round_trip_s: round trip that the transport measured to a peer; ``None`` if there is none.
         host_locations: where peers are located.
 
     """
@@ -46,25 +48,28 @@
     _answers: RoundTrips[tuple[Address, str]] = field(default_factory=RoundTrips)
 
     def note(self, peer: Address, method: str, took_s: float, now_s: float) -> None:
-        """A peer answered directly."""
+        """Record how long a peer's direct answer took."""
         self._answers.note((peer, method), took_s, now_s)
 
     def expected_round_trip_s(self, peer: Address) -> float:
-        """The round trip to a peer, or what is usual at its distance."""
+        """Return the measured round trip to a peer, or the default for its distance."""
         return self.host_locations.expected_round_trip_s(peer.host, self.round_trip_s(peer))
 
     def expected_answer_s(self, peer: Address, method: str, now_s: float) -> float:
-        """The quickest answer of a peer to a method: the round trip and its work."""
+        """Return the fastest answer of a peer to a method: the round trip and the processing."""
         known = self._answers.least_s((peer, method), now_s)
         return known if known is not None else self.expected_round_trip_s(peer)
 
     def direct_timeout_s(self, peer: Address, method: str, now_s: float) -> float:
-        """How long a direct answer is waited for before a relay is tried beside it."""
+        """Return how long to wait for a direct answer before trying a relay in parallel."""
         scaled_s = ANSWER_TIME_FACTOR * self.expected_answer_s(peer, method, now_s) + ANSWER_SLACK_S
         return max(MIN_DIRECT_TIMEOUT_S, scaled_s)
 
     def relay_to_target_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
-        """A relay's quickest answer from the target; one beside the target spares the link."""
+        """Return the fastest answer that a relay can get from the target.
+
+        A relay in the target's region does not cross the link between regions again.
+        """
         answer_s = self.expected_answer_s(peer, method, now_s)
         if self.host_locations.are_in_same_region(relay.host, peer.host):
             min_s = 0.0 if self.host_locations.is_far(relay.host) else answer_s
@@ -72,16 +77,16 @@
         return answer_s
 
     def target_timeout_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
-        """How long a relay waits for the target."""
+        """Return how long a relay waits for the target."""
         return self.relay_to_target_s(relay, peer, method, now_s) + RELAY_TARGET_SLACK_S
 
     def relay_timeout_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
-        """How long a relay's answer is waited for; a connection may have to be opened first."""
+        """Return how long to wait for a relay, which may include opening a connection to it."""
         to_relay_s = ANSWER_TIME_FACTOR * self.expected_round_trip_s(relay)
         return to_relay_s + self.target_timeout_s(relay, peer, method, now_s) + RELAY_MARGIN_S
 
     def min_relay_time_s(self, relay: Address, peer: Address, method: str, now_s: float) -> float:
-        """The least time in which an answer can come through a relay."""
+        """Return the minimum time in which an answer can arrive through a relay."""
         return self.expected_round_trip_s(relay) + self.relay_to_target_s(
             relay, peer, method, now_s
         )
@@ -89,6 +94,6 @@
     def second_relay_delay_s(
         self, relay: Address, peer: Address, method: str, now_s: float
     ) -> float:
-        """How long a relay has before a second one is tried beside it."""
+        """Return how long to wait for a relay before trying a second one in parallel."""
         least_s = self.min_relay_time_s(relay, peer, method, now_s)
         return SECOND_RELAY_FACTOR * least_s + SECOND_RELAY_SLACK_S
--- a/src/bendshed/paths/echo.py
+++ b/src/bendshed/paths/echo.py
@@ -1,7 +1,7 @@
-"""Replica machines send each other echoes, though their log is silent between most of them.
+"""Echo requests between replica machines, most of which exchange no log entries with each other.
 
-That measures the round trip to each, for the costs of distance, and shows an operator when a whole
-region is unreachable.
+They measure the round trip to each machine, which the distance costs use, and show an operator when
+a whole region is unreachable.
 """
 
 import asyncio
@@ -14,22 +14,22 @@
 from bendshed.ports.transport import ECHO_METHOD, PeerUnreachable, Transport
 
 ECHO_INTERVAL_S = 2.0
-"""Nine machines send 36 requests a second at this pace, of some 40 bytes."""
+"""At this interval nine machines send 36 requests a second, of some 40 bytes each."""
 ECHO_TIMEOUT_S = 1.0
 UNREACHABLE_ROUNDS = 2
-"""After so many rounds without an answer from there a region counts as unreachable."""
+"""A region counts as unreachable after this many rounds without an answer from it."""
 
 log = PartLog("regions")
 
 
 class RegionReachability:
-    """Which regions answer. Pure."""
+    """Tracks which regions answer. Pure."""
 
     def __init__(self) -> None:
         self._num_silent_rounds: dict[str, int] = {}
 
     def note(self, requested: Collection[str], answered: Collection[str]) -> dict[str, bool]:
-        """One round is over; return the regions that changed and whether they answer now."""
+        """Record one round; return the regions that changed, and whether they answer now."""
         changed: dict[str, bool] = {}
         for region in set(requested):
             before = self._num_silent_rounds.get(region, 0)
@@ -43,7 +43,7 @@
 
     @property
     def num_unreachable(self) -> int:
-        """Regions that count as unreachable."""
+        """Number of regions that count as unreachable."""
         return sum(1 for silent in self._num_silent_rounds.values() if silent >= UNREACHABLE_ROUNDS)
 
 
@@ -62,13 +62,13 @@
         host_locations: HostLocations,
         on_measured: Callable[[dict[Distance, float]], None],
     ) -> None:
-        """Take the parts.
+        """Create the sender; ``run`` starts it.
 
         Args:
             transport: measures the round trip of each request.
             peers: the other replica machines.
             host_locations: where they are located.
-            on_measured: gets the median round trip by distance after each round, in ms.
+            on_measured: called after each round with the median round trip by distance, in ms.
 
         """
         self.reachability = RegionReachability()
@@ -100,7 +100,7 @@
         return {kind: 1000 * median_s for kind, median_s in found_s.items()}
 
     def _regions(self, peers: Collection[Address]) -> set[str]:
-        """Other regions where some of these are located."""
+        """Return the other regions in which any of these peers is located."""
         zones = {self._host_locations.zone_of(peer.host) for peer in peers}
         regions = {self._host_locations.places.region(zone) for zone in zones if zone}
         return regions - {self._host_locations.places.region(self._host_locations.zone)}
--- a/src/bendshed/paths/host_locations.py
+++ b/src/bendshed/paths/host_locations.py
@@ -1,4 +1,4 @@
-"""Where other nodes are located, as far as known, and the round trip by distance. Pure."""
+"""Known zones of other hosts, and the expected round trip by distance. Pure."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -13,11 +13,12 @@
     Distance.SAME_REGION: 0.002,
     Distance.OTHER_REGION: 0.1,
 }
-"""A round trip until one at its distance was measured: between regions rather too long, since a
-request that is given up too early goes twice; regions of one continent are 10 to 80 ms apart."""
+"""Round trip assumed until one was measured. The default between regions is too long rather than
+too short, because a request that times out too early is sent twice; regions of one continent are 10
+to 80 ms apart."""
 MAX_HOSTS = 8_000
-"""Hosts of nodes and runners that are remembered, the one noted longest ago dropped first; some 150
-bytes each."""
+"""Maximum number of hosts of nodes and runners, at some 150 bytes each; the one recorded longest
+ago is dropped first."""
 
 
 @dataclass(slots=True)
@@ -25,7 +26,7 @@
     """Zones of other nodes by host.
 
     Attributes:
-        zone: this process's.
+        zone: zone of this process.
         places: regions of all zones.
 
     """
@@ -35,7 +36,7 @@
     _zone_of: dict[str, str] = field(default_factory=dict)
 
     def put(self, host: str, zone: str) -> None:
-        """A node said its zone; empty: it did not."""
+        """Record the zone that a host reported; an empty one is ignored."""
         if not zone:
             return
         self._zone_of.pop(host, None)
@@ -44,11 +45,11 @@
             del self._zone_of[next(iter(self._zone_of))]
 
     def zone_of(self, host: str) -> str:
-        """Zone of a host; empty: not known."""
+        """Zone of a host; empty if unknown."""
         return self._zone_of.get(host, "")
 
     def distance(self, host: str) -> Distance | None:
-        """Distance of a host from this process; ``None``: its zone is not known."""
+        """Distance of a host from this process; ``None`` if its zone is unknown."""
         zone = self._zone_of.get(host)
         return self.places.distance(self.zone, zone) if zone is not None else None
 
@@ -57,7 +58,7 @@
         return self.distance(host) is Distance.OTHER_REGION
 
     def expected_round_trip_s(self, host: str, measured_s: float | None) -> float:
-        """The round trip to a host as measured, or what is usual at its distance."""
+        """Return the measured round trip to a host, or the default for its distance."""
         return measured_s if measured_s is not None else DEFAULT_ROUND_TRIPS_S[self.distance(host)]
 
     def are_in_same_region(self, host: str, other: str) -> bool:
@@ -68,7 +69,7 @@
         return self.places.region(zone) == self.places.region(other_zone)
 
     def medians_s(self, round_trips_s: Mapping[Address, float]) -> dict[Distance, float]:
-        """The median round trip of each kind of distance that was measured."""
+        """Return the median round trip of each distance that was measured."""
         by_kind: dict[Distance, list[float]] = {}
         for peer, took_s in round_trips_s.items():
             kind = self.distance(peer.host)
--- a/src/bendshed/paths/path_state.py
+++ b/src/bendshed/paths/path_state.py
@@ -1,7 +1,7 @@
-"""When a relayed path is tried, when the direct one again, and when a path is given up. Pure.
+"""Decides when to relay a request, when to retry the direct path, and when to give up. Pure.
 
-Times are of the caller's clock, in seconds. How long one answer is waited for is
-``adaptive_timeout.py``'s matter.
+Times are seconds of the caller's clock. ``adaptive_timeout.py`` decides how long to wait for one
+answer.
 """
 
 import asyncio
@@ -11,34 +11,34 @@
 from bendshed.model.address import Address
 
 DIRECT_PROBE_S = 0.5
-"""While only relays reach a target, one request this often also goes directly: that is how late the
-direct path is used again, at two extra messages a second for each target."""
+"""While only relays reach a target, one request per interval is also sent directly. This bounds how
+late the direct path is used again, at two extra messages a second for each target."""
 RELAY_SEARCH_PAUSE_S = 0.2
-"""A target that relays do not reach either is not searched through relays for this long: it is
-down, and each search costs up to two relays a request."""
+"""Time for which no relay is searched for a target that relays do not reach either: it is down, and
+each search costs up to two relays per request."""
 RELAY_AVOIDANCE_S = 1.0
-"""A relay that did not answer, or did not reach a target, is not tried for this long. With a new
-relay each time one relayed request in ten waited 0.3 to 0.9 s, since a third of all nodes was cut
-off or dark (docs/design/0004)."""
+"""Time for which a relay that did not answer, or did not reach a target, is not tried. When each
+request tried a new relay, one relayed request in ten waited 0.3 to 0.9 s, because a third of all
+nodes was cut off or did not answer (docs/design/0004)."""
 MIN_ISOLATION_TIMEOUT_S = 0.3
-"""A node without any answer for this long, of targets or relays, is isolated: it rejects requests
+"""A node that got no answer from any target or relay for this long is isolated: it rejects requests
 at once, and clients connect elsewhere."""
 ISOLATION_ROUND_TRIPS = 3.0
-"""And longer than so many round trips to the farthest node that did not answer it."""
+"""The silence must also exceed this many round trips to the farthest node that did not answer."""
 
 
 @dataclass(slots=True)
 class PathState:
-    """What is known of the path to one target.
+    """State of the path to one target.
 
     Attributes:
-        is_relay_only: relays reach it and the direct path does not.
+        is_relay_only: relays reach the target and the direct path does not.
         answered_s: time of the last direct answer.
-        search_done: set while a request searches for a relay; the event is set at its end.
-        probe_from_s: from then on one request goes directly too, though ``is_relay_only``.
-        no_relay_until_s: until then relays are not tried.
-        last_relay: the one that reached it last; tried first.
-        avoided_until_s: relays that did not reach it, and until when they are not tried.
+        search_done: event that the running search for a relay sets at its end; ``None``: none runs.
+        probe_from_s: time from which one request is also sent directly despite ``is_relay_only``.
+        no_relay_until_s: time before which no relay is searched.
+        last_relay: relay that last reached the target; tried first.
+        avoided_until_s: relays that did not reach the target, and until when they are not tried.
 
     """
 
@@ -51,17 +51,17 @@
     avoided_until_s: dict[Address, float] = field(default_factory=dict)
 
     def claim_direct_request(self, now_s: float) -> bool:
-        """Whether a request goes directly; on a cut path it counts as the probe."""
+        """Return whether a request is sent directly; on a relay-only path it is the probe."""
         if self.is_relay_only and now_s < self.probe_from_s:
             return False
         self.probe_from_s = now_s + DIRECT_PROBE_S
         return True
 
     def may_relay(self, now_s: float, direct_timeout_s: float) -> bool:
-        """Whether a request that has no direct answer yet searches for a relay.
+        """Return whether a request without a direct answer so far searches for a relay.
 
-        Not where the target answered another request within the timeout, since it is slow then and
-        not cut off; not beside another search, which it follows instead.
+        A target that answered another request within the timeout is slow and not cut off. While
+        another search runs, the request waits for its result instead.
         """
         if self.is_relay_only:
             return True
@@ -69,17 +69,17 @@
         return not answered_recently and self.search_done is None and now_s >= self.no_relay_until_s
 
     def note_unreachable(self, now_s: float) -> None:
-        """Relays do not reach the target either: the next request goes directly."""
+        """Record that relays do not reach the target either; the next request goes directly."""
         self.probe_from_s = 0.0
         if not self.is_relay_only:
             self.no_relay_until_s = now_s + RELAY_SEARCH_PAUSE_S
 
     def may_use_relay(self, relay: Address, now_s: float) -> bool:
-        """Whether a relay is not avoided for this target."""
+        """Return whether a relay may be tried for this target."""
         return self.avoided_until_s.get(relay, 0.0) <= now_s
 
     def note_relay_failed(self, relay: Address, now_s: float) -> None:
-        """A relay did not reach the target."""
+        """Record that a relay did not reach the target."""
         self.avoided_until_s[relay] = now_s + RELAY_AVOIDANCE_S
 
 
@@ -89,7 +89,7 @@
 
     Attributes:
         by_target: the state of each path.
-        last_relay_only_s: when a path was last found to be cut.
+        last_relay_only_s: when a path last became relay-only.
 
     """
 
@@ -97,7 +97,7 @@
     last_relay_only_s: float = float("-inf")
 
     def get(self, target: Address) -> PathState:
-        """The path to a target, noted from now on."""
+        """Return the path to a target; a new one is added."""
         return self.by_target.setdefault(target, PathState())
 
     def is_relay_only(self, target: Address) -> bool:
@@ -107,26 +107,27 @@
 
     @property
     def has_relay_only_path(self) -> bool:
-        """Whether only relays reach any target.
+        """Whether any target is reached by relays only.
 
-        Then a target that relays do not reach may be well: the relays may be cut off too.
+        Then a target that relays do not reach may still be up: the relays may be cut off from it
+        too.
         """
         return any(path.is_relay_only for path in self.by_target.values())
 
     def may_be_relay_only(self, path: PathState) -> bool:
-        """Whether another path was found cut since this one last brought a direct answer.
+        """Whether another path became relay-only since this one last returned a direct answer.
 
-        Then a relay is tried at once, without the timeout of the direct path.
+        Then a relay is tried at once, without waiting for the direct path to time out.
         """
         return self.has_relay_only_path and path.answered_s < self.last_relay_only_s
 
 
 @dataclass(slots=True)
 class IsolationDetector:
-    """Whether any node answers this one.
+    """Detects that no node answers this one.
 
     Attributes:
-        relay_answered_s: time of the last answer of any relay.
+        relay_answered_s: time of the last answer from any relay.
         silent_since_s: time of the first failure since the last answer; ``None``: there is none.
         max_round_trip_s: longest expected round trip to a node that has failed since.
 
@@ -137,23 +138,23 @@
     max_round_trip_s: float = 0.0
 
     def note_answer(self) -> None:
-        """A node answered, or its machine refused the connection."""
+        """Record that a node answered, or that its machine refused the connection."""
         self.silent_since_s = None
 
     def note_relay_answer(self, now_s: float) -> None:
-        """A relay answered, whether it reached the target or not."""
+        """Record that a relay answered, whether it reached the target or not."""
         self.relay_answered_s = now_s
         self.note_answer()
 
     def note_silence(self, expected_round_trip_s: float, now_s: float) -> None:
-        """A node gave no answer in time."""
+        """Record that a node did not answer in time."""
         if self.silent_since_s is None:
             self.silent_since_s = now_s
             self.max_round_trip_s = 0.0
         self.max_round_trip_s = max(self.max_round_trip_s, expected_round_trip_s)
 
     def is_isolated(self, now_s: float) -> bool:
-        """Whether neither targets nor relays have answered for a while."""
+        """Return whether neither targets nor relays have answered within the isolation timeout."""
         if self.silent_since_s is None:
             return False
         isolation_timeout_s = max(
@@ -169,16 +170,17 @@
     last_good: Address | None,
     far_hosts: Collection[str],
 ) -> list[Address]:
-    """Which relay is tried first: the last that reached the target, the last that reached any.
+    """Sort relays: the last one that reached the target, then the last one that reached any.
 
-    Then those of this region: the path through a relay beside a far target is as long, but for a
-    near target it crosses the link twice. Equal ones stay in the order in which they come.
+    Relays of this region follow. For a target in another region, the path through a relay there is
+    equally long, but for a target in this region it crosses the link between regions twice. Equal
+    relays keep their order.
 
     Args:
-        relays: those that may be tried.
-        last_for_target: the one that reached the target last.
-        last_good: the one that reached any target last.
-        far_hosts: hosts of other regions.
+        relays: relays that may be tried.
+        last_for_target: relay that last reached the target.
+        last_good: relay that last reached any target.
+        far_hosts: hosts in other regions.
 
     """
     return sorted(
--- a/src/bendshed/paths/relay_search.py
+++ b/src/bendshed/paths/relay_search.py
@@ -1,4 +1,4 @@
-"""Searches for a relay: a node that reaches a target which the direct path does not reach."""
+"""Searches for a relay: a node that reaches a target that the direct path does not reach."""
 
 import asyncio
 import random
@@ -14,9 +14,9 @@
 
 RELAY_METHOD = "paths.relay"
 MAX_CONCURRENT_RELAYS = 2
-"""Relays that one request tries at the same time: each may bring the target a copy of it."""
+"""Relays that one request tries at the same time; each may deliver a copy of it to the target."""
 MAX_FAILED_RELAYS = 2
-"""So many relays that do not reach a target prove that it is not this node that is cut off."""
+"""When this many relays do not reach a target, the cause is not that this node is cut off."""
 
 
 @dataclass(slots=True)
@@ -24,8 +24,8 @@
     """One request that searches for a relay.
 
     Attributes:
-        until_s: loop time after which no answer helps.
-        num_failed_relays: relays that do not reach the target, and know of no cut of their own.
+        until_s: loop time after which an answer is too late.
+        num_failed_relays: relays that did not reach the target and do not know it as relay-only.
 
     """
 
@@ -38,12 +38,12 @@
 
     @property
     def may_try_more(self) -> bool:
-        """Whether the target may be well although some relays do not reach it."""
+        """Whether the target may be up although some relays did not reach it."""
         return self.num_failed_relays < MAX_FAILED_RELAYS
 
 
 class RelaySearch:
-    """Tries relays, one after the other."""
+    """Sends requests through relays."""
 
     def __init__(
         self,
@@ -64,7 +64,10 @@
     async def send(
         self, path: PathState, peer: Address, method: str, payload: bytes, timeout_s: float
     ) -> bytes:
-        """Try one relay after the other, and a second one beside it when that takes too long."""
+        """Try relays one after the other, and a second one in parallel when one takes too long.
+
+        Raises ``PeerUnreachable`` when none reaches the target in time.
+        """
         until_s = asyncio.get_running_loop().time() + timeout_s
         search = _Search(path, peer, method, payload, until_s)
         candidates = self._candidates(path, peer)
@@ -122,7 +125,7 @@
     async def _request(
         self, relay: Address, request: wire.RelayRequest, timeout_s: float
     ) -> wire.RelayReply | None:
-        """Send one relay a request; ``None``: it does not answer."""
+        """Send a request to one relay; return ``None`` if it does not answer."""
         try:
             content = await self._transport.request(
                 relay, RELAY_METHOD, request.SerializeToString(), timeout_s
@@ -135,7 +138,7 @@
         return wire.RelayReply.FromString(content)
 
     def _candidates(self, path: PathState, peer: Address) -> list[Address]:
-        """Relays that may be tried, the best first; equal ones in random order."""
+        """Return the relays that may be tried, the best first; equal ones in random order."""
         now_s = _now_s()
         eligible = [
             node
@@ -153,7 +156,7 @@
 def note_failure(
     isolation: IsolationDetector, error: PeerUnreachable, timeouts: AdaptiveTimeout, peer: Address
 ) -> None:
-    """Count a failed request; a refused connection is an answer of the peer's machine."""
+    """Record a failed request; a refused connection counts as an answer of the peer's machine."""
     if error.is_silent:
         isolation.note_silence(timeouts.expected_round_trip_s(peer), _now_s())
     else:
@@ -161,14 +164,14 @@
 
 
 def spawn(work: Coroutine[Any, Any, bytes]) -> "asyncio.Task[bytes]":
-    """Start one path of a request; it may fail without being waited for."""
+    """Start one path of a request as a task that may fail without being awaited."""
     task = asyncio.get_running_loop().create_task(work)
     task.add_done_callback(_retrieve_exception)
     return task
 
 
 def _retrieve_exception(task: "asyncio.Task[bytes]") -> None:
-    """A path that was not waited for may fail; the loop must not report that."""
+    """Retrieve the exception of a task that nobody awaits, so that the loop does not report it."""
     if not task.cancelled():
         task.exception()
 
--- a/src/bendshed/paths/relay_server.py
+++ b/src/bendshed/paths/relay_server.py
@@ -1,4 +1,4 @@
-"""Relays requests of other nodes: one hop and never more, each target is tried directly."""
+"""Relays requests of other nodes, over one hop only: the relay always tries the target directly."""
 
 from collections.abc import Callable
 
@@ -8,11 +8,11 @@
 from bendshed.wire import catalog_pb2 as wire
 
 MAX_OPEN_RELAYS = 64
-"""Requests that a node relays for others at the same time; bounds what a cut costs it."""
+"""Requests that a node relays at the same time; bounds its load during a network partition."""
 
 
 class RelayServer:
-    """Answers requests to relay, from its construction on."""
+    """Answers relay requests; registers its handler on construction."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         transport.handlers[RELAY_METHOD] = self._relay
 
     async def _relay(self, payload: bytes) -> bytes:
-        """Send a target directly what another node has for it."""
+        """Send a request of another node directly to its target."""
         request = wire.RelayRequest.FromString(payload)
         target = Address(request.target.host, request.target.port)
         if self._is_relay_only(target):
--- a/src/bendshed/paths/relayed.py
+++ b/src/bendshed/paths/relayed.py
@@ -1,7 +1,7 @@
-"""Requests that reach a peer through another node while the direct path brings no answer.
+"""Requests that reach a peer through another node while the direct path returns no answer.
 
-The same request may arrive on both paths, so only requests that may be repeated without harm go
-here. (SWIM's indirect probes, Das 2002, are the same idea for heartbeats.)
+The same request may arrive on both paths, so only idempotent methods are sent here. (SWIM's
+indirect probes, Das 2002, apply the same idea to heartbeats.)
 """
 
 import asyncio
@@ -21,11 +21,11 @@
 
 
 class RelayedRequests:
-    """Sends requests on the path that works, and relays others' requests.
+    """Sends requests on the path that works, and relays requests of other nodes.
 
     Attributes:
         num_relayed: requests of this node that were answered through a relay.
-        num_doubled: requests that were relayed too while the direct answer was still out.
+        num_doubled: requests that were also relayed while the direct answer was pending.
 
     """
 
@@ -51,21 +51,21 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether neither targets nor relays have answered for a while."""
+        """Whether neither targets nor relays have answered within the isolation timeout."""
         if self._isolation.silent_since_s is None:
-            return False  # also where metrics are read without a loop
+            return False  # metrics may be read outside an event loop
         return self._isolation.is_isolated(asyncio.get_running_loop().time())
 
     def expected_round_trip_s(self, peer: Address) -> float:
-        """The round trip to a peer as measured, or what is usual at its distance."""
+        """Return the measured round trip to a peer, or the default for its distance."""
         return self._adaptive_timeout.expected_round_trip_s(peer)
 
     def is_relay_only(self, peer: Address) -> bool:
-        """Whether only relays reach a peer: a request must not wait there for news."""
+        """Return whether only relays reach a peer, so that a request must not long-poll it."""
         return self._paths.is_relay_only(peer)
 
     async def request(self, peer: Address, method: str, payload: bytes, timeout_s: float) -> bytes:
-        """Send a request; raise ``PeerUnreachable`` when no path brings an answer in time."""
+        """Send a request; raise ``PeerUnreachable`` if no path returns an answer in time."""
         path = self._paths.get(peer)
         now_s = asyncio.get_running_loop().time()
         until_s = now_s + timeout_s
@@ -140,7 +140,7 @@
     async def _request_after_search(
         self, path: PathState, peer: Address, method: str, payload: bytes, until_s: float
     ) -> bytes:
-        """Another request searches for a relay already: use the one that it finds."""
+        """Wait for another request's search, and use the relay that it finds."""
         if path.search_done is not None:
             await path.search_done.wait()
         left_s = until_s - asyncio.get_running_loop().time()
@@ -154,7 +154,7 @@
 
 
 async def _first_answer(tasks: "set[asyncio.Task[bytes]]") -> bytes:
-    """The first task's result that is one; without one, raise the failure that proves most."""
+    """Return the first successful result; if all fail, raise the most conclusive failure."""
     waiting = set(tasks)
     failure: BaseException = PeerUnreachable("no path to the peer")
     while waiting:
