--- a/src/bendshed/admission/program_budget.py
+++ b/src/bendshed/admission/program_budget.py
@@ -66,7 +66,7 @@
         """Spent and reserved."""
         return self.spent_tokens + self.reserved_tokens
 
-    def spare_tokens(self, budget_tokens: int, group_id: int, num_groups: int) -> int:
+    def available_tokens(self, budget_tokens: int, group_id: int, num_groups: int) -> int:
         """What the group holds of a budget and has neither spent nor reserved."""
         held = initial_share(budget_tokens, group_id, num_groups)
         held += sum(self.taken.values()) - sum(self.released.values())
@@ -76,7 +76,7 @@
         """Whether the group's share holds ``num_turns`` more turns like this one."""
         if not begin.has_budget:
             return True
-        available = self.spare_tokens(begin.budget_tokens, group_id, begin.num_groups)
+        available = self.available_tokens(begin.budget_tokens, group_id, begin.num_groups)
         return available >= num_turns * begin.most_tokens
 
     def reserve(self, begin: wire.BeginTurn, group_id: int) -> bool:
@@ -116,7 +116,7 @@
 
     def release(self, request: wire.ReleaseShare, group_id: int) -> int:
         """Give up what is neither spent nor reserved; return what that group got in all."""
-        available = self.spare_tokens(request.budget_tokens, group_id, request.num_groups)
+        available = self.available_tokens(request.budget_tokens, group_id, request.num_groups)
         released = self.released.get(request.to_group, 0) + max(0, available)
         self.released[request.to_group] = released
         return released
--- a/tests/region_defects.py
+++ b/tests/region_defects.py
@@ -144,7 +144,7 @@
     state, _term = service._group(command.group).led()
     ask = command.release
     program = state.programs.get((ask.tenant, ask.program_id), ProgramBudget())
-    spare = program.spare_tokens(ask.budget_tokens, command.group, ask.num_groups)
+    spare = program.available_tokens(ask.budget_tokens, command.group, ask.num_groups)
     committing = asyncio.get_running_loop().create_task(_REAL_COMMIT(service, command, answer_by_s))
     committing.add_done_callback(lambda done: done.cancelled() or done.exception())
     return wire.TurnReply(released_tokens=program.released.get(ask.to_group, 0) + max(0, spare))
