--- a/src/bendshed/admission/quota_ledger.py
+++ b/src/bendshed/admission/quota_ledger.py
@@ -243,7 +243,7 @@
     def _num_counted(self, tenant: str, usage: UsageWindows, now_ms: int) -> int:
         """Requests that count against the limit."""
         counted = usage.in_window(tenant, now_ms, self._counted_window_ms)
-        uncommitted = self._turns.num_open(tenant) + self._num_uncommitted_calls.get(tenant, 0)
+        uncommitted = self._turns.num_reserved(tenant) + self._num_uncommitted_calls.get(tenant, 0)
         return counted + uncommitted + self._num_allowed(tenant, usage, now_ms)
 
     def _num_allowed(self, tenant: str, usage: UsageWindows, now_ms: int) -> int:
--- a/src/bendshed/admission/turn_reservations.py
+++ b/src/bendshed/admission/turn_reservations.py
@@ -29,7 +29,7 @@
     admission: AdmissionDecision
     tenant: str
     at_ms: int
-    is_open: bool
+    is_reserved: bool
 
 
 @dataclass(slots=True)
@@ -41,40 +41,40 @@
     """
 
     _decided: "OrderedDict[str, _ReservedTurn]" = field(default_factory=OrderedDict)
-    _num_open: dict[str, int] = field(default_factory=dict)
+    _num_reserved: dict[str, int] = field(default_factory=dict)
 
     def clear(self) -> None:
         """Forget all."""
         self._decided.clear()
-        self._num_open.clear()
+        self._num_reserved.clear()
 
     def decision(self, turn_id: str) -> AdmissionDecision | None:
         """What was decided on a turn; ``None``: nothing yet."""
         known = self._decided.get(turn_id)
         return known.admission if known is not None else None
 
-    def num_open(self, tenant: str) -> int:
+    def num_reserved(self, tenant: str) -> int:
         """Places that a tenant's turns hold."""
-        return self._num_open.get(tenant, 0)
+        return self._num_reserved.get(tenant, 0)
 
     def note(self, turn_id: str, tenant: str, admission: AdmissionDecision, now_ms: int) -> None:
         """Remember a decision."""
-        is_open = admission.is_granted
-        self._decided[turn_id] = _ReservedTurn(admission, tenant, now_ms, is_open)
-        if is_open:
-            self._num_open[tenant] = self._num_open.get(tenant, 0) + 1
+        is_reserved = admission.is_granted
+        self._decided[turn_id] = _ReservedTurn(admission, tenant, now_ms, is_reserved)
+        if is_reserved:
+            self._num_reserved[tenant] = self._num_reserved.get(tenant, 0) + 1
 
     def settle(self, turn_id: str) -> None:
         """Give back a turn's place; the decision on it stays."""
         decision = self._decided.get(turn_id)
         if decision is not None:
-            self._close(decision)
+            self._release(decision)
 
     def withdraw(self, turn_id: str) -> None:
         """Give back a turn's place and forget the decision on it."""
         decision = self._decided.pop(turn_id, None)
         if decision is not None:
-            self._close(decision)
+            self._release(decision)
 
     def expire(self, now_ms: int) -> None:
         """Withdraw decisions older than ``RESERVATION_MS``."""
@@ -84,10 +84,10 @@
                 return
             self.withdraw(turn_id)
 
-    def _close(self, decision: _ReservedTurn) -> None:
-        if not decision.is_open:
+    def _release(self, decision: _ReservedTurn) -> None:
+        if not decision.is_reserved:
             return
-        decision.is_open = False
-        self._num_open[decision.tenant] -= 1
-        if not self._num_open[decision.tenant]:
-            del self._num_open[decision.tenant]
+        decision.is_reserved = False
+        self._num_reserved[decision.tenant] -= 1
+        if not self._num_reserved[decision.tenant]:
+            del self._num_reserved[decision.tenant]
