--- a/src/bendshed/admission/__init__.py
+++ b/src/bendshed/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Decides whether a request is admitted, and when a rejected caller may come back. Pure."""
+"""Decides whether a request is admitted, and when a rejected caller may retry. Pure."""
--- a/src/bendshed/admission/access.py
+++ b/src/bendshed/admission/access.py
@@ -1,4 +1,4 @@
-"""Access: on whose behalf a request runs, and how urgent it is. Pure.
+"""Access control: on whose behalf a request runs, and with which priority. Pure.
 
 Source: docs/design/0007.
 """
@@ -10,8 +10,8 @@
 class AccessIndex:
     """Tenants of one document by the digest of their credentials.
 
-    Digests are compared, never credentials: the time of a look-up by digest reveals nothing of
-    credentials that begin alike.
+    Only digests are compared, never credentials, so the duration of a lookup does not reveal
+    whether a credential shares a prefix with a valid one.
     """
 
     def __init__(self, document: ServiceDocument) -> None:
@@ -22,10 +22,10 @@
         self._num_ranks = 1 + max((route.priority for route in document.routes), default=0)
 
     def principal(self, route: Route, credential: str) -> Principal | None:
-        """Principal of a request; ``None``: the route requires a credential that is in force.
+        """Return the principal of a request; ``None`` if the route requires a valid credential.
 
-        ``credential`` is its digest; empty: the request shows none. The tenant's priority comes
-        first, the route's decides between equals.
+        ``credential`` is its digest; empty if the request has none. The tenant's priority takes
+        precedence; the route's priority decides between equal ones.
         """
         if not self._has_tenants:
             return Principal(None, route.priority, is_unasked=True)
--- a/src/bendshed/admission/budget_use.py
+++ b/src/bendshed/admission/budget_use.py
@@ -1,27 +1,27 @@
-"""What a program has used of its budget, and why a turn is refused by it. Pure."""
+"""How much of its budget a program has used, and why the budget rejects a turn. Pure."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class BudgetStatus(StrEnum):
-    """What a refused turn's budget says."""
+    """State of a program's budget with regard to a rejected turn."""
 
     SPENT = "spent"
-    """Ended turns have spent so much that the turn does not fit: the program ends."""
+    """Ended turns have spent so much that the turn does not fit; the program ends."""
     RESERVED = "reserved"
-    """Reservations hold the rest, and may be released unused: the turn may come back."""
+    """Reservations hold the rest and may be released unused; the turn may be retried."""
     SUFFICIENT = "held"
-    """The budget holds the turn: the refusal rests on something else."""
+    """The budget suffices for the turn; the rejection has another cause."""
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetUse:
-    """Tokens of one program.
+    """Tokens that one program has used.
 
     Attributes:
-        spent_tokens: charged for ended turns.
-        reserved_tokens: worst case of the turns under way.
+        spent_tokens: tokens charged for ended turns.
+        reserved_tokens: maximum that the running turns may still be charged.
 
     """
 
@@ -29,16 +29,16 @@
     reserved_tokens: int = 0
 
     def __add__(self, other: "BudgetUse") -> "BudgetUse":
-        """Use in two groups."""
+        """Return the combined use in two groups."""
         return BudgetUse(
             self.spent_tokens + other.spent_tokens, self.reserved_tokens + other.reserved_tokens
         )
 
     def status_for_turn(self, most_tokens: int, budget_tokens: int) -> BudgetStatus:
-        """Say why a budget is short of a turn that generates up to ``most_tokens``.
+        """Return why a budget does not suffice for a turn of up to ``most_tokens`` tokens.
 
-        A reservation never makes a budget spent, however long it lasts: the turn may not have run,
-        and its front may stand still or be cut off.
+        A reservation never counts as spent, however long it lasts: the turn may not have run, and
+        its front may be paused or partitioned.
         """
         left_tokens = budget_tokens - self.spent_tokens
         if left_tokens < most_tokens:
--- a/src/bendshed/admission/cold_permits.py
+++ b/src/bendshed/admission/cold_permits.py
@@ -1,26 +1,29 @@
-"""Decides how many permits for cold runners a leader of the turn log gives. Pure.
+"""Decides how many permits for cold runners a leader of the turn log grants. Pure.
 
-Nothing is dispatched to a cold runner without a permit of the leader for this one dispatch
+Nothing is dispatched to a cold runner without a permit from the leader for this one dispatch
 (docs/design/0010). A permit expires ``PERMIT_VALID_S`` after it was requested, so what is
 dispatched within a second was permitted within that second or ``PERMIT_VALID_S`` before. A leader
-counts its permits within ``WINDOW_MS``, which holds both; however late a permitted dispatch leaves
-or arrives, no second holds more than the most that the leader may permit in a window.
-
-A new leader does not know the permits of the last one. So each may use a share of the bound:
-
-- an established leader half: one that has heard a majority for ``ESTABLISHED_S`` without a gap;
-- any other a quarter, and one that does not hear a majority nothing.
-
-Two established leaders cannot meet in one second. The later one's term began after the earlier one
-last heard its majority, so the earlier one's permits end within ``MAX_STALE_LEADER_S`` (a leader
-notices the loss within 0.25 s, a frozen one when it wakes) plus ``PERMIT_VALID_S``, and the later
-one is established more than a second after: ``ESTABLISHED_S > 1 + PERMIT_VALID_S +
-MAX_STALE_LEADER_S``. So one second holds at most one half and the quarters of two more leaders: the
-leader may change twice within it. A leader that was frozen or cut off starts as a new one, with a
-quarter.
-
-What is not permitted of the half is room for dispatches of nodes that have not yet received that a
-warm runner turned cold. With several groups of the turn log each leader has its part of the bound.
+counts its permits within ``WINDOW_MS``, which covers both. However late a permitted dispatch leaves
+or arrives, no second contains more than the maximum that the leader may permit in a window.
+
+A new leader does not know the permits of its predecessor, so each leader may use only a share of
+the bound:
+
+- half if it is established: it has been in contact with a majority for ``ESTABLISHED_S`` without
+  interruption;
+- a quarter if it is not established, and nothing without contact to a majority.
+
+Two established leaders cannot grant within one second. The later one's term began after the earlier
+one was last in contact with its majority, so the earlier one's permits end within
+``MAX_STALE_LEADER_S`` (a leader notices the loss within 0.25 s, a paused one when it resumes) plus
+``PERMIT_VALID_S``, and the later one is established more than a second after: ``ESTABLISHED_S > 1 +
+PERMIT_VALID_S + MAX_STALE_LEADER_S``. So one second contains at most one half and the quarters of
+two more leaders: the leader may change twice within it. A leader that was paused or partitioned
+starts as a new one, with a quarter.
+
+The part of the bound that no leader has permitted leaves room for dispatches of nodes that have not
+yet learned that a warm runner turned cold. With several groups of the turn log, each leader has its
+part of the bound.
 """
 
 from dataclasses import dataclass, field
@@ -29,37 +32,37 @@
 from bendshed.placement.cold_runners import ColdTerms
 
 PERMIT_VALID_S = 0.25
-"""Time, in seconds, from the request for a permit to its expiry: a preview's reply takes up to
-0.2 s, a new connection across regions 0.06 s."""
+"""Seconds from the request for a permit to its expiry: a preview's reply takes up to 0.2 s, a new
+connection across regions 0.06 s."""
 WINDOW_MS = 1_000 + int(1000 * PERMIT_VALID_S)
-"""Span over which permits are counted, in milliseconds: the second of the bound, and the
-validity."""
+"""Window in which permits are counted, in milliseconds: the second of the bound plus the validity
+of a permit."""
 MAX_STALE_LEADER_S = 0.5
-"""Longest time, in seconds, for which a replaced leader may still give permits. Used by the proof
-above, and by the test that checks its inequality."""
+"""Maximum seconds for which a replaced leader may still grant permits. Used by the proof above, and
+by the test that checks its inequality."""
 ESTABLISHED_S = 2.0
-"""Time, in seconds, after which a leader counts as established; see the proof above."""
+"""Seconds after which a leader counts as established; see the proof above."""
 ESTABLISHED_SHARE = 0.5
 """Share of the bound that an established leader may permit."""
 NEW_LEADER_SHARE = 0.25
 """Share of the bound that any other leader may permit."""
 MAX_UPDATE_GAP_S = 0.25
-"""Time, in seconds, without a look after which a process may have been replaced unnoticed: an
-election starts 0.25 s after the leader's last heartbeat."""
+"""Seconds without an update after which a leader may have been replaced unnoticed: an election
+starts 0.25 s after the leader's last heartbeat."""
 NEW_PROGRAM_SHARE = 0.8
-"""Share of a leader's permits up to which programs may begin; the rest protects running programs,
-whose work so far would be lost. Simulated with 22 cold runners of 21 permits a window and programs
-of four and nine turns, 0.45 s apart, at three times the calm load for 4 s: at 0.5 192 programs
-ended; at 0.8 283, and none of 1,329 turns of running programs was rejected; at 1.0 305 ended, and
-46 such turns were rejected (``tests/test_cold_sendings.py`` has the case)."""
+"""Share of a leader's permits that new programs may use; the rest is reserved for running programs,
+whose work so far would be lost. With 22 cold runners of 21 permits a window, programs of four and
+nine turns, 0.45 s apart, and three times the normal load for 4 s: at 0.5, 192 programs completed;
+at 0.8, 283, and none of 1,329 turns of running programs was rejected; at 1.0, 305, but 46 such
+turns were rejected (simulated; ``tests/test_cold_sendings.py`` has the case)."""
 
 
 @dataclass(slots=True)
 class LeadershipTracker:
-    """Since when a process has led without a gap in hearing its majority.
+    """Tracks since when a process has led in uninterrupted contact with a majority.
 
     Attributes:
-        since_s: steady time; ``None``: it does not lead, or does not hear a majority.
+        since_s: steady time; ``None`` if it does not lead or has no contact with a majority.
 
     """
 
@@ -68,11 +71,12 @@
     _updated_s: float = float("-inf")
 
     def update(self, term: int, has_majority: bool, now_s: float) -> None:
-        """Note what the group reports now; after a gap of ``MAX_UPDATE_GAP_S`` it starts as a new
-        leader.
+        """Record the current state of the group.
+
+        After a gap of more than ``MAX_UPDATE_GAP_S`` the process starts as a new leader.
 
         Args:
-            term: of the leader.
+            term: term of the leader.
             has_majority: whether it leads, and a majority replies.
             now_s: steady time.
 
@@ -85,7 +89,7 @@
         self._term, self._updated_s = term, now_s
 
     def share(self, now_s: float) -> float:
-        """Share of the bound that may be permitted now."""
+        """Return the share of the bound that may be permitted now."""
         if self.since_s is None or now_s - self._updated_s > MAX_UPDATE_GAP_S:
             return 0.0
         return ESTABLISHED_SHARE if now_s - self.since_s >= ESTABLISHED_S else NEW_LEADER_SHARE
@@ -93,11 +97,11 @@
 
 @dataclass(slots=True)
 class ColdPermitCounts:
-    """Permits that one process has given, over all of its terms.
+    """Permits that one process has granted, over all of its terms.
 
     Attributes:
         terms: bound on requests to a cold runner.
-        num_leaders: groups of the turn log, whose leaders share the bound.
+        num_leaders: number of groups of the turn log, whose leaders share the bound.
 
     """
 
@@ -107,7 +111,10 @@
     _granted: dict[str, SlidingWindowCounter] = field(default_factory=dict)
 
     def max_permits(self, cold_per_s: float, is_new_program: bool, now_s: float) -> int:
-        """Most permits for one runner within a window; fewer for requests of new programs."""
+        """Return the maximum number of permits for one runner within a window.
+
+        It is lower for requests of new programs.
+        """
         share = self.leadership.share(now_s) / self.num_leaders
         max_permits = int(share * self.terms.most_per_s(cold_per_s))
         if not is_new_program or not max_permits:
@@ -115,14 +122,14 @@
         return max(1, int(NEW_PROGRAM_SHARE * max_permits))
 
     def num_granted(self, runner_id: str, now_s: float) -> int:
-        """Permits given within the window that ends now."""
+        """Return the number of permits granted within the window that ends now."""
         counts = self._granted.get(runner_id)
         return counts.in_window(_ms(now_s), WINDOW_MS) if counts is not None else 0
 
     def num_available(
         self, runner_id: str, cold_per_s: float, is_new_program: bool, now_s: float
     ) -> int:
-        """Permits that may still be given now; 0 or less: none."""
+        """Return the number of permits that may still be granted now; 0 or less if none."""
         max_permits = self.max_permits(cold_per_s, is_new_program, now_s)
         return max_permits - self.num_granted(runner_id, now_s)
 
@@ -133,7 +140,7 @@
         counts.add(_ms(now_s))
 
     def wait_ms(self, runner_id: str, cold_per_s: float, is_new_program: bool, now_s: float) -> int:
-        """Time until one more permit may be given for a runner, in milliseconds."""
+        """Return the time in ms until one more permit may be granted for a runner."""
         max_permits = self.max_permits(cold_per_s, is_new_program, now_s)
         excess = self.num_granted(runner_id, now_s) + 1 - max_permits
         if excess <= 0:
@@ -144,7 +151,7 @@
         return counts.wait_ms(_ms(now_s), WINDOW_MS, excess)
 
     def sweep(self, now_s: float) -> None:
-        """Forget permits that are in no window any more."""
+        """Remove permits that are outside every window."""
         oldest_ms = _oldest_ms(now_s)
         for runner_id in [
             r for r, counts in self._granted.items() if counts.drop_before(oldest_ms)
@@ -157,5 +164,5 @@
 
 
 def _oldest_ms(now_s: float) -> int:
-    """Begin of the oldest span that a window may still hold, in milliseconds."""
+    """Return the start of the oldest bucket that a window may still contain, in milliseconds."""
     return _ms(now_s) - WINDOW_MS - BUCKET_MS
--- a/src/bendshed/admission/program_budget.py
+++ b/src/bendshed/admission/program_budget.py
@@ -1,9 +1,9 @@
 """One program's token budget in one group of the turn log. Pure.
 
-With several groups each holds a share of the budget. The first shares add up to it, and a share
-moves only by being released in one group, for good, before another may count it. So all groups
-together never hold more than the budget, whatever is lost, repeated or late. Source:
-docs/design/0012.
+With several groups, each holds a share of the budget. The initial shares add up to the budget. A
+share moves only by being released permanently in one group before another group may count it, so
+all groups together never hold more than the budget, even if messages are lost, repeated or late.
+Source: docs/design/0012.
 """
 
 from dataclasses import dataclass, field
@@ -11,13 +11,13 @@
 from bendshed.wire import turns_pb2 as wire
 
 MAX_CLOSED_TURNS = 64
-"""Finished turn ids remembered of a program, against commands that arrive twice or late."""
+"""Ids of finished turns stored per program, to detect commands that arrive twice or late."""
 UNNUMBERED = 0
-"""Stands for begins that carry no number: nobody can tell which of them were answered."""
+"""Stands for begins without a number, which cannot be matched with the answers to them."""
 
 
 def initial_share(budget_tokens: int, group_id: int, num_groups: int) -> int:
-    """Tokens of a budget that a group may spend before it has taken over any other share."""
+    """Return the tokens of a budget that a group may spend before it takes over another share."""
     if num_groups <= 1:
         return budget_tokens
     rest = budget_tokens % num_groups if group_id == 0 else 0
@@ -26,23 +26,23 @@
 
 @dataclass(slots=True)
 class ProgramBudget:
-    """Tokens of one program.
+    """Token budget of one program.
 
     Invariant: ``spent_tokens`` plus all reservations never exceeds what the group held when the
     newest reservation was made.
 
     Attributes:
-        spent_tokens: charged for ended turns.
-        reserved: worst case of each turn under way, in tokens by turn id.
-        granted: numbers of the begins that were granted, for each turn in ``reserved``. They decide
-            nothing here, so replicas that lack them stay equal in all other fields.
-        closed: the latest finished turn ids, oldest first.
+        spent_tokens: tokens charged for ended turns.
+        reserved: maximum tokens of each running turn, by turn id.
+        granted: numbers of the begins that were granted, for each turn in ``reserved``. No decision
+            here depends on them, so replicas without them agree in all other fields.
+        closed: ids of the most recently finished turns, oldest first.
         expires_ms: time of the log's clock until which the program is stored.
-        runner_id: where its latest turn ran; empty: nowhere yet.
-        released: tokens given up to each other group, in all.
-        taken: tokens that each other group has given up to this one, in all.
-        shares_taken_ms: time of the log's clock at which another group's share was taken over last;
-            0: never.
+        runner_id: runner of its latest turn; empty if none has run yet.
+        released: total tokens released to each other group.
+        taken: total tokens taken over from each other group.
+        shares_taken_ms: time of the log's clock at which another group's share was last taken over;
+            0 if never.
 
     """
 
@@ -58,43 +58,43 @@
 
     @property
     def reserved_tokens(self) -> int:
-        """Worst case of all turns under way."""
+        """Maximum tokens of all running turns."""
         return sum(self.reserved.values())
 
     @property
     def used_tokens(self) -> int:
-        """Spent and reserved."""
+        """Spent and reserved tokens."""
         return self.spent_tokens + self.reserved_tokens
 
     def available_tokens(self, budget_tokens: int, group_id: int, num_groups: int) -> int:
-        """What the group holds of a budget and has neither spent nor reserved."""
+        """Return the group's tokens of a budget that are neither spent nor reserved."""
         held = initial_share(budget_tokens, group_id, num_groups)
         held += sum(self.taken.values()) - sum(self.released.values())
         return held - self.used_tokens
 
     def can_reserve(self, begin: wire.BeginTurn, group_id: int, num_turns: int = 1) -> bool:
-        """Whether the group's share holds ``num_turns`` more turns like this one."""
+        """Return whether the group's share suffices for ``num_turns`` more turns like this one."""
         if not begin.has_budget:
             return True
         available = self.available_tokens(begin.budget_tokens, group_id, begin.num_groups)
         return available >= num_turns * begin.most_tokens
 
     def reserve(self, begin: wire.BeginTurn, group_id: int) -> bool:
-        """Reserve a turn's worst case; ``False``: the group's share does not hold it."""
+        """Reserve a turn's maximum tokens; ``False`` if the group's share does not suffice."""
         if not self.can_reserve(begin, group_id):
             return False
         self.reserved[begin.turn_id] = begin.most_tokens
         return True
 
     def note_granted(self, begin: wire.BeginTurn) -> None:
-        """Remember which begin was granted; several may be of the same turn."""
+        """Record which begin was granted; a turn may have several."""
         self.granted.setdefault(begin.turn_id, set()).add(begin.proposal)
 
     def has_headroom(self, begin: wire.BeginTurn, group_id: int, num_turns: int) -> bool:
-        """Whether turns that begin at the same time can hardly use up what this one needs.
+        """Return whether turns that begin concurrently are unlikely to exhaust the share.
 
-        Until the other groups' shares were taken over, this group's need not hold more than the
-        turn itself: if it runs short by then, theirs are taken.
+        Until the other groups' shares have been taken over, this group's share need only suffice
+        for the turn itself: if it runs short, theirs are taken over.
         """
         if self.can_reserve(begin, group_id, num_turns):
             return True
@@ -103,11 +103,11 @@
         return may_take and used <= begin.budget_tokens and self.can_reserve(begin, group_id)
 
     def exceeds_budget(self, begin: wire.BeginTurn) -> bool:
-        """Whether the whole budget, with all groups' shares, does not hold the turn."""
+        """Return whether the turn does not fit into the whole budget, with all groups' shares."""
         return self.used_tokens + begin.most_tokens > begin.budget_tokens
 
     def largest_receiver(self) -> int | None:
-        """Group that has got the most of this one's share; ``None``: it has given none away."""
+        """Return the group that received most of this share; ``None`` if nothing was released."""
         given = {
             group: tokens - self.taken.get(group, 0) for group, tokens in self.released.items()
         }
@@ -115,19 +115,19 @@
         return best if best is not None and given[best] > 0 else None
 
     def release(self, request: wire.ReleaseShare, group_id: int) -> int:
-        """Give up what is neither spent nor reserved; return what that group got in all."""
+        """Release all available tokens; return the total released to the requesting group."""
         available = self.available_tokens(request.budget_tokens, group_id, request.num_groups)
         released = self.released.get(request.to_group, 0) + max(0, available)
         self.released[request.to_group] = released
         return released
 
     def take_over_share(self, share: wire.TakeShare) -> None:
-        """Count what another group has given up; its total only rises, so repeats count once."""
+        """Count tokens released by another group; totals only rise, so repeats count once."""
         known = self.taken.get(share.from_group, 0)
         self.taken[share.from_group] = max(known, share.released_tokens)
 
     def close(self, turn_id: str) -> None:
-        """End a turn's reservation and remember that it is over."""
+        """Remove a turn's reservation and record the turn as finished."""
         self.reserved.pop(turn_id, None)
         self.granted.pop(turn_id, None)
         self.closed[turn_id] = None
@@ -135,7 +135,7 @@
             del self.closed[next(iter(self.closed))]
 
     def to_wire(self, tenant: str, program_id: str) -> wire.ProgramBudget:
-        """Write it for a snapshot."""
+        """Return the snapshot message."""
         return wire.ProgramBudget(
             tenant=tenant,
             program_id=program_id,
@@ -166,7 +166,7 @@
 
     @classmethod
     def from_wire(cls, row: wire.ProgramBudget) -> "ProgramBudget":
-        """Read it from a snapshot; one without shares is of a turn log with one group."""
+        """Read a snapshot message; one without shares is from a turn log with one group."""
         return cls(
             row.spent_tokens,
             {entry.turn_id: entry.tokens for entry in row.reserved},
--- a/src/bendshed/admission/quota_allowance.py
+++ b/src/bendshed/admission/quota_allowance.py
@@ -1,22 +1,22 @@
-"""A node's side of quotas: calls that it may admit locally, and what it must report. Pure."""
+"""Quotas on a node: calls that it may admit locally, and the usage that it must report. Pure."""
 
 from dataclasses import dataclass, field
 
 from bendshed.model.permit import NO_PERMIT, TimedPermit
 
 ALLOWANCE_VALID_S = 0.9
-"""A node uses an allowance for this long after its receipt. The leader counts it 0.1 s longer
-(``quota_ledger.ALLOWANCE_COUNTED_MS``), which covers the reply's time to the node."""
+"""Time for which a node uses an allowance after receiving it. The leader counts it 0.1 s longer
+(``quota_ledger.ALLOWANCE_COUNTED_MS``), which covers the transmission of the reply."""
 
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """What a node reports of one tenant.
+    """Usage of one tenant that a node reports.
 
     Attributes:
-        total: calls admitted since the node's start.
-        lapsed_ceiling: an allowance up to this total lapsed unused; 0: none.
-        reported: of ``total``, what is known to be committed.
+        total: calls admitted since the node started.
+        lapsed_ceiling: ceiling of an allowance that expired unused; 0 if none did.
+        reported: part of ``total`` that is known to be committed.
 
     """
 
@@ -32,7 +32,7 @@
 
     Attributes:
         ceiling: total up to which ``permit`` allows calls.
-        unreported_since_s: when the oldest unreported call was admitted.
+        unreported_since_s: time at which the oldest unreported call was admitted.
 
     """
 
@@ -46,10 +46,10 @@
 
 @dataclass(slots=True)
 class LocalAllowances:
-    """Allowances of one node by tenant; times are the node's steady clock.
+    """Allowances of one node by tenant; times are of the node's steady clock.
 
-    Invariant: but for calls that the leader admitted one by one, no more calls are admitted than
-    the newest allowance permits, and none after its expiry.
+    Invariant: apart from calls that the leader admitted individually, no more calls are admitted
+    than the newest allowance permits, and none after its expiry.
 
     """
 
@@ -58,7 +58,7 @@
     _unreported: dict[str, None] = field(default_factory=dict)
 
     def try_admit(self, tenant: str, now_s: float) -> bool:
-        """Admit one call by the allowance; ``False``: the leader must be requested."""
+        """Admit one call under the allowance; ``False`` if the leader must be asked."""
         account = self._accounts.get(tenant)
         if account is None or account.total >= account.ceiling:
             return False
@@ -70,9 +70,10 @@
     def record_admitted(self, tenant: str, counted_total: int, now_s: float) -> None:
         """Count one call that the leader admitted.
 
-        ``counted_total`` is what the leader has counted of this node; 0: the tenant is not limited.
-        It may exceed what was admitted here, by an allowance that lapsed or is still valid. What it
-        includes must not be admitted later, in a window that does not count it.
+        ``counted_total`` is the total that the leader has counted for this node; 0 if the tenant is
+        not limited. It may exceed the calls admitted here by an allowance that has expired or is
+        still valid. Calls that it includes must not be admitted later, in a window that does not
+        count them.
         """
         account = self._accounts.setdefault(tenant, _Account())
         self._count(tenant, account, now_s)
@@ -85,17 +86,17 @@
         self._unreported[tenant] = None
 
     def total(self, tenant: str) -> int:
-        """Calls admitted so far."""
+        """Return the number of calls admitted so far."""
         account = self._accounts.get(tenant)
         return account.total if account is not None else 0
 
     def reported(self, tenant: str) -> int:
-        """Of these, those known to be committed."""
+        """Return the number of admitted calls that are known to be committed."""
         account = self._accounts.get(tenant)
         return account.reported if account is not None else 0
 
     def add_allowance(self, tenant: str, ceiling: int, now_s: float) -> None:
-        """Calls up to this total may be admitted from now on."""
+        """Allow calls up to this total from now on."""
         account = self._accounts.setdefault(tenant, _Account())
         if ceiling > account.total:
             is_valid = account.permit.is_valid(now_s)
@@ -104,12 +105,12 @@
             self._active[tenant] = None
 
     def unreported(self, now_s: float) -> list[UsageReport]:
-        """What is not known to be committed; lapsed allowances are given back with it."""
+        """Return usage not known to be committed, and expired allowances, which are returned."""
         self._expire_allowances(now_s)
         return [self._report_of(tenant) for tenant in self._unreported]
 
     def is_report_due(self, now_s: float, after_s: float) -> bool:
-        """Whether an admitted call has been unreported for ``after_s``."""
+        """Return whether an admitted call has been unreported for ``after_s``."""
         for tenant in self._unreported:
             account = self._accounts[tenant]
             is_unreported = account.total > account.reported
@@ -133,7 +134,7 @@
         return UsageReport(tenant, account.total, account.lapsed_ceiling, account.reported)
 
     def note_reported(self, rows: list[UsageReport], now_s: float) -> None:
-        """A report was committed."""
+        """Record that a report was committed."""
         for row in rows:
             account = self._accounts[row.tenant]
             if row.lapsed_ceiling >= account.lapsed_ceiling:
@@ -141,7 +142,7 @@
             self.note_committed(row.tenant, row.total, now_s)
 
     def note_committed(self, tenant: str, total: int, now_s: float) -> None:
-        """Calls up to this total were committed."""
+        """Record that calls up to this total were committed."""
         account = self._accounts[tenant]
         account.reported = max(account.reported, total)
         account.unreported_since_s = now_s
--- a/src/bendshed/admission/quota_ledger.py
+++ b/src/bendshed/admission/quota_ledger.py
@@ -1,8 +1,8 @@
-"""The leader's decisions on quotas: admit or reject a tenant's request. Pure.
+"""The leader's quota decisions: admit or reject a tenant's request. Pure.
 
-What counts against a tenant's limit:
+The following count against a tenant's limit:
 
-- committed turns, reported calls and allowances that nodes may use without a request each
+- committed turns, reported calls, and allowances, which nodes use without asking for each call
   (``UsageWindows``; replicated, so that a new leader knows them);
 - turns, calls and allowances that this leader has admitted and that are not committed yet.
 
@@ -19,28 +19,29 @@
 from bendshed.admission.turn_reservations import AdmissionDecision, TurnReservations
 
 ARRIVAL_MARGIN_MS = 100
-"""The window is judged this much longer than it is: a request reaches its runner up to 100 ms after
-it was admitted. Requests that a broken connection holds up longer fall into the part of the limit
-that nobody is given (``quota_limits.py``)."""
+"""Extension of the counted window: a request reaches its runner up to 100 ms after it was admitted.
+Requests that a broken connection delays further use the part of the margin that is not granted to
+any rank (``quota_limits.py``)."""
 ALLOWANCE_PER_TURN = 2
-"""Calls that a node may admit locally after a turn of the same tenant; saves them a message and a
-commit, some 7 ms. A turn is followed by 1.1 calls in the mean of the measured work."""
+"""Calls that a node may admit locally after a turn of the same tenant, which saves each of them a
+message and a commit, some 7 ms. In the measured workload a turn is followed by 1.1 calls on
+average."""
 ALLOWANCE_COUNTED_MS = 1_000
-"""How long the leader counts an allowance beyond the window; its node uses it for 900 ms
+"""Time beyond the window for which the leader counts an allowance; its node uses it for 900 ms
 (``quota_allowance.ALLOWANCE_VALID_S``)."""
 MAX_GRANTED_TOTALS = 50_000
-"""Pairs of node and tenant with admitted calls that are remembered; some 10 MB."""
+"""Maximum number of stored totals, one for each node and tenant; some 10 MB."""
 
 
 class Rank(StrEnum):
-    """Which requests wait first where a tenant has no room for all."""
+    """Rank of a request: the lower ranks are rejected first when a tenant nears its limit."""
 
     NEW_PROGRAM = "new_program"
     TURN = "turn"
     CALL = "call"
 
     def max_count(self, limit: TenantLimit) -> float:
-        """Requests that may be counted, this one included."""
+        """Return the maximum count of requests, including this one."""
         match self:
             case Rank.NEW_PROGRAM:
                 return limit.new_programs
@@ -52,13 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaRequest:
-    """A request that wants to be admitted.
+    """A request that is to be admitted.
 
     Attributes:
-        request_id: of a turn, the turn's id: it stays when the request is repeated.
-        program_id: empty: it belongs to none.
-        rank: decides up to which count it is admitted.
-        chain: of the turn; empty: unknown. Sub-agents of a program have one each.
+        request_id: for a turn, the turn's id, which stays the same when the request is repeated.
+        program_id: empty if it belongs to no program.
+        rank: determines up to which count it is admitted.
+        chain: chain of the turn; empty if unknown. Each sub-agent of a program has its own.
 
     """
 
@@ -70,19 +71,19 @@
 
     @property
     def chain_key(self) -> ChainKey:
-        """What comes back after a rejection; the next try may have another request id."""
+        """Key by which a retry is recognized; it may have another request id."""
         return self.program_id, self.chain
 
 
 @dataclass(slots=True)
 class QuotaLedger:
-    """Decides in one term of the leader; times are of the log's clock.
+    """Quota decisions of one leader term; times are of the log's clock.
 
-    Invariant: whatever nodes do with what they were granted, the counted requests of a tenant stay
+    Invariant: however nodes use what they were granted, the counted requests of a tenant stay
     within ``limit.calls``.
 
     Attributes:
-        prioritizes_running_programs: new programs are rejected before turns of programs under way,
+        prioritizes_running_programs: new programs are rejected before turns of running programs,
             and these before calls; otherwise first come, first served.
 
     """
@@ -97,7 +98,7 @@
     _retry_schedules: dict[str, RetrySchedule] = field(default_factory=dict)
 
     def begin_term(self, term: int) -> None:
-        """Forget what an earlier term decided: it may have been overtaken since."""
+        """Drop the decisions of an earlier term, which may be outdated."""
         if term == self._term:
             return
         self._term = term
@@ -122,13 +123,13 @@
         return admission
 
     def count_dispatched(self, request: QuotaRequest, now_ms: int) -> None:
-        """Count a turn that was dispatched on an earlier leader's uncommitted reservation."""
+        """Count a turn that was dispatched under an earlier leader's uncommitted reservation."""
         self._turns.expire(now_ms)
         self._turns.withdraw(request.request_id)
         self._turns.note(request.request_id, request.tenant, AdmissionDecision(True, 0, 0), now_ms)
 
     def settle_turn(self, request_id: str) -> None:
-        """An admitted turn was committed, so that it is counted there, or will not run."""
+        """Release the place of a turn that was committed, and is counted there, or will not run."""
         self._turns.settle(request_id)
 
     # --- calls -----------------------------------------------------------------------------
@@ -142,15 +143,15 @@
         usage: UsageWindows,
         now_ms: int,
     ) -> AdmissionDecision:
-        """Decide on a request that is no turn; an admitted one counts until it is committed.
+        """Decide on a request that is not a turn; an admitted one counts until it is committed.
 
         Args:
-            request: what wants to be admitted.
-            node: one incarnation of the requesting node.
-            node_total: requests of the tenant that it has admitted so far.
-            limit: the tenant's.
-            usage: what is counted.
-            now_ms: of the log's clock.
+            request: the request to be admitted.
+            node: incarnation of the requesting node.
+            node_total: requests of the tenant that the node has admitted so far.
+            limit: the tenant's limit.
+            usage: committed usage.
+            now_ms: time of the log's clock.
 
         """
         admission = self._decide(request, limit, usage, now_ms)
@@ -164,14 +165,15 @@
         return admission
 
     def settle_call(self, tenant: str) -> None:
-        """An admitted call was committed, so that it is counted there, or was not."""
+        """Release the place of an admitted call that was committed, and is counted there, or
+        failed."""
         if self._num_uncommitted_calls[tenant] > 1:
             self._num_uncommitted_calls[tenant] -= 1
         else:
             del self._num_uncommitted_calls[tenant]
 
     def granted_total(self, node: str, tenant: str) -> int:
-        """Total that a node has reached with the calls that were admitted here; 0: none."""
+        """Return a node's total including the calls admitted here; 0 if none were."""
         return self._granted_totals.get((node, tenant), 0)
 
     # --- allowances ------------------------------------------------------------------------
@@ -185,7 +187,7 @@
         usage: UsageWindows,
         now_ms: int,
     ) -> int:
-        """Total up to which a node may admit calls that follow a turn; 0: no allowance."""
+        """Return the total up to which a node may admit calls after a turn; 0 for no allowance."""
         held = self._num_allowed(tenant, usage, now_ms)
         num_counted = self._num_counted(tenant, usage, now_ms)
         room = min(limit.allowances - held, limit.allowance_threshold - num_counted)
@@ -200,7 +202,7 @@
         return ceiling + wanted
 
     def settle_allowance(self, node: str, tenant: str) -> None:
-        """An allowance was committed, so that it is counted there, or was not given."""
+        """Remove an uncommitted allowance: it was committed, and is counted there, or failed."""
         ceilings = self._uncommitted_ceilings.get(tenant, {})
         ceilings.pop(node, None)
         if not ceilings:
@@ -211,10 +213,10 @@
     def _decide(
         self, request: QuotaRequest, limit: TenantLimit, usage: UsageWindows, now_ms: int
     ) -> AdmissionDecision:
-        """Admit while the count with this request stays within the limit of its rank.
+        """Admit a request if the count that includes it stays within the limit of its rank.
 
-        A new program leaves room for all chains that are expected back. Any other request may take
-        a free place before them, and is told to come back behind them.
+        A new program leaves room for all chains whose retry is expected. Any other request may take
+        a free place before them; if it is rejected, its retry is scheduled after theirs.
         """
         tenant = request.tenant
         rank = request.rank if self.prioritizes_running_programs else Rank.CALL
@@ -241,13 +243,13 @@
         return self.window_ms + ARRIVAL_MARGIN_MS
 
     def _num_counted(self, tenant: str, usage: UsageWindows, now_ms: int) -> int:
-        """Requests that count against the limit."""
+        """Return the number of requests that count against the limit."""
         counted = usage.in_window(tenant, now_ms, self._counted_window_ms)
         uncommitted = self._turns.num_reserved(tenant) + self._num_uncommitted_calls.get(tenant, 0)
         return counted + uncommitted + self._num_allowed(tenant, usage, now_ms)
 
     def _num_allowed(self, tenant: str, usage: UsageWindows, now_ms: int) -> int:
-        """Requests that nodes may admit locally, or have admitted and not reported."""
+        """Return the number of requests that nodes may admit locally or have not reported yet."""
         allowed = usage.num_allowed(tenant, now_ms - self._counted_window_ms - ALLOWANCE_COUNTED_MS)
         for node, ceiling in self._uncommitted_ceilings.get(tenant, {}).items():
             counted = max(usage.reported_total(node, tenant), usage.ceiling(node, tenant))
--- a/src/bendshed/admission/quota_limits.py
+++ b/src/bendshed/admission/quota_limits.py
@@ -1,10 +1,10 @@
-"""What a tenant may use in a window, and how far the count may be off. Pure.
+"""Limits of a tenant in one window, and how far they may be exceeded. Pure.
 
 At most ``(rate x window + burst) x (1 + over) + slack`` requests of a tenant may run in any window.
-What lies between that and the tenant's limit, the margin, is shared by rank. New programs may
-use the least of it. Turns of programs under way may use more, since the work of a program that does
-not finish is lost. Calls may use most, since one that fails ends its program, while a turn is sent
-again. The rest of the margin is for requests that reach their runner late.
+The margin between that and the tenant's limit is divided by rank. New programs may use the smallest
+part. Turns of running programs may use more, because the work of a program that does not finish is
+lost. Calls may use the largest part, because a call that fails ends its program, whereas a turn is
+retried. The rest of the margin is for requests that reach their runner late.
 
 Source: docs/design/0007.
 """
@@ -14,29 +14,29 @@
 from bendshed.model.service_document import Tenant
 
 MAX_WINDOW_S = 10.0
-"""Longest window that can be judged; usage is stored for it (``quota_usage.KEPT_MS``)."""
+"""Longest supported window; usage is stored for it (``quota_usage.USAGE_MEMORY_MS``)."""
 NEW_PROGRAM_MARGIN_SHARE = 0.4
 TURN_MARGIN_SHARE = 0.7
 CALL_MARGIN_SHARE = 0.85
-"""Parts of the margin for new programs, turns and calls. Measured on a day with a lowered limit and
-a burst of 1.8 at 0.3, 0.6 and 0.8: a share of 0.027 and 0.035 was rejected in two runs, 0.048 first
-come, first served, 0.038 with half of the margin for turns and calls alike. Two runs of one code
-differ by 0.02. The step to 0.4, 0.7 and 0.85 has no run of its own."""
+"""Shares of the margin for new programs, turns and calls. Measured with a lowered limit and a burst
+of 1.8: the shares 0.3, 0.6 and 0.8 rejected 0.027 and 0.035 in two runs, against 0.048 first come,
+first served, and 0.038 with half of the margin for turns and calls alike; two runs of the same code
+differ by 0.02."""
 ALLOWANCE_SHARE = 0.2
-"""Part of a tenant's limit that all allowances together may hold: one whose node is lost counts
-as used for a window."""
+"""Share of a tenant's limit that all allowances together may hold; the allowance of a node that is
+lost counts as used for a window."""
 ALLOWANCE_THRESHOLD_SHARE = 0.8
-"""Nodes get allowances while less than this part of a tenant's limit is used."""
+"""Nodes get allowances while less than this share of a tenant's limit is used."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaTolerance:
-    """How exactly the installation keeps every tenant's limit.
+    """How far the installation may exceed each tenant's limit.
 
     Attributes:
-        window_s: any span of this length counts; at most ``MAX_WINDOW_S``.
-        over: share by which the limit may be exceeded.
-        slack: requests by which it may be exceeded in addition.
+        window_s: length of the sliding window; at most ``MAX_WINDOW_S``.
+        over: share of the limit by which it may be exceeded.
+        slack: number of requests by which it may be exceeded in addition.
 
     """
 
@@ -46,17 +46,17 @@
 
 
 NO_TOLERANCE = QuotaTolerance()
-"""Not one request more than a tenant's limit."""
+"""No request beyond a tenant's limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class TenantLimit:
-    """Requests of one tenant in one window.
+    """Maximum counts of requests of one tenant in one window.
 
     Attributes:
         nominal: the tenant's limit.
         new_programs: count up to which new programs are admitted.
-        turns: count up to which turns of programs under way are admitted.
+        turns: count up to which turns of running programs are admitted.
         calls: count up to which calls between turns are admitted.
         allowances: calls that all nodes together may hold as allowances.
         allowance_threshold: count below which nodes get allowances.
@@ -72,7 +72,7 @@
 
 
 def tenant_limit(tenant: Tenant, tolerance: QuotaTolerance) -> TenantLimit:
-    """The limits that follow from a tenant's rate and burst."""
+    """Return the limits that follow from a tenant's rate and burst."""
     nominal = tenant.rate_per_s * tolerance.window_s + tenant.burst
     margin = nominal * tolerance.over + tolerance.slack
     return TenantLimit(
--- a/src/bendshed/admission/quota_usage.py
+++ b/src/bendshed/admission/quota_usage.py
@@ -1,4 +1,4 @@
-"""Admitted requests of tenants, on the turn log's clock. Replicated and pure."""
+"""Admitted requests of tenants by time of the turn log's clock. Replicated and pure."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
@@ -7,13 +7,13 @@
 from bendshed.wire import turns_pb2 as wire
 
 USAGE_MEMORY_MS = 12_000
-"""Usage is stored for the longest window (``quota_limits.MAX_WINDOW_S``), its guard and the time of
-an allowance: 11.1 s."""
+"""Time for which usage is stored: it must cover the longest window (``quota_limits.MAX_WINDOW_S``),
+the arrival margin and the time of an allowance, 11.1 s together."""
 
 
 @dataclass(slots=True)
 class _Allowance:
-    """Total up to which one node may admit calls, and since when."""
+    """Total up to which a node may admit calls, and when it was granted."""
 
     ceiling: int
     at_ms: int
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class _ReportedTotal:
-    """Total that a node last reported of a tenant, and when."""
+    """Total that a node last reported for a tenant, and when."""
 
     total: int
     at_ms: int
@@ -29,10 +29,10 @@
 
 @dataclass(slots=True)
 class UsageWindows:
-    """Requests of each tenant by span, and allowances of nodes.
+    """Requests of each tenant by time, and allowances of nodes.
 
-    Invariant: a node's report counts once however often and in whatever order it arrives, since it
-    carries a total that only rises.
+    Invariant: a node's report counts once, however often and in whatever order it arrives, because
+    it carries a total that only rises.
     """
 
     _counts: dict[str, SlidingWindowCounter] = field(default_factory=dict)
@@ -40,18 +40,18 @@
     _allowances: dict[str, dict[str, _Allowance]] = field(default_factory=dict)
 
     def set_allowance(self, node: str, tenant: str, ceiling: int, at_ms: int) -> None:
-        """Give a node an allowance: it may admit calls of a tenant up to a total."""
+        """Allow a node to admit calls of a tenant up to a total."""
         held = self._allowances.setdefault(tenant, {}).get(node)
         if held is None or ceiling >= held.ceiling:
             self._allowances[tenant][node] = _Allowance(ceiling, at_ms)
 
     def ceiling(self, node: str, tenant: str) -> int:
-        """Total of a node's allowance; 0: it has none."""
+        """Return the ceiling of a node's allowance; 0 if it has none."""
         held = self._allowances.get(tenant, {}).get(node)
         return held.ceiling if held is not None else 0
 
     def num_allowed(self, tenant: str, since_ms: int) -> int:
-        """Calls that nodes may admit, or have and did not report, by allowances since a time."""
+        """Return the unreported calls, admitted or not, that allowances since a time permit."""
         return sum(
             max(0, held.ceiling - self.reported_total(node, tenant))
             for node, held in self._allowances.get(tenant, {}).items()
@@ -75,7 +75,7 @@
             self._remove_allowance(node, row.tenant, max(known.total, row.lapsed_ceiling))
 
     def _remove_allowance(self, node: str, tenant: str, reached: int) -> None:
-        """Remove an allowance that was used up or has lapsed."""
+        """Remove an allowance that is used up or has expired."""
         of_tenant = self._allowances.get(tenant, {})
         held = of_tenant.get(node)
         if held is not None and held.ceiling <= reached:
@@ -84,22 +84,22 @@
                 del self._allowances[tenant]
 
     def reported_total(self, node: str, tenant: str) -> int:
-        """Calls of a tenant that a node has reported, in all."""
+        """Return the total calls of a tenant that a node has reported."""
         known = self._reported.get((node, tenant))
         return known.total if known is not None else 0
 
     def in_window(self, tenant: str, now_ms: int, window_ms: int) -> int:
-        """Requests counted in the window that ends now."""
+        """Return the requests counted in the window that ends now."""
         held = self._counts.get(tenant)
         return held.in_window(now_ms, window_ms) if held is not None else 0
 
     def wait_ms(self, tenant: str, now_ms: int, window_ms: int, excess: float) -> int:
-        """Time in ms until ``excess`` of the counted requests have left the window."""
+        """Return the time in ms until ``excess`` counted requests have left the window."""
         held = self._counts.get(tenant, SlidingWindowCounter())
         return held.wait_ms(now_ms, window_ms, excess)
 
     def sweep(self, now_ms: int) -> None:
-        """Remove what no window holds any more."""
+        """Remove usage and allowances that are outside every window."""
         oldest_ms = now_ms - USAGE_MEMORY_MS
         for tenant in [t for t, held in self._counts.items() if held.drop_before(oldest_ms)]:
             del self._counts[tenant]
@@ -115,7 +115,7 @@
     # --- snapshot --------------------------------------------------------------------------
 
     def snapshot_parts(self) -> Iterator[wire.TurnLogSnapshot]:
-        """Parts of a snapshot."""
+        """Yield the parts of a snapshot."""
         for tenant, held in self._counts.items():
             spans = [
                 wire.UsageSpan(at_ms=bucket.at_ms, count=bucket.count) for bucket in held.buckets
@@ -133,7 +133,7 @@
 
     @classmethod
     def from_snapshot(cls, snapshot: wire.TurnLogSnapshot) -> "UsageWindows":
-        """Read them back."""
+        """Restore usage from a snapshot."""
         counts = {
             row.tenant: SlidingWindowCounter.from_buckets(
                 Bucket(bucket.at_ms, bucket.count) for bucket in row.spans
--- a/src/bendshed/admission/sliding_window.py
+++ b/src/bendshed/admission/sliding_window.py
@@ -1,12 +1,12 @@
-"""Sliding counts and permits with an expiry: the parts of every bound over all nodes. Pure."""
+"""Counters over sliding windows, on which every limit across all nodes is based. Pure."""
 
 from collections import deque
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
 BUCKET_MS = 50
-"""Events of one bucket are counted together, as if all had come at its end. So a count is never too
-small, and may hold events that are up to ``BUCKET_MS`` older than the window."""
+"""Events of one bucket are counted together, as if all had occurred at its end. So a count is never
+too low, and may include events that are up to ``BUCKET_MS`` older than the window."""
 
 
 @dataclass(slots=True)
@@ -19,10 +19,10 @@
 
 @dataclass(slots=True)
 class SlidingWindowCounter:
-    """Events by time, counted in windows that end now; times are added in order.
+    """Events by time, counted in windows that end now; events are added in order of time.
 
     Attributes:
-        buckets: the oldest first.
+        buckets: oldest first.
 
     """
 
@@ -30,7 +30,7 @@
 
     @classmethod
     def from_buckets(cls, buckets: Iterable[Bucket]) -> "SlidingWindowCounter":
-        """Restore a count from its ``buckets``."""
+        """Restore a counter from its ``buckets``."""
         return cls(deque(buckets))
 
     def add(self, at_ms: int, count: int = 1) -> None:
@@ -42,11 +42,11 @@
             self.buckets.append(Bucket(begins_ms, count))
 
     def in_window(self, now_ms: int, window_ms: int) -> int:
-        """Events counted in the window that ends now."""
+        """Return the events counted in the window that ends now."""
         return sum(bucket.count for bucket in self._buckets_in_window(now_ms, window_ms))
 
     def wait_ms(self, now_ms: int, window_ms: int, excess: float) -> int:
-        """Time in ms until ``excess`` of the counted events have left the window."""
+        """Return the time in ms until ``excess`` counted events have left the window."""
         left = 0
         for bucket in self._buckets_in_window(now_ms, window_ms):
             left += bucket.count
@@ -61,7 +61,7 @@
                 yield bucket
 
     def drop_before(self, oldest_ms: int) -> bool:
-        """Remove older buckets; ``True``: nothing is left."""
+        """Remove older buckets; return whether none is left."""
         while self.buckets and self.buckets[0].at_ms < oldest_ms:
             self.buckets.popleft()
         return not self.buckets
--- a/src/bendshed/admission/standing_reservations.py
+++ b/src/bendshed/admission/standing_reservations.py
@@ -1,41 +1,41 @@
-"""When a turn that reservations of its program hold back is told to come back. Pure.
+"""Decides when to retry a turn that reservations of its program block. Pure.
 
-Owns: since when each reservation has been seen to hold a turn back, in the leader's memory alone.
+Records since when each reservation has blocked a turn, in the leader's memory only.
 """
 
 from collections import OrderedDict
 from collections.abc import Mapping
 
 STANDING_S = 3.0
-"""A front that runs ends its turns within this time of finding a leader (``turn_ends.py``: a pause
-and a time-out). What stands longer belongs to a turn that runs for long, or to one whose front is
-away."""
+"""A running front reports the ends of its turns within this time of finding a leader
+(``turn_ends.py``: a pause and a timeout). A reservation that lasts longer belongs to a long-running
+turn, or to a turn whose front is unreachable."""
 RESERVED_RETRY_AFTER_MS = 300
-"""When a turn is told to come back that only reservations hold back: after some commits."""
+"""Retry time of a turn that is blocked only by reservations: after some commits."""
 STANDING_RETRY_AFTER_MS = 1_000
-"""The same where reservations that stand hold it back."""
+"""Retry time of a turn that is blocked by standing reservations."""
 MAX_PROGRAMS = 10_000
-"""Programs remembered; the one that was refused longest ago is forgotten first."""
+"""Maximum number of stored programs; the one rejected longest ago is dropped first."""
 
 Program = tuple[str, str]
 """Tenant and program id."""
 
 
 class StandingReservations:
-    """Reservations that turns were refused for.
+    """Reservations for which turns were rejected.
 
-    Invariant: a reservation stands only ``STANDING_S`` after the first refusal here that rested on
-    it.
+    Invariant: a reservation counts as standing only ``STANDING_S`` after the first rejection here
+    that was due to it.
     """
 
     def __init__(self) -> None:
         self._seen_s: OrderedDict[Program, dict[str, float]] = OrderedDict()
 
     def standing_tokens(self, program: Program, reserved: Mapping[str, int], now_s: float) -> int:
-        """Tokens of the reservations that stand; notes the others as seen now.
+        """Return the tokens of the standing reservations; record new ones as seen now.
 
         Args:
-            program: that a turn is refused of.
+            program: program whose turn is rejected.
             reserved: its reservations, in tokens by turn id.
             now_s: steady time.
 
--- a/src/bendshed/admission/turn_reservations.py
+++ b/src/bendshed/admission/turn_reservations.py
@@ -1,10 +1,10 @@
-"""Turns that a leader has decided on and that are not committed yet. Pure."""
+"""Decisions of a leader on turns that are not committed yet. Pure."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
 RESERVATION_MS = 2_000
-"""A reservation is dropped after this long: the requesting node gives up after 1.5 s."""
+"""A reservation is dropped after this time: the requesting node gives up after 1.5 s."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -12,9 +12,9 @@
     """The decision on one request.
 
     Attributes:
-        used: requests counted against the limit, with reservations and allowances.
-        num_allowed: of these, allowances that nodes hold or have not reported yet.
-        retry_after_ms: when there may be room; 0 if admitted.
+        used: requests counted against the limit, including reservations and allowances.
+        num_allowed: part of ``used`` that nodes hold as allowances or have not reported yet.
+        retry_after_ms: time until there may be room; 0 if admitted.
 
     """
 
@@ -44,34 +44,34 @@
     _num_reserved: dict[str, int] = field(default_factory=dict)
 
     def clear(self) -> None:
-        """Forget all."""
+        """Remove all decisions."""
         self._decided.clear()
         self._num_reserved.clear()
 
     def decision(self, turn_id: str) -> AdmissionDecision | None:
-        """What was decided on a turn; ``None``: nothing yet."""
+        """Return the decision on a turn; ``None`` if there is none yet."""
         known = self._decided.get(turn_id)
         return known.admission if known is not None else None
 
     def num_reserved(self, tenant: str) -> int:
-        """Places that a tenant's turns hold."""
+        """Return the number of places that a tenant's turns hold."""
         return self._num_reserved.get(tenant, 0)
 
     def note(self, turn_id: str, tenant: str, admission: AdmissionDecision, now_ms: int) -> None:
-        """Remember a decision."""
+        """Record a decision."""
         is_reserved = admission.is_granted
         self._decided[turn_id] = _ReservedTurn(admission, tenant, now_ms, is_reserved)
         if is_reserved:
             self._num_reserved[tenant] = self._num_reserved.get(tenant, 0) + 1
 
     def settle(self, turn_id: str) -> None:
-        """Give back a turn's place; the decision on it stays."""
+        """Release a turn's place; the decision on it stays."""
         decision = self._decided.get(turn_id)
         if decision is not None:
             self._release(decision)
 
     def withdraw(self, turn_id: str) -> None:
-        """Give back a turn's place and forget the decision on it."""
+        """Release a turn's place and drop the decision on it."""
         decision = self._decided.pop(turn_id, None)
         if decision is not None:
             self._release(decision)
