--- a/src/bendshed/dispatch/attempt_sender.py
+++ b/src/bendshed/dispatch/attempt_sender.py
@@ -63,7 +63,7 @@
             )
         except HistoryMismatch:
             return await self._fetch_whole_history(run)
-        self._steps.sent.add((*run.request.key, granted.attempt))
+        self._steps.used_grants.add((*run.request.key, granted.attempt))
         runner_id = granted.runner
         table = self._scheduler.table
         now_s = asyncio.get_running_loop().time
@@ -123,20 +123,20 @@
         return await self._settle_answered(run, granted, history, summary)
 
     async def _read_to_end(
-        self, run: CallRun, engine: Engine, name: str, stream: EngineStream
+        self, run: CallRun, engine: Engine, stream_id: str, stream: EngineStream
     ) -> StreamSummary:
         """Forward a stream to its end, resuming it where the connection broke."""
-        for tries in range(MAX_RESUMES + 1):
+        for attempt in range(MAX_RESUMES + 1):
             try:
-                if tries:
-                    stream = await engine.resume(name)
+                if attempt:
+                    stream = await engine.resume(stream_id)
                 await self._forward(run, stream)
                 run.is_stream_complete = True
                 return stream.summary
             except EngineBroken as error:
-                log.say("stream interrupted", attempt=name, reason=str(error))
-            await asyncio.sleep(backoff_s(tries + 1, self._rng))
-        raise EngineBroken(name)
+                log.say("stream interrupted", attempt=stream_id, reason=str(error))
+            await asyncio.sleep(backoff_s(attempt + 1, self._rng))
+        raise EngineBroken(stream_id)
 
     async def _forward(self, run: CallRun, stream: EngineStream) -> None:
         """Append what the live answer does not have yet."""
@@ -188,8 +188,8 @@
     async def _settle_broken(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
         """The engine was lost. Run again only if no byte reached the caller."""
         run.failed_runners.add(granted.runner)
-        seen = run.live.num_bytes > 0
-        final = seen or run.request.unrepeatable or not self._may_retry(run, granted)
+        has_output = run.live.num_bytes > 0
+        final = has_output or run.request.unrepeatable or not self._may_retry(run, granted)
         kind = ErrorKind.OUTCOME_UNKNOWN if run.request.unrepeatable else ErrorKind.ENGINE_LOST
         return await self._steps.finish(
             run, granted, wire.ATTEMPT_OUTCOME_BROKEN, StreamSummary(), kind, final
@@ -216,12 +216,12 @@
             call=run.request.call_number,
         )
         engine = self._engine_of(orphan.runner)
-        name = attempt_id(run.request, orphan.attempt)
+        stream_id = attempt_id(run.request, orphan.attempt)
         if engine is None:
             return await self._settle_lost(run, orphan)
         try:
-            stream = await engine.resume(name)
-            summary = await self._read_to_end(run, engine, name, stream)
+            stream = await engine.resume(stream_id)
+            summary = await self._read_to_end(run, engine, stream_id, stream)
         except (EngineBroken, EngineNotStarted, StreamUnknown):
             return await self._settle_lost(run, orphan)
         result = await self._steps.finish(
@@ -256,12 +256,12 @@
             )
         return await self._steps.replace(run, orphan, runner)
 
-    async def _cancel(self, runner_id: str, name: str) -> bool:
+    async def _cancel(self, runner_id: str, stream_id: str) -> bool:
         engine = self._engine_of(runner_id)
         if engine is None:
             return False
         try:
-            await engine.cancel(name)
+            await engine.cancel(stream_id)
         except (EngineBroken, EngineNotStarted):
             return False
         return True
--- a/src/bendshed/dispatch/call_steps.py
+++ b/src/bendshed/dispatch/call_steps.py
@@ -51,13 +51,13 @@
 
     Attributes:
         history: chains of turns that this node has at hand.
-        sent: attempts (program, call number, attempt) that left this process, or never will.
+        used_grants: attempts (program, call number, attempt) that left this process, or never will.
 
     """
 
     def __init__(self, group: GroupCommands, scheduler: Scheduler, clock: Clock) -> None:
         self.history = HistoryCache()
-        self.sent: set[tuple[str, int, int]] = set()
+        self.used_grants: set[tuple[str, int, int]] = set()
         self._group = group
         self._scheduler = scheduler
         self._clock = clock
@@ -68,7 +68,7 @@
 
     def may_send(self, run: CallRun, result: wire.CallResult) -> bool:
         """Whether this process holds the grant and has not used it."""
-        is_unused = (*run.request.key, result.attempt) not in self.sent
+        is_unused = (*run.request.key, result.attempt) not in self.used_grants
         return is_unused and self._is_granted_to(run, result)
 
     def _is_granted_to(self, run: CallRun, result: wire.CallResult) -> bool:
@@ -126,7 +126,7 @@
             run, result
         )
         if is_granted and result.attempt not in run.sent_attempts:
-            self.sent.add((*run.request.key, result.attempt))  # never send it
+            self.used_grants.add((*run.request.key, result.attempt))  # never send it
             return await self.finish(
                 run, result, wire.ATTEMPT_OUTCOME_NOT_STARTED, StreamSummary(), kind, final=True
             )
--- a/src/bendshed/dispatch/calls.py
+++ b/src/bendshed/dispatch/calls.py
@@ -73,14 +73,14 @@
         """Add bytes."""
         self.chunks.append(chunk)
         self.num_bytes += len(chunk)
-        self._wake()
+        self._notify()
 
     def finish(self, outcome: Outcome) -> None:
         """Set the outcome; nothing follows."""
         self.outcome = outcome
-        self._wake()
+        self._notify()
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             if not waiter.done():
@@ -104,7 +104,7 @@
             else:
                 await self._wait_for_change()
 
-    async def started(self) -> None:
+    async def wait_for_start(self) -> None:
         """Wait for the first byte or the outcome."""
         while not self.chunks and self.outcome is None:
             await self._wait_for_change()
--- a/src/bendshed/dispatch/events.py
+++ b/src/bendshed/dispatch/events.py
@@ -26,7 +26,7 @@
     return {"runner": result.runner, "attempt": result.attempt, "node": node}
 
 
-def whole_answer(call: CallRequest, result: wire.CallResult, created_s: int) -> dict[str, Any]:
+def answer_body(call: CallRequest, result: wire.CallResult, created_s: int) -> dict[str, Any]:
     """Body of an answer that is not streamed."""
     message = {"role": "assistant", "content": result.answer}
     return {
--- a/src/bendshed/dispatch/executor.py
+++ b/src/bendshed/dispatch/executor.py
@@ -1,8 +1,8 @@
 """Runs the calls that callers brought to this node.
 
 An attempt is sent only by the process that was granted it, and once: the grant is a committed
-``DispatchCall``, and ``CallSteps.sent`` remembers what left. The caller learns the outcome only
-after the group has committed it, so an answer once given stays true.
+``DispatchCall``, and ``CallSteps.used_grants`` remembers what left. The caller learns the outcome
+only after the group has committed it, so an answer once given stays true.
 """
 
 import asyncio
@@ -78,11 +78,11 @@
         """Start a call, or attach to the same call under way on this node."""
         running = self.live.get(request.key)
         if running is not None and not isinstance(running.outcome, Refusal):
-            same = running.request
-            if (same.idempotency_key, same.body_digest) == (
+            running_request = running.request
+            if (running_request.idempotency_key, running_request.body_digest) == (
                 request.idempotency_key,
                 request.body_digest,
-            ) and same.tenant == request.tenant:
+            ) and running_request.tenant == request.tenant:
                 return running
         if not self._scheduler.has_room():
             return Refusal(ErrorKind.OVERLOADED, "too many calls wait on this node")
@@ -107,8 +107,8 @@
         task.add_done_callback(among.discard)
 
     async def _on_executing(self, payload: bytes) -> bytes:
-        question = wire.ExecutingRequest.FromString(payload)
-        executing = question.request_id in self._requests
+        request = wire.ExecutingRequest.FromString(payload)
+        executing = request.request_id in self._requests
         return wire.ExecutingReply(executing=executing).SerializeToString()
 
     async def _run_to_outcome(self, live: LiveAnswer) -> None:
@@ -160,8 +160,10 @@
         key = live.request.key
         if self.live.get(key) is live:
             del self.live[key]
-        sent = self._steps.sent
-        self._steps.sent = {one for one in sent if one[:2] != key or key in self.live}
+        used_grants = self._steps.used_grants
+        self._steps.used_grants = {
+            grant for grant in used_grants if grant[:2] != key or key in self.live
+        }
 
     # --- one call ------------------------------------------------------------------------
 
--- a/src/bendshed/gateway/application.py
+++ b/src/bendshed/gateway/application.py
@@ -112,7 +112,7 @@
             raise BendshedError(live)
         if not parsed.stream:
             return await self._answer_whole(live, parsed, arrived_s)
-        await live.started()
+        await live.wait_for_start()
         self.metrics.first_event_s.observe(time.monotonic() - arrived_s)
         if not live.chunks and isinstance(live.outcome, Refusal):
             raise BendshedError(live.outcome)
@@ -126,7 +126,7 @@
         if isinstance(outcome, Refusal):
             raise BendshedError(outcome)
         await self._settle(parsed, outcome, arrived_s)
-        body = answer_events.whole_answer(live.request, outcome.result, int(time.time()))
+        body = answer_events.answer_body(live.request, outcome.result, int(time.time()))
         return Response(200, None, Content(JSON, orjson.dumps(body)))
 
     async def _events(
