--- a/src/bendshed/dispatch/__init__.py
+++ b/src/bendshed/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Runs calls: attempts at engines, resume, takeover, retries, and the caller's answer."""
+"""Runs calls: attempts at engines, resumed streams, takeover, retries and answers to callers."""
--- a/src/bendshed/dispatch/attempt_sender.py
+++ b/src/bendshed/dispatch/attempt_sender.py
@@ -1,6 +1,7 @@
 """Sends the attempts that were granted to this process, and reads their streams to the end.
 
-Whether a failed attempt may be replaced is decided in ``retries/`` by what the caller has seen.
+``retries/`` decides whether a failed attempt may be replaced, depending on what the caller has
+received.
 """
 
 import asyncio
@@ -27,15 +28,15 @@
 from bendshed.wire import programs_pb2 as wire
 
 MAX_ATTEMPTS = 4
-"""Attempts of one call; bounds the work that a call may cost while engines fail."""
+"""Maximum attempts of one call; bounds the work that a call may cost while engines fail."""
 MAX_RESUMES = 3
-"""Times that one stream is resumed at its engine before the engine counts as lost."""
+"""Maximum times that a stream is resumed at its engine before the engine counts as lost."""
 
 log = PartLog("dispatch")
 
 
 class AttemptSender:
-    """Sends each granted attempt once; resumes or settles attempts of executors that are gone."""
+    """Sends each granted attempt once; resumes or settles attempts of lost executors."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
         self._rng = rng
 
     async def send(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
-        """Send the granted attempt and read it to its end."""
+        """Send the granted attempt and read its stream to the end."""
         try:
             history = self._steps.history.assemble(
                 run.request.program_id, run.request.branch, granted
@@ -125,7 +126,7 @@
     async def _read_to_end(
         self, run: CallRun, engine: Engine, stream_id: str, stream: EngineStream
     ) -> StreamSummary:
-        """Forward a stream to its end, resuming it where the connection broke."""
+        """Forward a stream to its end, resuming it after a broken connection."""
         for attempt in range(MAX_RESUMES + 1):
             try:
                 if attempt:
@@ -139,7 +140,7 @@
         raise EngineBroken(stream_id)
 
     async def _forward(self, run: CallRun, stream: EngineStream) -> None:
-        """Append what the live answer does not have yet."""
+        """Append the bytes that the live answer does not have yet."""
         skip = run.live.num_bytes
         async for chunk in stream.events():
             if skip >= len(chunk):
@@ -170,7 +171,7 @@
         return result
 
     async def _settle_not_started(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
-        """Hand the attempt back unstarted and try elsewhere while that makes sense."""
+        """Return the attempt as not started; the call may be retried on another runner."""
         run.failed_runners.add(granted.runner)
         final = not self._may_retry(run, granted)
         result = await self._steps.finish(
@@ -186,7 +187,8 @@
         return result
 
     async def _settle_broken(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
-        """The engine was lost. Run again only if no byte reached the caller."""
+        """Handle the loss of the engine; the call is run again only if no byte reached the
+        caller."""
         run.failed_runners.add(granted.runner)
         has_output = run.live.num_bytes > 0
         final = has_output or run.request.unrepeatable or not self._may_retry(run, granted)
@@ -205,13 +207,13 @@
     # --- takeover ------------------------------------------------------------------------
 
     async def take_over(self, run: CallRun, orphan: wire.CallResult) -> wire.CallResult:
-        """The executor of a dispatched call is gone: resume its stream, or settle it.
+        """Resume or settle the stream of a dispatched call whose executor was lost.
 
-        The attempt is cancelled at its engine before anything else is done with the call, so a
-        former executor that wakes up cannot start it any more.
+        Unless its stream can be resumed, the attempt is cancelled at its engine before any other
+        step, so that a former executor that resumes cannot start it any more.
         """
         log.say(
-            "call taken over: its executor is gone",
+            "call taken over: its executor was lost",
             program=run.request.program_id,
             call=run.request.call_number,
         )
@@ -231,7 +233,7 @@
         return result
 
     async def _settle_lost(self, run: CallRun, orphan: wire.CallResult) -> wire.CallResult:
-        """The orphan's stream cannot be had."""
+        """Settle or replace an orphaned attempt whose stream cannot be resumed."""
         cancelled = await self._cancel(orphan.runner, attempt_id(run.request, orphan.attempt))
         if orphan.unrepeatable or run.live.num_bytes:
             return await self._steps.finish(
@@ -268,5 +270,5 @@
 
 
 def attempt_id(request: CallRequest, attempt: int) -> str:
-    """Name of an attempt's stream at its engine."""
+    """Return the id of an attempt's stream at its engine."""
     return f"{request.program_id}:{request.call_number}:{attempt}"
--- a/src/bendshed/dispatch/call_steps.py
+++ b/src/bendshed/dispatch/call_steps.py
@@ -1,4 +1,4 @@
-"""One call's progress on this node, and the steps that commit it at its program's group."""
+"""Progress of one call on this node, and the steps that are committed by its program's group."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 from bendshed.wire import programs_pb2 as wire
 
 BYTES_PER_TOKEN = 4
-"""Of English text in the usual vocabularies; weighs waiting calls against each other only."""
+"""Estimate for English text with common tokenizers; used only to compare waiting calls."""
 
 
 @dataclass(slots=True)
@@ -21,12 +21,12 @@
     """Progress of one call on this node.
 
     Attributes:
-        live: what its callers read.
+        live: answer that its callers read.
         predecessor_deadline_s: loop time until which it may wait for its predecessor.
-        failed_runners: where an attempt failed.
-        known_call, known_digest: history that this node holds.
-        is_stream_complete: the live answer holds a stream up to its last event.
-        sent_attempts: attempts that left this process.
+        failed_runners: runners on which an attempt failed.
+        known_call, known_digest: history that this node has cached.
+        is_stream_complete: the live answer contains a stream up to its last event.
+        sent_attempts: attempts that this process has sent.
 
     """
 
@@ -40,18 +40,18 @@
 
     @property
     def request(self) -> CallRequest:
-        """The call, as the gateway read it."""
+        """The call, as parsed by the gateway."""
         return self.live.request
 
 
 class CallSteps:
-    """Submits calls, waits for their runners and commits how they end.
+    """Submits calls, waits for their runners and commits their outcomes.
 
     Methods that commit raise ``GroupUnavailable``.
 
     Attributes:
-        history: chains of turns that this node has at hand.
-        used_grants: attempts (program, call number, attempt) that left this process, or never will.
+        history: histories that this node has cached.
+        used_grants: attempts (program, call number, attempt) that were sent or must not be sent.
 
     """
 
@@ -63,21 +63,21 @@
         self._clock = clock
 
     def remaining_s(self, run: CallRun) -> float:
-        """Seconds until the call's deadline, by the wall clock."""
+        """Return the seconds until the call's deadline, by the wall clock."""
         return (run.request.deadline_ms - self._clock.wall_ms()) / 1000
 
     def may_send(self, run: CallRun, result: wire.CallResult) -> bool:
-        """Whether this process holds the grant and has not used it."""
+        """Return whether this process holds the grant and has not used it."""
         is_unused = (*run.request.key, result.attempt) not in self.used_grants
         return is_unused and self._is_granted_to(run, result)
 
     def _is_granted_to(self, run: CallRun, result: wire.CallResult) -> bool:
-        """Whether the grant was given to this run."""
+        """Return whether the grant was given to this run."""
         grantee = (result.executor, result.request_id)
         return grantee == (self._group.identity, run.request.request_id)
 
     async def submit(self, run: CallRun) -> wire.CallResult:
-        """Submit the call; it is granted at once if its turn has come and a runner is free."""
+        """Submit the call; it is granted at once if its predecessor ended and a runner is free."""
         request = run.request
         runner = self._scheduler.try_now(self._waiting_call(run, ""))
         return await self._group.submit(request, runner, run.known_call, run.known_digest)
@@ -101,13 +101,13 @@
         )
 
     async def wait_for_runner(self, run: CallRun, last_runner: str) -> str:
-        """Wait for a free runner until the deadline; empty: none came free."""
+        """Wait for a free runner until the deadline; return an empty id if none became free."""
         return await self._scheduler.acquire(
             self._waiting_call(run, last_runner), self.remaining_s(run)
         )
 
     async def dispatch(self, run: CallRun, result: wire.CallResult) -> wire.CallResult:
-        """The call's turn has come: wait for a runner, then request the grant."""
+        """Wait for a runner of a call whose predecessor ended, then request the grant."""
         runner = await self.wait_for_runner(run, result.last_runner)
         if not runner:
             served = self._scheduler.serves(run.request.model)
@@ -116,11 +116,11 @@
         return await self._group.request_grant(run.request, runner, replaces_attempt=0)
 
     async def replace(self, run: CallRun, orphan: wire.CallResult, runner: str) -> wire.CallResult:
-        """Request a new attempt in place of one whose executor is gone."""
+        """Request a new attempt in place of one whose executor was lost."""
         return await self._group.request_grant(run.request, runner, replaces_attempt=orphan.attempt)
 
     async def give_up(self, run: CallRun, kind: ErrorKind) -> wire.CallResult:
-        """Commit that the call was not run; a grant that crossed is handed back."""
+        """Commit that the call was not run; a grant that was made in the meantime is returned."""
         result = await self._group.abandon(run.request, kind)
         is_granted = result.status == wire.CALL_STATUS_DISPATCHED and self._is_granted_to(
             run, result
@@ -141,5 +141,5 @@
         kind: ErrorKind | None,
         final: bool,
     ) -> wire.CallResult:
-        """Commit how an attempt ended; ``final``: the call ends with it."""
+        """Commit the outcome of an attempt; ``final`` if the call ends with it."""
         return await self._group.finish(run.request, granted.attempt, outcome, summary, kind, final)
--- a/src/bendshed/dispatch/calls.py
+++ b/src/bendshed/dispatch/calls.py
@@ -1,4 +1,4 @@
-"""Values of one call as an executor handles it, and the answer while it grows."""
+"""Data of one call in an executor, and its answer while it arrives."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequest:
-    """One call of a program, as the gateway read it.
+    """One call of a program, as parsed by the gateway.
 
     Attributes:
-        call_number: issue order over the whole program, from 1.
+        call_number: position in the order of all calls of the program, from 1.
         messages: the new messages only.
-        deadline_ms: wall clock; later the call is not started.
-        request_id: this HTTP request.
+        deadline_ms: wall clock time after which the call is not started.
+        request_id: id of this HTTP request.
 
     """
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The whole answer, committed."""
+    """A complete and committed answer."""
 
     result: wire.CallResult
 
@@ -55,11 +55,11 @@
 
 @dataclass(slots=True)
 class LiveAnswer:
-    """The bytes of an answer while they arrive; any number of readers, from the start.
+    """Bytes of an answer while they arrive; any number of readers can read them from the start.
 
     Attributes:
         chunks: server-sent events as the engine sent them, without the closing ``[DONE]``.
-        outcome: set last, once the group has committed it.
+        outcome: set last, after the group has committed it.
 
     """
 
@@ -70,13 +70,13 @@
     _waiters: "list[asyncio.Future[None]]" = field(default_factory=list)
 
     def append(self, chunk: bytes) -> None:
-        """Add bytes."""
+        """Append bytes."""
         self.chunks.append(chunk)
         self.num_bytes += len(chunk)
         self._notify()
 
     def finish(self, outcome: Outcome) -> None:
-        """Set the outcome; nothing follows."""
+        """Set the outcome; no bytes follow."""
         self.outcome = outcome
         self._notify()
 
@@ -92,7 +92,7 @@
         await waiter
 
     async def read(self) -> AsyncIterator[bytes]:
-        """Bytes from the first one on, until the outcome is known; what is there comes at once."""
+        """Yield all bytes until the outcome is known; available ones are joined into one chunk."""
         position = 0
         while True:
             if position < len(self.chunks):
--- a/src/bendshed/dispatch/events.py
+++ b/src/bendshed/dispatch/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events in the shape of the usual chat-completions API."""
+"""Server-sent events in the format of the common chat completions API."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 def usage_json(result: wire.CallResult) -> dict[str, Any]:
-    """Token counts in the usual API's shape."""
+    """Return token counts in the format of the API."""
     return {
         "prompt_tokens": result.prompt_tokens,
         "completion_tokens": result.answer_tokens,
@@ -21,13 +21,13 @@
 
 
 def placement_json(result: wire.CallResult) -> dict[str, Any]:
-    """Where the call ran, for the ``bendshed`` field of an answer."""
+    """Return where the call ran, for the ``bendshed`` field of an answer."""
     node, _, _ = result.executor.partition("@")
     return {"runner": result.runner, "attempt": result.attempt, "node": node}
 
 
 def answer_body(call: CallRequest, result: wire.CallResult, created_s: int) -> dict[str, Any]:
-    """Body of an answer that is not streamed."""
+    """Return the body of an answer that is not streamed."""
     message = {"role": "assistant", "content": result.answer}
     return {
         **_envelope(call, "chat.completion", created_s),
@@ -38,7 +38,7 @@
 
 
 def text_events(call: CallRequest, result: wire.CallResult, start: int, created_s: int) -> bytes:
-    """A committed answer from its character ``start`` on, then its reason and usage."""
+    """Return a committed answer from character ``start`` on, its finish reason and usage."""
     envelope = _envelope(call, "chat.completion.chunk", created_s)
     delta = {"role": "assistant", "content": result.answer[start:]}
     content = {**envelope, "choices": [{"index": 0, "delta": delta, "finish_reason": None}]}
@@ -48,14 +48,14 @@
 
 
 def closing_events(call: CallRequest, result: wire.CallResult, created_s: int) -> bytes:
-    """Last events of a whole stream: where it ran, then ``[DONE]``."""
+    """Return the last events of a complete stream: where it ran, then ``[DONE]``."""
     envelope = _envelope(call, "chat.completion.chunk", created_s)
     where = {**envelope, "choices": [], "bendshed": placement_json(result)}
     return event(where) + DONE_EVENT
 
 
 def event(content: dict[str, Any]) -> bytes:
-    """One server-sent event."""
+    """Encode one server-sent event."""
     return b"data: " + orjson.dumps(content) + b"\n\n"
 
 
--- a/src/bendshed/dispatch/executor.py
+++ b/src/bendshed/dispatch/executor.py
@@ -1,8 +1,8 @@
-"""Runs the calls that callers brought to this node.
+"""Runs the calls that callers sent to this node.
 
-An attempt is sent only by the process that was granted it, and once: the grant is a committed
-``DispatchCall``, and ``CallSteps.used_grants`` remembers what left. The caller learns the outcome
-only after the group has committed it, so an answer once given stays true.
+An attempt is sent only by the process to which it was granted, and only once: the grant is a
+committed ``DispatchCall``, and ``CallSteps.used_grants`` records the attempts that were sent. The
+caller gets the outcome only after the group has committed it, so a delivered outcome is final.
 """
 
 import asyncio
@@ -28,11 +28,11 @@
 from bendshed.wire import programs_pb2 as wire
 
 PREDECESSOR_TIMEOUT_S = 10.0
-"""How long a call waits for its predecessor before it is closed unrun."""
+"""Time for which a call waits for its predecessor before it is closed without being run."""
 ANSWER_RETENTION_S = 5.0
-"""A finished answer stays readable on this node for a caller that reconnects."""
+"""Time for which a finished answer stays readable on this node for a caller that reconnects."""
 GRANT_RETURN_TIMEOUT_S = 5.0
-"""A node that stops waits this long for groups that take grants back: they may have no leader."""
+"""Maximum time for which a stopping node waits to return grants: a group may have no leader."""
 
 log = PartLog("dispatch")
 
@@ -41,7 +41,7 @@
     """Executes calls on this node.
 
     Attributes:
-        identity: node id and process; a restarted process is another executor.
+        identity: node id and process; a restarted process is a different executor.
         live: answers by (program, call number), for reconnecting callers.
 
     """
@@ -75,7 +75,7 @@
     # --- entry ---------------------------------------------------------------------------
 
     def submit(self, request: CallRequest) -> LiveAnswer | Refusal:
-        """Start a call, or attach to the same call under way on this node."""
+        """Start a call, or attach to the same call if it is running on this node."""
         running = self.live.get(request.key)
         if running is not None and not isinstance(running.outcome, Refusal):
             running_request = running.request
@@ -94,7 +94,7 @@
         return live
 
     async def drain(self) -> None:
-        """Wait until every call under way has its outcome."""
+        """Wait until every running call has its outcome."""
         while self._tasks:
             await asyncio.wait(list(self._tasks))
         if self._grant_returns:
@@ -132,19 +132,19 @@
         loop.call_later(ANSWER_RETENTION_S, self._forget, live)
 
     async def _return_grant(self, run: CallRun) -> None:
-        """Close a call that may have been granted and was not sent, however long that takes.
+        """Close a call that may have been granted and was not sent, without a time limit.
 
-        Until then this node answers that it executes the call: the grant is its own, and whoever
-        took it for an orphan's would have to assume that the call ran.
+        Until then this node answers that it is executing the call, because it may hold the grant. A
+        node that treated the call as orphaned would have to assume that it was run.
         """
         request = run.request
         try:
             while not await self._try_return_grant(run):
-                pass  # each try waits for a leader
+                pass  # each attempt waits for a leader
         finally:
             self._requests.pop(request.request_id, None)
         log.say(
-            "grant handed back: the call's group had not answered in time",
+            "grant returned: the call's group did not answer in time",
             program=request.program_id,
             call=request.call_number,
         )
@@ -178,10 +178,11 @@
                 return self._complete_stream(run, outcome)
 
     def _complete_stream(self, run: CallRun, outcome: Outcome) -> Outcome:
-        """Make the streamed bytes the whole committed answer, or refuse.
+        """Extend the streamed bytes to the whole committed answer, or return a refusal.
 
-        Another executor may have finished the attempt that this one was streaming; the rest is
-        then taken from the committed answer. Bytes of another attempt cannot be completed.
+        Another executor may have finished the attempt that this one was streaming; the rest is then
+        taken from the committed answer. If another attempt answered, its text does not continue the
+        streamed bytes.
         """
         if not isinstance(outcome, Answered) or run.is_stream_complete:
             return outcome
@@ -197,7 +198,7 @@
     async def _step(
         self, run: CallRun, result: wire.CallResult
     ) -> tuple[Outcome | None, wire.CallResult]:
-        """Act on what the call is now; return its outcome or its next state."""
+        """Act on the call's current state; return its outcome or its next state."""
         if result.refused_kind:
             return Refusal(parse_kind(result.refused_kind), result.refused_detail), result
         match result.status:
@@ -217,7 +218,7 @@
     async def _wait(
         self, run: CallRun, result: wire.CallResult
     ) -> tuple[Outcome | None, wire.CallResult]:
-        """The call waits for its predecessor, or another node runs it."""
+        """Wait for the call's predecessor, or for another node that runs it."""
         now_s = asyncio.get_running_loop().time()
         if result.status == wire.CALL_STATUS_QUEUED and now_s >= run.predecessor_deadline_s:
             return None, await self._steps.give_up(run, ErrorKind.OUT_OF_ORDER)
--- a/src/bendshed/dispatch/group_commands.py
+++ b/src/bendshed/dispatch/group_commands.py
@@ -1,4 +1,4 @@
-"""What an executor says to the group of a call's program."""
+"""Commands that an executor sends to the group of a call's program."""
 
 from bendshed.consensus.group_client import GroupClient
 from bendshed.dispatch.calls import CallRequest
@@ -7,15 +7,15 @@
 from bendshed.wire import programs_pb2 as wire
 
 SUBMIT_WAIT_S = 2.0
-"""How long one submission waits at the leader for the call's turn or outcome."""
+"""Time for which a submission waits at the leader until the call may run or has an outcome."""
 GROUP_TIMEOUT_S = 15.0
-"""How long a group may be without a leader before a call is given up."""
+"""Time for which a group may be without a leader before a call is given up."""
 FINISH_TIMEOUT_S = 60.0
-"""How long the outcome of a run call is offered to its group."""
+"""Time for which the outcome of a run call is submitted to its group."""
 
 
 class GroupCommands:
-    """Commits an executor's steps; each may be sent again without harm.
+    """Commits an executor's steps; all commands are idempotent.
 
     All methods raise ``GroupUnavailable``.
 
@@ -31,7 +31,7 @@
     async def submit(
         self, request: CallRequest, runner: str, known_call: int, known_digest: bytes
     ) -> wire.CallResult:
-        """Submit a call; granted at once for ``runner`` if its turn has come."""
+        """Submit a call; it is granted at once for ``runner`` if its predecessor ended."""
         command = wire.SubmitCall(
             program_id=request.program_id,
             program_kind=request.program_kind,
@@ -60,7 +60,10 @@
     async def request_grant(
         self, request: CallRequest, runner: str, replaces_attempt: int
     ) -> wire.CallResult:
-        """Ask for the next attempt at ``runner``; ``replaces_attempt``: an orphan, 0 none."""
+        """Request the next attempt on ``runner``.
+
+        ``replaces_attempt`` is the orphaned attempt that it replaces; 0 if there is none.
+        """
         command = wire.DispatchCall(
             program_id=request.program_id,
             call_number=request.call_number,
@@ -94,7 +97,7 @@
         kind: ErrorKind | None,
         final: bool,
     ) -> wire.CallResult:
-        """Offer an attempt's outcome; a result of another attempt means ours came too late."""
+        """Submit an attempt's outcome; a result of another attempt means that it was too late."""
         usage = summary.usage
         command = wire.FinishCall(
             program_id=request.program_id,
--- a/src/bendshed/dispatch/history.py
+++ b/src/bendshed/dispatch/history.py
@@ -1,4 +1,4 @@
-"""Histories that this node has served, so that a turn moves only what is new."""
+"""Cache of histories that this node has served, so that a turn transfers only new messages."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -11,11 +11,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CachedHistory:
-    """Turns of one branch up to a call.
+    """Turns of one branch up to and including a call.
 
     Attributes:
-        last_call: call whose turn is the last one.
-        digest: of all messages; the group compares it with that of its record.
+        last_call: number of the call whose turn is the last one.
+        digest: digest of all messages; the group compares it with the digest of its record.
 
     """
 
@@ -30,7 +30,7 @@
 
 
 class HistoryCache:
-    """Least recently used histories by (program, branch), bounded in bytes."""
+    """LRU cache of histories by (program, branch), bounded in bytes."""
 
     def __init__(self, capacity_bytes: int = DEFAULT_CAPACITY_BYTES) -> None:
         self._entries: OrderedDict[tuple[str, str], CachedHistory] = OrderedDict()
@@ -38,7 +38,7 @@
         self.num_bytes = 0
 
     def get(self, program_id: str, branch: str) -> CachedHistory | None:
-        """Look a history up."""
+        """Return a cached history; ``None`` if there is none."""
         entry = self._entries.get((program_id, branch))
         if entry is not None:
             self._entries.move_to_end((program_id, branch))
@@ -47,7 +47,7 @@
     def put(
         self, program_id: str, branch: str, last_call: int, messages: list[wire.ChatMessage]
     ) -> None:
-        """Keep a history whose turns are all committed."""
+        """Store a history whose turns are all committed."""
         self.drop(program_id, branch)
         size = sum(len(message.content) for message in messages)
         entry = CachedHistory(last_call, digest_messages(messages), tuple(messages), size)
@@ -58,7 +58,7 @@
             self.num_bytes -= oldest.num_bytes
 
     def drop(self, program_id: str, branch: str) -> None:
-        """Forget one history."""
+        """Remove one history."""
         old = self._entries.pop((program_id, branch), None)
         if old is not None:
             self.num_bytes -= old.num_bytes
@@ -66,9 +66,9 @@
     def assemble(
         self, program_id: str, branch: str, result: wire.CallResult
     ) -> list[wire.ChatMessage]:
-        """History of a granted call: the cached part plus what the group sent.
+        """Return the history of a granted call: the cached part plus the part that the group sent.
 
-        Raises ``HistoryMismatch`` when the two do not make the history that the group holds.
+        Raises ``HistoryMismatch`` if they do not add up to the history that the group stores.
         """
         messages: list[wire.ChatMessage] = []
         if result.history_after_call:
@@ -84,7 +84,7 @@
 
 
 def digest_messages(messages: list[wire.ChatMessage]) -> bytes:
-    """Digest as the group computes it (``programs.state.history_digest``)."""
+    """Return the digest as the group computes it (``programs.state.history_digest``)."""
     parts: list[str] = []
     for message in messages:
         parts += [message.role, message.content, message.extra_json]
