--- a/src/bendshed/admission/cold_permits.py
+++ b/src/bendshed/admission/cold_permits.py
@@ -29,7 +29,7 @@
 from dataclasses import dataclass, field
 
 from bendshed.admission.sliding_window import BUCKET_MS, SlidingWindowCounter
-from bendshed.placement.cold_runners import ColdTerms
+from bendshed.placement.cold_runners import ColdRateLimit
 
 PERMIT_VALID_S = 0.25
 """Seconds from the request for a permit to its expiry: a preview's reply takes up to 0.2 s, a new
@@ -105,7 +105,7 @@
 
     """
 
-    terms: ColdTerms = field(default_factory=ColdTerms)
+    terms: ColdRateLimit = field(default_factory=ColdRateLimit)
     num_leaders: int = 1
     leadership: LeadershipTracker = field(default_factory=LeadershipTracker)
     _granted: dict[str, SlidingWindowCounter] = field(default_factory=dict)
@@ -116,7 +116,7 @@
         It is lower for requests of new programs.
         """
         share = self.leadership.share(now_s) / self.num_leaders
-        max_permits = int(share * self.terms.most_per_s(cold_per_s))
+        max_permits = int(share * self.terms.max_per_s(cold_per_s))
         if not is_new_program or not max_permits:
             return max_permits
         return max(1, int(NEW_PROGRAM_SHARE * max_permits))
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -9,7 +9,7 @@
 from bendshed.catalog.replica_parts import CatalogSurroundings, ReplicaCatalogParts
 from bendshed.catalog.times import CatalogTimes
 from bendshed.consensus.directory import ReplicaDirectory
-from bendshed.consensus.election_timer import WITHIN_A_REGION, StandingOrder
+from bendshed.consensus.election_timer import SINGLE_REGION_ORDER, ElectionOrder
 from bendshed.consensus.host import GroupHost
 from bendshed.consensus.supervisor import ReplicaSupervisor
 from bendshed.logs import PartLog
@@ -17,8 +17,8 @@
 from bendshed.model.places import Distance, Places
 from bendshed.paths.echo import Echo
 from bendshed.paths.host_locations import HostLocations
-from bendshed.placement.cold_runners import ColdTerms
-from bendshed.placement.distance import DistanceCosts, LinkTerms
+from bendshed.placement.cold_runners import ColdRateLimit
+from bendshed.placement.distance import DistanceCosts, LinkSettings
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.placement.zones import ZoneUpdate
 from bendshed.policy import EVERYTHING, Policy
@@ -89,8 +89,8 @@
     policy: Policy = EVERYTHING
     quotas: QuotaTolerance = NO_TOLERANCE
     groups: TurnGroups = ONE_GROUP
-    cold: ColdTerms = field(default_factory=ColdTerms)
-    links: LinkTerms = field(default_factory=LinkTerms)
+    cold: ColdRateLimit = field(default_factory=ColdRateLimit)
+    links: LinkSettings = field(default_factory=LinkSettings)
 
 
 class TurnLogNode:
@@ -154,8 +154,8 @@
             TurnLogState,
             self.directory.resolve,
             COMPACT_AFTER_ENTRIES,
-            is_candidate_at_once=policy.quick_election,
-            order_of=self._standing_order,
+            campaigns_at_start=policy.quick_election,
+            election_order_of=self._standing_order,
         )
 
     def _build_supervisor(
@@ -203,7 +203,7 @@
     def _add_gauges(self, metrics: TurnLogMetrics, placement: TurnPlacement) -> None:
         ReplicaGauges(
             self.host,
-            tuple(self._groups.numbers),
+            tuple(self._groups.ids),
             self.directory,
             self._service,
             placement.cluster_load,
@@ -219,22 +219,22 @@
             self.host_locations.put(replica.address.host, replica.zone)
 
     def _take_distances(self, measured_ms: dict[Distance, float]) -> None:
-        self._distance.measured_ms = measured_ms
+        self._distance.measured_round_trip_ms = measured_ms
 
     def _other_replicas(self) -> list[Address]:
         nodes = self.directory.by_name.values()
-        return [node.address for node in nodes if node != self.directory.own]
+        return [node.address for node in nodes if node != self.directory.own_node]
 
-    def _standing_order(self, group_id: int) -> StandingOrder:
+    def _standing_order(self, group_id: int) -> ElectionOrder:
         """In which order a group's voters stand for election."""
         home_zones = self._groups.home_zones(group_id)
         if home_zones is None:
-            return WITHIN_A_REGION
+            return SINGLE_REGION_ORDER
 
         def is_home(node_id: str) -> bool:
             return node_id in self.directory.node_ids_in(home_zones)
 
-        return StandingOrder.over_regions(is_home)
+        return ElectionOrder.across_regions(is_home)
 
     def note_registry(self, is_lost: bool) -> None:
         """Whether the registry answers this machine itself; else other nodes go elsewhere."""
@@ -244,8 +244,8 @@
     def take_zones(self, update: ZoneUpdate) -> None:
         """The registry itself said which zones are closed."""
         self.catalog.take_zones(update)
-        self.catalog.confirm(CatalogPart.ZONES, update.zones.at)
-        self.follower.note_zones(update.zones.at)
+        self.catalog.confirm(CatalogPart.ZONES, update.zones.revision)
+        self.follower.note_zones(update.zones.revision)
 
     def start(self) -> None:
         """Start all parts."""
@@ -277,5 +277,5 @@
         loop = asyncio.get_running_loop()
         until_s = loop.time() + HAND_OVER_S
         while self.host.led_groups() and loop.time() < until_s:
-            self.host.hand_over_all()
+            self.host.transfer_all_leadership()
             await asyncio.sleep(HAND_OVER_CHECK_S)
--- a/tests/test_voter_places.py
+++ b/tests/test_voter_places.py
@@ -5,10 +5,10 @@
 from collections import Counter
 from collections.abc import Collection, Iterator, Mapping
 
-from bendshed.consensus.membership_plan import ReplicaFacts, plan_membership
+from bendshed.consensus.membership_plan import PlanInputs, plan_membership
 from bendshed.consensus.replica_choice import (
     DiskNode,
-    VoterPlaces,
+    VoterTopology,
     choose_replicas,
     rank_candidates,
 )
@@ -42,23 +42,23 @@
     retiring: Collection[str] = (),
 ) -> Iterator[GroupMembership]:
     """Memberships until the plan has nothing more to do; learners catch up at once."""
-    places = VoterPlaces(zone_of, home)
+    topology = VoterTopology(zone_of, home)
     present = GroupMembership(voters=voters)
     for _ in range(60):
         known = {*present.voters, *present.learners}
         weak = {*silent, *retiring}
         free = [node for node in zone_of if node not in known and node not in weak]
-        facts = ReplicaFacts(
+        inputs = PlanInputs(
             me=me,
             wiped=(),
             silent=silent,
             retiring=retiring,
             caught_up=present.learners,
-            candidates=rank_candidates(0, places, free, present.voters, weak),
+            candidates=rank_candidates(0, topology, free, present.voters, weak),
             count=COUNT,
-            places=places,
+            topology=topology,
         )
-        wanted = plan_membership(present, facts)
+        wanted = plan_membership(present, inputs)
         if wanted is None:
             return
         present = wanted
@@ -152,8 +152,8 @@
     def test_a_learner_that_nobody_needs_any_more_goes(self) -> None:
         voters = self.founded(1)
         free = next(node for node in TEN_IN_THREE if node not in voters)
-        facts = ReplicaFacts(voters[0], (), (), (), (), (), COUNT, VoterPlaces(TEN_IN_THREE))
-        wanted = plan_membership(GroupMembership(voters=voters, learners=[free]), facts)
+        inputs = PlanInputs(voters[0], (), (), (), (), (), COUNT, VoterTopology(TEN_IN_THREE))
+        wanted = plan_membership(GroupMembership(voters=voters, learners=[free]), inputs)
         assert wanted is not None
         self.assertEqual((list(wanted.voters), list(wanted.learners)), (voters, []))
 
