--- a/tests/test_cold_runners.py
+++ b/tests/test_cold_runners.py
@@ -40,24 +40,24 @@
     def setUp(self) -> None:
         self.cold = ColdRunners(SERVICES)
 
-    def test_it_is_cold_from_the_moment_at_which_that_was_heard(self) -> None:
+    def test_runner_is_cold_from_the_time_of_its_listing(self) -> None:
         self.cold.note_listed(runner("a", 5_000), 100.0)
         self.assertEqual(self.cold.cold_left_ms("a", 102.0), 3_000)
         self.assertTrue(self.cold.is_cold("a", 104.9))
         self.assertFalse(self.cold.is_cold("a", 105.0))
 
-    def test_a_newer_word_counts(self) -> None:
+    def test_newer_listing_takes_precedence(self) -> None:
         self.cold.note_listed(runner("a", 5_000), 100.0)
         self.cold.note_listed(runner("a"), 101.0)
         self.assertFalse(self.cold.is_cold("a", 101.0))
 
-    def test_a_runner_is_cold_again_without_a_new_start(self) -> None:
+    def test_runner_can_turn_cold_again_without_a_restart(self) -> None:
         self.cold.note_listed(runner("a"), 0.0)
         self.assertFalse(self.cold.is_cold("a", 50.0))
         self.cold.note_listed(runner("a", 2_000), 50.0)
         self.assertTrue(self.cold.is_cold("a", 51.9))
 
-    def test_an_entry_that_vanished_and_came_back_counts_as_just_started(self) -> None:
+    def test_runner_that_is_listed_again_counts_as_just_started(self) -> None:
         self.cold.note_listed(runner("a"), 0.0)
         self.cold.note_vanished("a")
         self.assertFalse(self.cold.is_cold("a", 10.0))
@@ -66,14 +66,14 @@
         self.cold.note_listed(runner("a"), 11.0)
         self.assertFalse(self.cold.is_cold("a", 11.0))
 
-    def test_runners_that_vanished_are_forgotten_at_some_number(self) -> None:
+    def test_number_of_stored_removed_runners_is_bounded(self) -> None:
         for number in range(MAX_VANISHED + 5):
             self.cold.note_listed(runner(f"r{number}"), 0.0)
             self.cold.note_vanished(f"r{number}")
         self.assertEqual(len(self.cold._vanished), MAX_VANISHED)
         self.assertEqual(len(self.cold._entries), MAX_VANISHED)
 
-    def test_a_word_that_was_kept_counts_in_full_until_it_is_told_anew(self) -> None:
+    def test_persisted_time_counts_in_full_until_confirmed(self) -> None:
         self.cold.note_persisted(runner("a", 3_000), 0.0)
         self.assertEqual(self.cold.cold_left_ms("a", 0.0), 3_000)
         self.cold.note_confirmed(runner("a", 500), 0.1)
@@ -81,7 +81,7 @@
         self.cold.note_confirmed(runner("a", 900), 0.2)
         self.assertEqual(self.cold.cold_left_ms("a", 0.2), 400)
 
-    def test_a_zone_that_was_opened_again_is_cold_but_for_newer_words(self) -> None:
+    def test_reopened_zone_is_cold_except_for_newer_listings(self) -> None:
         self.cold.note_listed(runner("old word"), 10.0)
         self.cold.note_listed(runner("elsewhere", zone="y"), 10.0)
         self.cold.note_listed(runner("new word"), 21.0)
@@ -92,24 +92,24 @@
         self.cold.note_listed(runner("old word"), 23.0)
         self.assertFalse(self.cold.is_cold("old word", 23.0))
 
-    def test_a_zone_that_was_opened_does_not_shorten_a_runners_own_time(self) -> None:
+    def test_reopened_zone_does_not_shorten_a_runners_own_time(self) -> None:
         self.cold.note_listed(runner("a", 60_000), 10.0)
         self.assertEqual(self.cold.note_reopened("z", 20.0), [])
         self.assertEqual(self.cold.cold_left_ms("a", 20.0), 50_000)
 
-    def test_services_without_a_bound_are_never_cold(self) -> None:
+    def test_services_without_a_rate_limit_are_never_cold(self) -> None:
         self.cold.note_listed(runner("a", 5_000, service="free"), 0.0)
         self.assertFalse(self.cold.is_cold("a", 1.0))
         self.assertEqual(self.cold.cold_left_ms("a", 1.0), 4_000)
         self.assertEqual(self.cold.num_cold(1.0), 0)
 
-    def test_a_bound_that_comes_into_force_finds_those_that_are_cold(self) -> None:
+    def test_new_rate_limit_applies_to_runners_already_cold(self) -> None:
         unbound = ColdRunners()
         unbound.note_listed(runner("a", 5_000), 0.0)
         unbound.services = SERVICES
         self.assertTrue(unbound.is_cold("a", 1.0))
 
-    def test_those_whose_time_is_over_are_told_once(self) -> None:
+    def test_runners_that_became_warm_are_reported_once(self) -> None:
         self.cold.note_listed(runner("a", 1_000), 0.0)
         self.cold.note_listed(runner("b", 3_000), 0.0)
         self.assertEqual(self.cold.pop_warm(2.0), ["a"])
@@ -117,110 +117,110 @@
 
 
 @dataclass
-class Reign:
+class SimulatedLeader:
     """One leader that grants whatever it may; what it grants leaves as late as it may."""
 
-    grants: ColdPermitCounts = field(default_factory=lambda: ColdPermitCounts(TERMS))
-    sent_s: list[float] = field(default_factory=list)
+    permits: ColdPermitCounts = field(default_factory=lambda: ColdPermitCounts(TERMS))
+    dispatched_s: list[float] = field(default_factory=list)
 
     def lead(self, from_s: float, to_s: float, rng: random.Random, term: int) -> None:
         at_s = from_s
         while at_s < to_s:
-            self.grants.leadership.update(term, has_majority=True, now_s=at_s)
-            if self.grants.num_available("r", COLD_PER_S, False, at_s) > 0:
-                self.grants.grant("r", at_s)
-                self.sent_s.append(at_s + rng.uniform(0, PERMIT_VALID_S))
+            self.permits.leadership.update(term, has_majority=True, now_s=at_s)
+            if self.permits.num_available("r", COLD_PER_S, False, at_s) > 0:
+                self.permits.grant("r", at_s)
+                self.dispatched_s.append(at_s + rng.uniform(0, PERMIT_VALID_S))
             at_s += rng.uniform(0.001, 0.02)
 
 
-def most_in_a_second(times_s: list[float]) -> int:
+def max_in_one_second(times_s: list[float]) -> int:
     ordered = sorted(times_s)
     return max((sum(1 for t in ordered if b <= t <= b + 1.0) for b in ordered), default=0)
 
 
-class ColdGrantsTest(unittest.TestCase):
-    def test_the_times_bear_the_shares(self) -> None:
+class ColdPermitCountsTest(unittest.TestCase):
+    def test_constants_satisfy_the_proof(self) -> None:
         self.assertGreater(ESTABLISHED_S, 1 + PERMIT_VALID_S + MAX_STALE_LEADER_S)
         self.assertEqual(WINDOW_MS, 1000 * (1 + PERMIT_VALID_S))
 
-    def test_an_established_leader_grants_half_and_a_new_one_a_quarter(self) -> None:
-        grants = ColdPermitCounts(TERMS)
-        grants.leadership.update(1, True, 0.0)
-        self.assertEqual(grants.max_permits(COLD_PER_S, False, 0.1), int(BOUND / 4))
-        for tenth in range(1, 30):
-            grants.leadership.update(1, True, tenth / 10)
-        self.assertEqual(grants.max_permits(COLD_PER_S, False, 2.9), int(BOUND / 2))
-        halved = ColdPermitCounts(TERMS, num_leaders=2, leadership=grants.leadership)
+    def test_established_leader_permits_half_and_a_new_one_a_quarter(self) -> None:
+        permits = ColdPermitCounts(TERMS)
+        permits.leadership.update(1, True, 0.0)
+        self.assertEqual(permits.max_permits(COLD_PER_S, False, 0.1), int(BOUND / 4))
+        for step in range(1, 30):
+            permits.leadership.update(1, True, step / 10)
+        self.assertEqual(permits.max_permits(COLD_PER_S, False, 2.9), int(BOUND / 2))
+        halved = ColdPermitCounts(TERMS, num_leaders=2, leadership=permits.leadership)
         self.assertEqual(halved.max_permits(COLD_PER_S, False, 2.9), int(BOUND / 4))
 
-    def test_programs_under_way_have_room_that_new_ones_have_not(self) -> None:
-        grants = ColdPermitCounts(TERMS)
-        grants.leadership.update(1, True, 0.0)
-        while grants.num_available("r", COLD_PER_S, True, 0.1) > 0:
-            grants.grant("r", 0.1)
-        self.assertGreater(grants.wait_ms("r", COLD_PER_S, True, 0.1), 0)
-        self.assertGreater(grants.num_available("r", COLD_PER_S, False, 0.1), 0)
-        self.assertEqual(grants.wait_ms("r", COLD_PER_S, False, 0.1), 0)
+    def test_running_programs_have_permits_that_new_programs_lack(self) -> None:
+        permits = ColdPermitCounts(TERMS)
+        permits.leadership.update(1, True, 0.0)
+        while permits.num_available("r", COLD_PER_S, True, 0.1) > 0:
+            permits.grant("r", 0.1)
+        self.assertGreater(permits.wait_ms("r", COLD_PER_S, True, 0.1), 0)
+        self.assertGreater(permits.num_available("r", COLD_PER_S, False, 0.1), 0)
+        self.assertEqual(permits.wait_ms("r", COLD_PER_S, False, 0.1), 0)
 
     @settings(max_examples=100)
     @given(st.integers(0, 10_000))
-    def test_no_second_holds_more_than_the_bound_while_one_leads(self, seed: int) -> None:
-        reign = Reign()
-        reign.lead(0.0, 6.0, random.Random(seed), term=1)
-        self.assertGreater(len(reign.sent_s), 2 * BOUND)
-        self.assertLessEqual(most_in_a_second(reign.sent_s), BOUND / 2)
+    def test_one_leader_keeps_the_bound_in_every_second(self, seed: int) -> None:
+        leader = SimulatedLeader()
+        leader.lead(0.0, 6.0, random.Random(seed), term=1)
+        self.assertGreater(len(leader.dispatched_s), 2 * BOUND)
+        self.assertLessEqual(max_in_one_second(leader.dispatched_s), BOUND / 2)
 
     @settings(max_examples=100)
     @given(st.integers(0, 10_000), st.floats(0.0, 1.0), st.floats(0.0, 1.0))
-    def test_nor_when_the_leader_changes_twice_within_it(
+    def test_two_leader_changes_keep_the_bound_in_every_second(
         self, seed: int, first_s: float, second_s: float
     ) -> None:
         """Each that was replaced goes on granting for a while beside its successors."""
         rng = random.Random(seed)
-        began_s = [0.0, 4.0 + min(first_s, second_s), 4.0 + max(first_s, second_s)]
-        ended_s = [began_s[1] + MAX_STALE_LEADER_S, began_s[2] + MAX_STALE_LEADER_S, 9.0]
-        reigns = [Reign(), Reign(), Reign()]
-        for term, reign in enumerate(reigns):
-            reign.lead(began_s[term], ended_s[term], rng, term)
-        sent_s = [at_s for reign in reigns for at_s in reign.sent_s]
-        self.assertLessEqual(most_in_a_second(sent_s), BOUND)
-
-    def test_nor_when_a_leader_wakes_with_leave_out_and_two_others_led_meanwhile(self) -> None:
+        started_s = [0.0, 4.0 + min(first_s, second_s), 4.0 + max(first_s, second_s)]
+        ended_s = [started_s[1] + MAX_STALE_LEADER_S, started_s[2] + MAX_STALE_LEADER_S, 9.0]
+        leaders = [SimulatedLeader(), SimulatedLeader(), SimulatedLeader()]
+        for term, leader in enumerate(leaders):
+            leader.lead(started_s[term], ended_s[term], rng, term)
+        dispatched_s = [at_s for leader in leaders for at_s in leader.dispatched_s]
+        self.assertLessEqual(max_in_one_second(dispatched_s), BOUND)
+
+    def test_resumed_leader_keeps_the_bound_after_two_other_leaders(self) -> None:
         rng = random.Random(5)
-        frozen, second, third = Reign(), Reign(), Reign()
+        frozen, second, third = SimulatedLeader(), SimulatedLeader(), SimulatedLeader()
         frozen.lead(0.0, 5.0, rng, term=1)
         second.lead(5.4, 8.0 + MAX_STALE_LEADER_S, rng, term=2)
         third.lead(8.0, 12.0, rng, term=3)
-        self.assertEqual(frozen.grants.leadership.share(8.1), 0.0)
+        self.assertEqual(frozen.permits.leadership.share(8.1), 0.0)
         frozen.lead(8.1, 8.1 + MAX_STALE_LEADER_S, rng, term=1)
-        sent_s = [*frozen.sent_s, *second.sent_s, *third.sent_s]
-        self.assertLessEqual(most_in_a_second(sent_s), BOUND)
-
-    def test_a_leader_that_leads_again_remembers_what_it_granted(self) -> None:
-        reign = Reign()
-        reign.lead(0.0, 3.0, random.Random(1), term=1)
-        before = reign.grants.num_granted("r", 3.0)
-        reign.grants.leadership.update(3, True, 3.05)
-        self.assertEqual(reign.grants.num_granted("r", 3.0), before)
-        self.assertLessEqual(reign.grants.num_available("r", COLD_PER_S, False, 3.05), 0)
-
-    def test_grants_take_bounded_memory(self) -> None:
-        grants = ColdPermitCounts(TERMS)
+        dispatched_s = [*frozen.dispatched_s, *second.dispatched_s, *third.dispatched_s]
+        self.assertLessEqual(max_in_one_second(dispatched_s), BOUND)
+
+    def test_reelected_leader_counts_its_earlier_permits(self) -> None:
+        leader = SimulatedLeader()
+        leader.lead(0.0, 3.0, random.Random(1), term=1)
+        before = leader.permits.num_granted("r", 3.0)
+        leader.permits.leadership.update(3, True, 3.05)
+        self.assertEqual(leader.permits.num_granted("r", 3.0), before)
+        self.assertLessEqual(leader.permits.num_available("r", COLD_PER_S, False, 3.05), 0)
+
+    def test_permit_counts_use_bounded_memory(self) -> None:
+        permits = ColdPermitCounts(TERMS)
         for number in range(10_000):
-            grants.grant("r", number / 100)
-        self.assertLess(len(grants._granted["r"].buckets), 30)
+            permits.grant("r", number / 100)
+        self.assertLess(len(permits._granted["r"].buckets), 30)
 
-    def test_what_no_window_holds_is_forgotten(self) -> None:
-        grants = ColdPermitCounts(TERMS)
-        grants.grant("r", 1.0)
-        grants.sweep(2.0)
-        self.assertEqual(grants.num_granted("r", 2.0), 1)
-        grants.sweep(3.0)
-        self.assertEqual(grants._granted, {})
+    def test_permits_outside_every_window_are_removed(self) -> None:
+        permits = ColdPermitCounts(TERMS)
+        permits.grant("r", 1.0)
+        permits.sweep(2.0)
+        self.assertEqual(permits.num_granted("r", 2.0), 1)
+        permits.sweep(3.0)
+        self.assertEqual(permits._granted, {})
 
 
 class LeadershipTrackerTest(unittest.TestCase):
-    def test_without_a_majority_nothing_may_be_granted(self) -> None:
+    def test_share_is_zero_without_a_majority(self) -> None:
         leadership = LeadershipTracker()
         self.assertEqual(leadership.share(0.0), 0.0)
         leadership.update(1, True, 0.0)
@@ -229,10 +229,10 @@
         leadership.update(1, True, 0.2)
         self.assertEqual(leadership.share(0.2), 0.25)
 
-    def test_a_process_that_did_not_run_grants_nothing_until_it_has_looked(self) -> None:
+    def test_share_is_zero_after_a_pause_until_the_next_update(self) -> None:
         leadership = LeadershipTracker()
-        for tenth in range(40):
-            leadership.update(1, True, tenth / 10)
+        for step in range(40):
+            leadership.update(1, True, step / 10)
         self.assertEqual(leadership.share(3.95), 0.5)
         self.assertEqual(leadership.share(3.9 + MAX_UPDATE_GAP_S + 0.1), 0.0)
         leadership.update(1, True, 5.0)
