--- a/tests/test_budget_use.py
+++ b/tests/test_budget_use.py
@@ -15,42 +15,44 @@
 from bendshed.turns.shares import GatheredShares
 from bendshed.wire import turns_pb2 as wire
 
-MOST = 10
+MAX_TOKENS = 10
 BUDGET = 30
 
 
 class BudgetUseTest(unittest.TestCase):
-    def judge(self, spent: int, reserved: int) -> BudgetStatus:
-        return BudgetUse(spent, reserved).status_for_turn(MOST, BUDGET)
+    def status(self, spent: int, reserved: int) -> BudgetStatus:
+        return BudgetUse(spent, reserved).status_for_turn(MAX_TOKENS, BUDGET)
 
-    def test_only_spent_tokens_make_a_budget_spent(self) -> None:
-        self.assertEqual(self.judge(spent=21, reserved=0), BudgetStatus.SPENT)
-        self.assertEqual(self.judge(spent=20, reserved=0), BudgetStatus.SUFFICIENT)
-        self.assertEqual(self.judge(spent=20, reserved=1), BudgetStatus.RESERVED)
-        self.assertEqual(self.judge(spent=0, reserved=30), BudgetStatus.RESERVED)
+    def test_only_charged_tokens_make_a_budget_spent(self) -> None:
+        self.assertEqual(self.status(spent=21, reserved=0), BudgetStatus.SPENT)
+        self.assertEqual(self.status(spent=20, reserved=0), BudgetStatus.SUFFICIENT)
+        self.assertEqual(self.status(spent=20, reserved=1), BudgetStatus.RESERVED)
+        self.assertEqual(self.status(spent=0, reserved=30), BudgetStatus.RESERVED)
 
     def test_a_budget_below_one_turn_is_spent(self) -> None:
-        self.assertEqual(BudgetUse().status_for_turn(MOST, MOST - 1), BudgetStatus.SPENT)
+        self.assertEqual(
+            BudgetUse().status_for_turn(MAX_TOKENS, MAX_TOKENS - 1), BudgetStatus.SPENT
+        )
 
 
 class GatheredSharesTest(unittest.TestCase):
     """A turn that one group's share does not hold, by what all groups use."""
 
-    def judge(self, here: BudgetUse, elsewhere: BudgetUse, has_all: bool = True) -> BudgetStatus:
-        begin = wire.BeginTurn(most_tokens=MOST, budget_tokens=BUDGET)
+    def status(self, here: BudgetUse, elsewhere: BudgetUse, has_all: bool = True) -> BudgetStatus:
+        begin = wire.BeginTurn(most_tokens=MAX_TOKENS, budget_tokens=BUDGET)
         reply = wire.TurnReply(spent_tokens=here.spent_tokens, reserved_tokens=here.reserved_tokens)
         return GatheredShares(has_all, elsewhere).judge(begin, reply)
 
-    def test_what_is_spent_in_all_groups_counts(self) -> None:
-        self.assertEqual(self.judge(BudgetUse(11, 0), BudgetUse(10, 0)), BudgetStatus.SPENT)
+    def test_tokens_spent_in_all_groups_count(self) -> None:
+        self.assertEqual(self.status(BudgetUse(11, 0), BudgetUse(10, 0)), BudgetStatus.SPENT)
 
-    def test_what_is_reserved_in_any_group_does_not(self) -> None:
-        self.assertEqual(self.judge(BudgetUse(10, 0), BudgetUse(0, 11)), BudgetStatus.RESERVED)
-        self.assertEqual(self.judge(BudgetUse(0, 11), BudgetUse(10, 0)), BudgetStatus.RESERVED)
+    def test_tokens_reserved_in_any_group_do_not_count_as_spent(self) -> None:
+        self.assertEqual(self.status(BudgetUse(10, 0), BudgetUse(0, 11)), BudgetStatus.RESERVED)
+        self.assertEqual(self.status(BudgetUse(0, 11), BudgetUse(10, 0)), BudgetStatus.RESERVED)
 
-    def test_tokens_on_their_way_between_groups_count_for_none(self) -> None:
-        self.assertEqual(self.judge(BudgetUse(10, 0), BudgetUse(10, 0)), BudgetStatus.SUFFICIENT)
+    def test_tokens_in_transit_between_groups_do_not_count(self) -> None:
+        self.assertEqual(self.status(BudgetUse(10, 0), BudgetUse(10, 0)), BudgetStatus.SUFFICIENT)
 
-    def test_nothing_is_said_while_a_group_is_silent(self) -> None:
-        silent = self.judge(BudgetUse(11, 0), BudgetUse(), has_all=False)
+    def test_no_status_is_given_while_a_group_is_silent(self) -> None:
+        silent = self.status(BudgetUse(11, 0), BudgetUse(), has_all=False)
         self.assertEqual(silent, BudgetStatus.SUFFICIENT)
