--- a/src/bendshed/admission/turn_reservations.py
+++ b/src/bendshed/admission/turn_reservations.py
@@ -1,20 +1,20 @@
-"""Turns that a leader has decided on and that are not committed yet. Pure."""
+"""Decisions of a leader on turns that are not committed yet. Pure."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
 RESERVATION_MS = 2_000
-"""A reservation is dropped after this long: the requesting node gives up after 1.5 s."""
+"""A reservation is dropped after this time: the requesting node gives up after 1.5 s."""
 
 
 @dataclass(frozen=True, slots=True)
-class Admission:
+class AdmissionDecision:
     """The decision on one request.
 
     Attributes:
-        used: requests counted against the limit, with reservations and allowances.
-        num_allowed: of these, allowances that nodes hold or have not reported yet.
-        retry_after_ms: when there may be room; 0 if admitted.
+        used: requests counted against the limit, including reservations and allowances.
+        num_allowed: part of ``used`` that nodes hold as allowances or have not reported yet.
+        retry_after_ms: time until there may be room; 0 if admitted.
 
     """
 
@@ -25,11 +25,11 @@
 
 
 @dataclass(slots=True)
-class _Decision:
-    admission: Admission
+class _ReservedTurn:
+    admission: AdmissionDecision
     tenant: str
     at_ms: int
-    is_open: bool
+    is_reserved: bool
 
 
 @dataclass(slots=True)
@@ -40,41 +40,41 @@
 
     """
 
-    _decided: "OrderedDict[str, _Decision]" = field(default_factory=OrderedDict)
-    _num_open: dict[str, int] = field(default_factory=dict)
+    _decided: "OrderedDict[str, _ReservedTurn]" = field(default_factory=OrderedDict)
+    _num_reserved: dict[str, int] = field(default_factory=dict)
 
     def clear(self) -> None:
-        """Forget all."""
+        """Remove all decisions."""
         self._decided.clear()
-        self._num_open.clear()
+        self._num_reserved.clear()
 
-    def decision(self, turn_id: str) -> Admission | None:
-        """What was decided on a turn; ``None``: nothing yet."""
+    def decision(self, turn_id: str) -> AdmissionDecision | None:
+        """Return the decision on a turn; ``None`` if there is none yet."""
         known = self._decided.get(turn_id)
         return known.admission if known is not None else None
 
-    def num_open(self, tenant: str) -> int:
-        """Places that a tenant's turns hold."""
-        return self._num_open.get(tenant, 0)
+    def num_reserved(self, tenant: str) -> int:
+        """Return the number of places that a tenant's turns hold."""
+        return self._num_reserved.get(tenant, 0)
 
-    def note(self, turn_id: str, tenant: str, admission: Admission, now_ms: int) -> None:
-        """Remember a decision."""
-        is_open = admission.is_granted
-        self._decided[turn_id] = _Decision(admission, tenant, now_ms, is_open)
-        if is_open:
-            self._num_open[tenant] = self._num_open.get(tenant, 0) + 1
+    def note(self, turn_id: str, tenant: str, admission: AdmissionDecision, now_ms: int) -> None:
+        """Record a decision."""
+        is_reserved = admission.is_granted
+        self._decided[turn_id] = _ReservedTurn(admission, tenant, now_ms, is_reserved)
+        if is_reserved:
+            self._num_reserved[tenant] = self._num_reserved.get(tenant, 0) + 1
 
     def settle(self, turn_id: str) -> None:
-        """Give back a turn's place; the decision on it stays."""
+        """Release a turn's place; the decision on it stays."""
         decision = self._decided.get(turn_id)
         if decision is not None:
-            self._close(decision)
+            self._release(decision)
 
     def withdraw(self, turn_id: str) -> None:
-        """Give back a turn's place and forget the decision on it."""
+        """Release a turn's place and drop the decision on it."""
         decision = self._decided.pop(turn_id, None)
         if decision is not None:
-            self._close(decision)
+            self._release(decision)
 
     def expire(self, now_ms: int) -> None:
         """Withdraw decisions older than ``RESERVATION_MS``."""
@@ -84,10 +84,10 @@
                 return
             self.withdraw(turn_id)
 
-    def _close(self, decision: _Decision) -> None:
-        if not decision.is_open:
+    def _release(self, decision: _ReservedTurn) -> None:
+        if not decision.is_reserved:
             return
-        decision.is_open = False
-        self._num_open[decision.tenant] -= 1
-        if not self._num_open[decision.tenant]:
-            del self._num_open[decision.tenant]
+        decision.is_reserved = False
+        self._num_reserved[decision.tenant] -= 1
+        if not self._num_reserved[decision.tenant]:
+            del self._num_reserved[decision.tenant]
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -9,7 +9,7 @@
 from bendshed.admission.quota_allowance import LocalAllowances
 from bendshed.admission.quota_ledger import QuotaLedger
 from bendshed.admission.quota_usage import UsageWindows
-from bendshed.admission.sliding_window import SlidingCount
+from bendshed.admission.sliding_window import SlidingWindowCounter
 from bendshed.consensus.raft import RaftReplica
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.model.route_index import RouteIndex
@@ -234,20 +234,24 @@
 _TERM_BEGAN_MS: dict[tuple[int, int], int] = {}
 
 
-def _level_of_one_term(ledger: QuotaLedger, tenant: str, usage: UsageWindows, now_ms: int) -> int:
+def _num_counted_in_one_term(
+    ledger: QuotaLedger, tenant: str, usage: UsageWindows, now_ms: int
+) -> int:
     """Counts just what was let through since this leader began."""
     began_ms = _TERM_BEGAN_MS.setdefault((id(ledger), ledger._term), now_ms)
-    return usage.in_window(tenant, now_ms, min(ledger._judged_ms, now_ms - began_ms))
+    return usage.in_window(tenant, now_ms, min(ledger._counted_window_ms, now_ms - began_ms))
 
 
 def _spend_always(gate: LocalAllowances, tenant: str, now_s: float) -> bool:
-    gate.spend_granted(tenant, 0, now_s)
+    gate.record_admitted(tenant, 0, now_s)
     return True
 
 
-def _inside_fixed_span(count: SlidingCount, now_ms: int, window_ms: int) -> Iterator[object]:
+def _buckets_in_fixed_window(
+    count: SlidingWindowCounter, now_ms: int, window_ms: int
+) -> Iterator[object]:
     begins_ms = now_ms - now_ms % window_ms
-    return (span for span in count.spans if span.at_ms >= begins_ms)
+    return (bucket for bucket in count.buckets if bucket.at_ms >= begins_ms)
 
 
 _REAL_INDEX = AccessIndex.__init__
@@ -358,15 +362,17 @@
     "a new leader gives again what the last one gave": Defect(
         Rule.QUOTA,
         a_tenant_floods_while_leaders_change,
-        patch(QuotaLedger, "_level", _level_of_one_term),
+        patch(QuotaLedger, "_num_counted", _num_counted_in_one_term),
     ),
     "a front that is cut off goes on": Defect(
         Rule.QUOTA,
         a_tenant_floods_through_cut_fronts,
-        patch(LocalAllowances, "try_spend", _spend_always),
+        patch(LocalAllowances, "try_admit", _spend_always),
     ),
     "windows are fixed spans": Defect(
-        Rule.QUOTA, a_tenant_floods_in_bursts, patch(SlidingCount, "_inside", _inside_fixed_span)
+        Rule.QUOTA,
+        a_tenant_floods_in_bursts,
+        patch(SlidingWindowCounter, "_buckets_in_window", _buckets_in_fixed_window),
     ),
     "keys of older configurations stay known": Defect(
         Rule.ACCESS, a_key_is_removed, patch(AccessIndex, "__init__", _index_of_all_versions)
