--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -26,11 +26,11 @@
 from bendshed.retries.decisions import (
     GiveUp,
     GiveUpReason,
-    RequestSecondRun,
+    RequestQuota,
     TryRunner,
     decide_next_attempt,
     refusal_of,
-    unless_maybe_run,
+    refusal_or_outcome_unknown,
 )
 from bendshed.retries.history import AttemptHistory
 from bendshed.services.metrics import AttemptResult
@@ -119,7 +119,7 @@
             match decision:
                 case GiveUp():
                     return refusal_of(decision, self.history)
-                case RequestSecondRun():
+                case RequestQuota():
                     if not await self._admit_second_run():
                         no_quota = GiveUp(GiveUpReason.NO_QUOTA, "the quota holds no second run")
                         return refusal_of(no_quota, self.history)
@@ -131,7 +131,7 @@
             if isinstance(choice, GiveUp):
                 return refusal_of(choice, self.history)
             if isinstance(choice, Refusal):
-                return unless_maybe_run(choice, self.history)
+                return refusal_or_outcome_unknown(choice, self.history)
             response = await self._attempt_runner(choice, body)
             if response is not None:
                 return response
@@ -156,7 +156,7 @@
     def record_work_time(self, response: OpenResponse) -> None:
         """Update the measured pace of a runner that answered a plain request completely."""
         now_s = asyncio.get_running_loop().time()
-        pace = self.ports.table.work_times.in_typical(self.route.name, now_s - response.sent_s)
+        pace = self.ports.table.work_times.relative_time(self.route.name, now_s - response.sent_s)
         response.record.health.note_pace(pace, now_s)
 
     async def _attempt_runner(self, choice: Choice, body: bytes) -> OpenResponse | None:
@@ -270,7 +270,7 @@
 
     async def _drain_not_run_response(self, response: OpenResponse, reason: str) -> None:
         """Read the rest of a response which proves that the request was not run."""
-        self.history.record_proof_of_not_run()
+        self.history.record_not_run()
         self._count_result(AttemptResult.NOT_RUN)
         log.say(
             "attempt failed: runner did not run it",
@@ -303,7 +303,7 @@
             in_flight_there=choice.record.in_flight,
             was_connected=was_connected,
             left_ms=left_ms,
-            attempt=self.history.num_maybe_run,
+            attempt=self.history.num_possible_runs,
             is_cold=self.ports.table.cold.is_cold(runner_id),
         )
 
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -20,7 +20,7 @@
 from bendshed.model.route_index import RouteIndex
 from bendshed.model.runner import ServiceRunner
 from bendshed.model.service_document import ServiceDocument
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.paths.relayed import RelayedRequests
 from bendshed.placement.allowed_regions import unknown_regions
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
@@ -34,7 +34,7 @@
 from bendshed.services.metrics import ServiceMetrics
 from bendshed.services.permit_client import PermitClient
 from bendshed.services.quota_client import QuotaClient
-from bendshed.services.runners import RunnerTable, RunnerView
+from bendshed.services.runners import ObservedState, RunnerTable
 from bendshed.services.turn_record import TurnPorts
 from bendshed.turns.client import TranscriptCache, TurnClient
 from bendshed.turns.group_locator import GroupLocator
@@ -75,7 +75,7 @@
 
     Attributes:
         directory: addresses of the turn log's replicas.
-        neighbours: zones of other nodes, by host.
+        host_locations: zones of other nodes, by host.
         catalog: requests the configuration and the runners from replica machines.
         forwarder: serves requests.
         quotas: admits requests within the quota of each tenant.
@@ -97,7 +97,7 @@
         groups: TurnGroups = ONE_GROUP,
     ) -> None:
         self.directory = ReplicaDirectory()
-        self.neighbours = Neighbours(location.zone, location.places)
+        self.host_locations = HostLocations(location.zone, location.places)
         self.directory.on_change.append(self._note_replicas)
         self._knows_replicas = asyncio.Event()
         self.directory.on_change.append(self._knows_replicas.set)
@@ -111,7 +111,7 @@
         self.zones = ZoneKeeper(location.places)
         self._table = self._build_table()
         self._relayed_requests = RelayedRequests(
-            transport, rng, self._other_nodes, RELAYED_METHODS, self.neighbours
+            transport, rng, self._other_nodes, RELAYED_METHODS, self.host_locations
         )
         self.catalog = self._build_follower(transport, location, times, rng)
         self._turns = self._build_turns(location, rng, metrics)
@@ -127,7 +127,10 @@
     ) -> CatalogFollower:
         return CatalogFollower(
             FollowerPaths(
-                transport, self._relayed_requests, self.neighbours, self._relayed_requests.is_cut
+                transport,
+                self._relayed_requests,
+                self.host_locations,
+                self._relayed_requests.is_relay_only,
             ),
             self.directory,
             _CatalogReceiver(self),
@@ -187,7 +190,7 @@
     def _note_replicas(self) -> None:
         """Record the zones of replica machines."""
         for replica in self.directory.by_name.values():
-            self.neighbours.put(replica.address.host, replica.zone)
+            self.host_locations.put(replica.address.host, replica.zone)
 
     def _other_nodes(self) -> list[Address]:
         return self.catalog.fronts if self._policy.relays else []
@@ -216,7 +219,7 @@
         version = metrics.gauge("bendshed_configuration_version", "Configuration applied")
         version.set_function(self._version)
         runners = metrics.labelled_gauge("bendshed_runners", "Runners by state", "state")
-        for state in RunnerView:
+        for state in ObservedState:
             runners.labels(state.value).set_function(partial(self._table.count, state))
         cold = metrics.gauge("bendshed_cold_runners", "Listed runners that are cold")
         cold.set_function(lambda: float(self._table.cold.num_cold))
@@ -297,7 +300,7 @@
 
     def put_runner(self, runner: ServiceRunner) -> None:
         """Add or update one runner."""
-        self.neighbours.put(runner.address.host, runner.zone)
+        self.host_locations.put(runner.address.host, runner.zone)
         self._table.put(runner)
 
     def remove_runner(self, runner_id: str, is_trusted: bool) -> None:
--- a/src/bendshed/turns/quota_counting.py
+++ b/src/bendshed/turns/quota_counting.py
@@ -5,8 +5,8 @@
 """
 
 from bendshed.admission.quota_ledger import QuotaLedger, QuotaRequest, Rank
-from bendshed.admission.quota_limits import QuotaTerms, TenantLimit, limit_of
-from bendshed.admission.turn_reservations import Admission
+from bendshed.admission.quota_limits import QuotaTolerance, TenantLimit, tenant_limit
+from bendshed.admission.turn_reservations import AdmissionDecision
 from bendshed.catalog.state import Catalog
 from bendshed.logs import PartLog
 from bendshed.turns.codec import (
@@ -30,7 +30,7 @@
     """
 
     def __init__(
-        self, catalog: Catalog, terms: QuotaTerms, puts_programs_first: bool = True
+        self, catalog: Catalog, terms: QuotaTolerance, puts_programs_first: bool = True
     ) -> None:
         self._catalog = catalog
         self._terms = terms
@@ -97,7 +97,9 @@
             return
         self._ledger.begin_term(term)
         reported = next((row.total for row in command.spent.spent if row.tenant == tenant), 0)
-        ceiling = self._ledger.spare(node, reported, tenant, limit, state.usage, command.elapsed_ms)
+        ceiling = self._ledger.extend_allowance(
+            node, reported, tenant, limit, state.usage, command.elapsed_ms
+        )
         if ceiling:
             allowance = wire.Allowance(node=node, tenant=tenant, ceiling=ceiling)
             command.allowance.CopyFrom(allowance)
@@ -109,7 +111,7 @@
     def settle_allowance(self, command: wire.TurnCommand) -> None:
         """A command with an allowance was committed, or was not."""
         if command.HasField("allowance"):
-            self._ledger.settle_spare(command.allowance.node, command.allowance.tenant)
+            self._ledger.settle_allowance(command.allowance.node, command.allowance.tenant)
 
     def _limit(self, tenant: str) -> TenantLimit | None:
         """The limit in force; ``None``: there is none."""
@@ -119,14 +121,14 @@
         if document is not None and document.version != self._version:
             self._version = document.version
             self._limits = {
-                row.name: limit_of(row, self._terms)
+                row.name: tenant_limit(row, self._terms)
                 for row in document.tenants
                 if row.rate_per_s > 0
             }
         return self._limits.get(tenant)
 
     def _log_rejection(
-        self, request: QuotaRequest, admission: Admission, limit: TenantLimit
+        self, request: QuotaRequest, admission: AdmissionDecision, limit: TenantLimit
     ) -> None:
         log.say(
             "request rejected: the tenant's quota is used",
--- a/tests/test_cold_runner_dispatch.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -147,7 +147,7 @@
         until_s = self.clock.now_s + seconds
         while self.clock.now_s < until_s:
             self.clock.now_s += 0.05
-            self.placement.cold.grants.touch.look(1, True, self.clock.now_s)
+            self.placement.cold.grants.leadership.update(1, True, self.clock.now_s)
 
     def preview(self, is_new: bool) -> wire.TurnReply:
         self.num_turns += 1
@@ -243,7 +243,7 @@
         self.assertEqual(refused, 0)
 
     def test_leader_without_a_majority_permits_nothing(self) -> None:
-        self.placement.cold.grants.touch.look(1, False, self.clock.now_s)
+        self.placement.cold.grants.leadership.update(1, False, self.clock.now_s)
         self.assertFalse(self.preview(is_new=False).permit_ms)
         self.assertGreater(self.place().retry_after_ms, 0)
 
@@ -264,7 +264,7 @@
         for listed_runner in self.pool:
             tracker.put(listed_runner)
         self.cold = ColdAdmission(tracker, TERMS, TurnLogMetrics(CollectorRegistry()))
-        self.cold.grants.touch.look(1, True, -10.0)
+        self.cold.grants.leadership.update(1, True, -10.0)
         self.rng = random.Random(1)
 
     def arrivals(self) -> list[tuple[float, int, int]]:
@@ -279,9 +279,9 @@
 
     def is_permitted(self, program: int, left: int, now_s: float) -> bool:
         """Whether a turn may be dispatched."""
-        while self.cold.grants.touch._looked_s < now_s:
-            looked_s = self.cold.grants.touch._looked_s
-            self.cold.grants.touch.look(1, True, min(now_s, looked_s + 0.1))
+        while self.cold.grants.leadership._updated_s < now_s:
+            looked_s = self.cold.grants.leadership._updated_s
+            self.cold.grants.leadership.update(1, True, min(now_s, looked_s + 0.1))
         is_new = left == self.TURNS
         message = PermitRequest(f"t{program}.{left}", f"p{program}", is_new)
         openings = self.cold.openings(self.pool, message, now_s)
@@ -504,7 +504,7 @@
         attempts = self.attempts(RunnerPermit("a", NO_PERMIT), RunnerPermit("a", VALID))
         self.assertEqual(await self.open(attempts), "a")
         self.assertEqual(self.permit_client.tried, [[], []])
-        self.assertEqual(attempts.history.num_maybe_run, 1)
+        self.assertEqual(attempts.history.num_possible_runs, 1)
 
     async def test_runner_that_turns_cold_while_connecting_gets_nothing(
         self,
@@ -513,7 +513,7 @@
         self.pool.on_acquire = lambda: self.table.put(runner("b", 60_000))
         attempts = self.attempts(Refusal(ErrorKind.NO_ROOM, "later"))
         self.assertEqual(await self.open(attempts), "no_room")
-        self.assertEqual(attempts.history.num_maybe_run, 0)
+        self.assertEqual(attempts.history.num_possible_runs, 0)
 
     async def test_each_attempt_needs_its_own_permit(self) -> None:
         self.pool.unreachable = {Address("a", 80)}
