--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -57,9 +57,9 @@
         self._access = AccessIndex(ServiceDocument())
         self._has_index = asyncio.Event()
         self._startup_wait_until_s: float | None = None
-        self._runners = runners
+        self._runner_ports = runners
         self._metrics = runners.metrics
-        self._turns = turns
+        self._turn_ports = turns
         self.num_open = 0
 
     @property
@@ -75,14 +75,14 @@
 
     async def _wait_for_index(self) -> RouteIndex | None:
         """Return the routes; after a start, wait a limited time for routes and runners."""
-        if self._index is None or not self._runners.table.has_runners.is_set():
+        if self._index is None or not self._runner_ports.table.has_runners.is_set():
             now_s = asyncio.get_running_loop().time()
             if self._startup_wait_until_s is None:
                 self._startup_wait_until_s = now_s + FIRST_DOCUMENT_WAIT_S
             with contextlib.suppress(TimeoutError):  # the request is refused then, and logged
                 async with asyncio.timeout_at(self._startup_wait_until_s):
                     await self._has_index.wait()
-                    await self._runners.table.has_runners.wait()
+                    await self._runner_ports.table.has_runners.wait()
         return self._index
 
     async def serve(self, request: ServiceRequest, caller: Caller) -> None:
@@ -156,7 +156,7 @@
         service = choose_target(route, sticky_key or request.request_id)
         admit = partial(self._admit_call, request, principal, deadline_s)
         regions = allowed_regions(route, principal)
-        placement = RunnerPlacement(self._runners, request, service, sticky_key, regions)
+        placement = RunnerPlacement(self._runner_ports, request, service, sticky_key, regions)
         history = AttemptHistory(deadline_s)
         attempts = Attempts(request, route, principal, placement, history, admit)
         refusal = attempts.reject_if_no_eligible_runner()
@@ -198,10 +198,10 @@
         attempts: Attempts,
         engine: EngineFeatures | None,
     ) -> TurnRecord | None:
-        if request.turn is None or self._turns is None:
+        if request.turn is None or self._turn_ports is None:
             return None
         deadline_s = attempts.history.deadline_s
-        return TurnRecord(self._turns, request, attempts.route, attempts, engine, deadline_s)
+        return TurnRecord(self._turn_ports, request, attempts.route, attempts, engine, deadline_s)
 
     def _sticky_key(self, request: ServiceRequest, route: Route) -> str:
         """Key of requests that run faster at the same runner; empty: none."""
@@ -213,9 +213,9 @@
         self, request: ServiceRequest, principal: Principal, deadline_s: float
     ) -> Refusal | None:
         """Charge a request that is not a turn to its tenant's quota."""
-        if self._turns is None:
+        if self._turn_ports is None:
             return None
-        return await self._turns.quotas.admit_call(principal, request, deadline_s)
+        return await self._turn_ports.quotas.admit_call(principal, request, deadline_s)
 
     async def _serve_plain(self, attempts: Attempts, caller: Caller) -> Refusal | ServedOutcome:
         while True:
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -40,7 +40,7 @@
 from bendshed.turns.group_locator import GroupLocator
 from bendshed.turns.methods import PREVIEW_METHOD, QUOTA_METHOD, RUNNER_METHOD, TURN_METHOD
 
-TRANSCRIPT_BYTES = 16 * 1024 * 1024
+TRANSCRIPT_CACHE_BYTES = 16 * 1024 * 1024
 TURN_LOG_LOST_AFTER_S = 1.5
 """A node that got no answer from any replica of the turn log for this long is not ready, so that
 clients use other nodes."""
@@ -98,7 +98,7 @@
     ) -> None:
         self.directory = ReplicaDirectory()
         self.host_locations = HostLocations(location.zone, location.places)
-        self.directory.on_change.append(self._note_replicas)
+        self.directory.on_change.append(self._record_replica_locations)
         self._knows_replicas = asyncio.Event()
         self.directory.on_change.append(self._knows_replicas.set)
         self.on_document: Callable[[ServiceDocument], None] = lambda _document: None
@@ -114,10 +114,10 @@
             transport, rng, self._other_nodes, RELAYED_METHODS, self.host_locations
         )
         self.catalog = self._build_follower(transport, location, times, rng)
-        self._turns = self._build_turns(location, rng, metrics)
-        self.quotas = self._turns.quotas
+        self._turn_ports = self._build_turn_ports(location, rng, metrics)
+        self.quotas = self._turn_ports.quotas
         self.forwarder = Forwarder(
-            self._build_runners(protocol, location, rng, metrics), self._turns
+            self._build_runner_ports(protocol, location, rng, metrics), self._turn_ports
         )
         self._add_gauges(metrics)
         self.zones.add_gauges(metrics)
@@ -145,7 +145,7 @@
         self.zones.on_zone_opened.append(table.cold.reopen)
         return table
 
-    def _build_turns(
+    def _build_turn_ports(
         self, location: NodeLocation, rng: random.Random, metrics: ServiceMetrics
     ) -> TurnPorts:
         """Build what turns need of the turn log; each start draws a new incarnation."""
@@ -162,11 +162,11 @@
         client = TurnClient(rng, leaders, self._refuses_when_isolated, home_group)
         incarnation = f"{location.address}/{rng.getrandbits(48):012x}"
         quotas = QuotaClient(incarnation, client, metrics, self._groups)
-        transcripts = TranscriptCache(TRANSCRIPT_BYTES)
+        transcripts = TranscriptCache(TRANSCRIPT_CACHE_BYTES)
         locator = GroupLocator(self._groups, home_group)
         return TurnPorts(client, transcripts, metrics, quotas, self._policy, locator)
 
-    def _build_runners(
+    def _build_runner_ports(
         self,
         protocol: RunnerProtocol,
         location: NodeLocation,
@@ -183,11 +183,11 @@
             rng,
             metrics,
             self._policy,
-            PermitClient(self._turns.client, metrics),
+            PermitClient(self._turn_ports.client, metrics),
             location.places,
         )
 
-    def _note_replicas(self) -> None:
+    def _record_replica_locations(self) -> None:
         """Record the zones of replica machines."""
         for replica in self.directory.by_name.values():
             self.host_locations.put(replica.address.host, replica.zone)
@@ -211,7 +211,7 @@
         )
         doubled.set_function(lambda: float(self._relayed_requests.num_doubled))
         ends = metrics.gauge("bendshed_turn_ends_pending", "Turn ends that are not committed yet")
-        ends.set_function(lambda: float(self._turns.ends.num_pending))
+        ends.set_function(lambda: float(self._turn_ports.ends.num_pending))
         fresh = metrics.gauge(
             "bendshed_catalog_fresh", "1 while replica machines read the registry for this node"
         )
@@ -231,13 +231,13 @@
     @property
     def is_ready(self) -> bool:
         """Whether new clients may be routed to this node."""
-        knows = self.forwarder.index is not None
-        return knows and not self.is_draining and not self._has_lost_turn_log()
+        has_routes = self.forwarder.index is not None
+        return has_routes and not self.is_draining and not self._has_lost_turn_log()
 
     def _has_lost_turn_log(self) -> bool:
-        if self._turns.client.is_isolated:
+        if self._turn_ports.client.is_isolated:
             return True
-        lost_since_s = self._turns.client.lost_since_s
+        lost_since_s = self._turn_ports.client.lost_since_s
         if lost_since_s is None:
             return False
         return asyncio.get_running_loop().time() - lost_since_s > TURN_LOG_LOST_AFTER_S
@@ -249,7 +249,7 @@
         concurrently, so that a region that is cut off does not delay the node.
         """
         await self._knows_replicas.wait()
-        client = self._turns.client
+        client = self._turn_ports.client
         loop = asyncio.get_running_loop()
         others = self._groups.other_ids(client.home_group)
         searches = [loop.create_task(client.find_leader(group)) for group in others]
@@ -288,7 +288,7 @@
     @property
     def is_isolated(self) -> bool:
         """Whether no other node has answered for some time on any path."""
-        return self._turns.client.is_isolated
+        return self._turn_ports.client.is_isolated
 
     def replace_runners(self, runners: Collection[ServiceRunner], is_trusted: bool) -> None:
         """Replace the list of runners; see ``remove_runner`` for ``is_trusted``."""
@@ -331,11 +331,11 @@
 
     async def finish_background_work(self) -> None:
         """Wait for pending begins and ends of turns that no caller waits for."""
-        await self._turns.finish_background_work()
+        await self._turn_ports.finish_background_work()
 
     def close(self) -> None:
         """Close idle connections to runners; log uncommitted turn ends."""
-        self._turns.ends.log_uncommitted()
+        self._turn_ports.ends.log_uncommitted()
         self._pool.close()
 
 
--- a/src/bendshed/services/turn_output.py
+++ b/src/bendshed/services/turn_output.py
@@ -15,15 +15,15 @@
 
     Attributes:
         engine: features of the service; ``None``: not a model engine.
-        stores_bytes: the turn log stores the output, for turns that continue this one.
+        stores_output: the turn log stores the output, for turns that continue this one.
         num_events: events sent to the caller.
 
     """
 
     engine: EngineFeatures | None
-    stores_bytes: bool
+    stores_output: bool
     num_events: int = 0
-    _pieces: list[bytes] = field(default_factory=list)
+    _data_chunks: list[bytes] = field(default_factory=list)
     _first_event_s: float = 0.0
     _last_event_s: float = 0.0
 
@@ -35,13 +35,13 @@
         self._last_event_s = asyncio.get_running_loop().time()
         if self.num_events == 1:
             self._first_event_s = self._last_event_s
-        if self.stores_bytes:
-            self._pieces.append(event.data + b"\n")
+        if self.stores_output:
+            self._data_chunks.append(event.data + b"\n")
 
     @property
     def content(self) -> bytes:
         """The output as stored in the transcript: the data of each event, ended by a line feed."""
-        return b"".join(self._pieces)
+        return b"".join(self._data_chunks)
 
     @property
     def num_tokens(self) -> int:
