--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -198,7 +198,7 @@
             self.history.record_unreachable(runner.runner_id)
             self._count_result(AttemptResult.UNREACHABLE)
             record.note_unreachable(loop.time())
-            self._log_failure("attempt failed: runner unreachable", choice, reason=str(error))
+            self._say("attempt failed: runner unreachable", choice, reason=str(error))
             return None
         if not self.placement.may_dispatch_to(record, choice.permit, loop.time()):
             self._withdraw_dispatch(choice, connection)
@@ -224,7 +224,7 @@
             self.history.record_no_answer(record.listed.runner_id)
             self._count_result(AttemptResult.NO_ANSWER)
             record.note_broken(loop.time())
-            self._log_failure("attempt failed: no answer", choice, reason=str(error))
+            self._say("attempt failed: no answer", choice, reason=str(error))
             return None
         except BaseException:
             # Includes cancellation: the response may still arrive, so do not reuse the connection.
@@ -253,7 +253,7 @@
         if not self.ports.table.filter.allows(runner, self.placement.regions):
             connection.finish()
             self.ports.pool.release(runner.address, connection)
-            self._log_failure(
+            self._say(
                 "dispatch withdrawn: zone closed",
                 choice,
                 reason="the zone was closed while connecting",
@@ -262,7 +262,7 @@
         self.history.record_expired_permit(runner.runner_id)
         connection.abort()
         self.ports.pool.release(runner.address, connection)
-        self._log_failure(
+        self._say(
             "dispatch withdrawn: no valid permit",
             choice,
             reason="the runner is cold and the permit expired or is missing",
@@ -307,7 +307,7 @@
             is_cold=self.ports.table.cold.is_cold(runner_id),
         )
 
-    def _log_failure(self, message: str, choice: Choice, reason: str) -> None:
+    def _say(self, message: str, choice: Choice, reason: str) -> None:
         log.say(
             message,
             request=self.request.request_id,
