--- a/src/bendshed/services/metrics.py
+++ b/src/bendshed/services/metrics.py
@@ -73,7 +73,7 @@
             "bendshed_request_seconds", "Time from arrival to the end", ["route_kind"]
         )
         self.attempts = Counter(
-            "bendshed_attempts", "Attempts at runners by outcome", ["end"], registry=registry
+            "bendshed_attempts", "Sendings to runners by end", ["end"], registry=registry
         )
         self.quota_calls = Counter(
             "bendshed_quota_calls",
@@ -88,7 +88,7 @@
             registry=registry,
         )
         self.turn_begin_s = self._histogram(
-            "bendshed_turn_begin_seconds", "Time until a turn may be dispatched", ["previewed"]
+            "bendshed_turn_begin_seconds", "Time until a turn may be sent", ["previewed"]
         )
         self.turn_end_s = self._histogram(
             "bendshed_turn_end_seconds", "Time until a turn's end is committed", []
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -202,18 +202,18 @@
         """Add gauges that are evaluated when metrics are scraped."""
         open_requests = metrics.gauge("bendshed_open_requests", "Requests under way")
         open_requests.set_function(lambda: self.forwarder.num_open)
-        ready = metrics.gauge("bendshed_ready", "1 while new clients may be routed to this node")
+        ready = metrics.gauge("bendshed_ready", "1 while new clients may be sent here")
         ready.set_function(lambda: float(self.is_ready))
-        relayed = metrics.gauge("bendshed_requests_relayed", "Replies received through other nodes")
+        relayed = metrics.gauge("bendshed_requests_relayed", "Answers that came through others")
         relayed.set_function(lambda: float(self._relayed_requests.num_relayed))
         doubled = metrics.gauge(
-            "bendshed_requests_doubled", "Requests sent both directly and through other nodes"
+            "bendshed_requests_doubled", "Requests that went directly and through others"
         )
         doubled.set_function(lambda: float(self._relayed_requests.num_doubled))
-        ends = metrics.gauge("bendshed_turn_ends_pending", "Turn ends that are not committed yet")
+        ends = metrics.gauge("bendshed_turn_ends_pending", "Ends of turns to be committed")
         ends.set_function(lambda: float(self._turn_ports.ends.num_pending))
         fresh = metrics.gauge(
-            "bendshed_catalog_fresh", "1 while replica machines read the registry for this node"
+            "bendshed_catalog_fresh", "1 while replica machines read for this node"
         )
         fresh.set_function(lambda: float(self.catalog.is_fresh))
         version = metrics.gauge("bendshed_configuration_version", "Configuration applied")
