--- a/tests/patterns/test_quota_siblings.py
+++ b/tests/patterns/test_quota_siblings.py
@@ -17,31 +17,31 @@
 
 WINDOW_MS = 5_000
 LIMIT = tenant_limit(Tenant("t", rate_per_s=4, burst=10), QuotaTolerance(5.0, 0.1, 20))
-NUM_SIBLINGS = 5
+NUM_SUB_AGENTS = 5
 MAX_WAIT_MS = 1_000
-MAX_TRIES = 6
-BETWEEN_MS = 110
+MAX_ATTEMPTS = 6
+REQUEST_INTERVAL_MS = 110
 """Time between two requests of the tenant while it is at its limit."""
 
 
-class SiblingsTest(unittest.TestCase):
+class SubAgentRetryTest(unittest.TestCase):
     """The ledger and callers that keep to what they are told; no network, no clock."""
 
     def setUp(self) -> None:
         self.ledger = QuotaLedger(WINDOW_MS)
         self.ledger.begin_term(1)
         self.usage = UsageWindows()
-        self.num_asked = 0
+        self.num_requests = 0
 
     def fill(self, until_ms: int) -> None:
         """As many requests before as the tenant's turns may be."""
         for place in reversed(range(int(LIMIT.turns))):
-            self.usage.charge("t", until_ms - 1 - place * BETWEEN_MS, 1)
+            self.usage.charge("t", until_ms - 1 - place * REQUEST_INTERVAL_MS, 1)
 
-    def ask(self, line: str, now_ms: int) -> int:
+    def request_turn(self, chain: str, now_ms: int) -> int:
         """Ask for one turn; return 0 if it runs, else the time after which it comes back."""
-        self.num_asked += 1
-        request = QuotaRequest(f"r{self.num_asked}", "t", "program", Rank.TURN, line)
+        self.num_requests += 1
+        request = QuotaRequest(f"r{self.num_requests}", "t", "program", Rank.TURN, chain)
         admission = self.ledger.admit_turn(request, LIMIT, self.usage, now_ms)
         if not admission.is_granted:
             return min(admission.retry_after_ms, MAX_WAIT_MS)
@@ -49,27 +49,27 @@
         self.ledger.settle_turn(request.request_id)
         return 0
 
-    def test_siblings_are_told_different_times(self) -> None:
+    def test_sub_agents_get_different_retry_times(self) -> None:
         self.fill(10_000)
-        waits = [self.ask(f"line-{place}", 10_000) for place in range(NUM_SIBLINGS)]
+        waits = [self.request_turn(f"chain-{place}", 10_000) for place in range(NUM_SUB_AGENTS)]
         self.assertNotIn(0, waits)
-        self.assertEqual(len(set(waits)), NUM_SIBLINGS)
+        self.assertEqual(len(set(waits)), NUM_SUB_AGENTS)
 
-    def test_nobody_uses_up_its_tries_while_places_come_free(self) -> None:
+    def test_no_sub_agent_runs_out_of_attempts_while_places_become_free(self) -> None:
         self.fill(10_000)
-        tries = {f"line-{place}": 0 for place in range(NUM_SIBLINGS)}
-        coming = [(10_000, line) for line in tries]
-        while coming:
-            coming.sort()
-            now_ms, line = coming.pop(0)
-            tries[line] += 1
-            wait_ms = self.ask(line, now_ms)
+        attempts = {f"chain-{place}": 0 for place in range(NUM_SUB_AGENTS)}
+        due = [(10_000, chain) for chain in attempts]
+        while due:
+            due.sort()
+            now_ms, chain = due.pop(0)
+            attempts[chain] += 1
+            wait_ms = self.request_turn(chain, now_ms)
             if wait_ms:
-                coming.append((now_ms + wait_ms, line))
-        self.assertLessEqual(max(tries.values()), MAX_TRIES // 2)
+                due.append((now_ms + wait_ms, chain))
+        self.assertLessEqual(max(attempts.values()), MAX_ATTEMPTS // 2)
 
-    def test_a_line_that_asks_again_does_not_wait_for_itself(self) -> None:
+    def test_repeated_request_does_not_wait_for_itself(self) -> None:
         self.fill(10_000)
-        first = self.ask("line", 10_000)
-        again = self.ask("line", 10_000)
+        first = self.request_turn("chain", 10_000)
+        again = self.request_turn("chain", 10_000)
         self.assertEqual(first, again)
