--- a/tests/test_distance_relays.py
+++ b/tests/test_distance_relays.py
@@ -17,7 +17,7 @@
 METHOD = "say"
 LINK_S = 0.03
 """One way between the regions."""
-THIN_LINK_S = 10 * LINK_S
+SLOW_LINK_S = 10 * LINK_S
 ROUND_TRIP_S = 2 * (LINK_S + JITTER_S)
 NEAR_TRIP_S = 2 * (LATENCY_S + JITTER_S)
 COMMIT_S = 0.02
@@ -27,11 +27,11 @@
 PLACES = Places({"near-zone": "near-region", "far-zone": "far-region"})
 
 
-async def gathered(asking: list[Coroutine[Any, Any, bytes]]) -> list[bytes]:
-    return await asyncio.gather(*asking)
+async def gather_all(pending: list[Coroutine[Any, Any, bytes]]) -> list[bytes]:
+    return await asyncio.gather(*pending)
 
 
-class DistanceTest(unittest.TestCase):
+class RelaysBetweenRegionsTest(unittest.TestCase):
     """A front, a store in each region, three other fronts in each."""
 
     def setUp(self) -> None:
@@ -41,8 +41,8 @@
         self.network = Network(self.loop, random.Random(1))
         self.set_link(LINK_S)
         self.zone_of = {name: "near-zone" for name in NEAR} | {name: "far-zone" for name in FAR}
-        self.at = {name: Address(name, 7000) for name in self.zone_of}
-        self.ways = {name: self.ways_of(name) for name in self.at}
+        self.addresses = {name: Address(name, 7000) for name in self.zone_of}
+        self.requesters = {name: self.create_requester(name) for name in self.addresses}
         self.num_answers = 0
         for store in ("near-store", "far-store"):
             self.transports[store].handlers[METHOD] = self.answer
@@ -50,8 +50,8 @@
     def set_link(self, one_way_s: float) -> None:
         self.network.between_s = {(near, far): one_way_s for near in NEAR for far in FAR}
 
-    def ways_of(self, name: str) -> RelayedRequests:
-        transport = SimTransport(self.network, SimProcess(name), self.at[name])
+    def create_requester(self, name: str) -> RelayedRequests:
+        transport = SimTransport(self.network, SimProcess(name), self.addresses[name])
         self.loop.run_until_complete(transport.start())
         if not hasattr(self, "transports"):
             self.transports: dict[str, SimTransport] = {}
@@ -59,7 +59,11 @@
         host_locations = HostLocations(self.zone_of[name], PLACES)
         for other, zone in self.zone_of.items():
             host_locations.put(other, zone)
-        relays = [self.at[other] for other in self.at if "store" not in other and other != name]
+        relays = [
+            self.addresses[other]
+            for other in self.addresses
+            if "store" not in other and other != name
+        ]
         methods = frozenset({METHOD})
         return RelayedRequests(transport, random.Random(2), lambda: relays, methods, host_locations)
 
@@ -68,49 +72,49 @@
         await asyncio.sleep(COMMIT_S)
         return payload
 
-    def ask(self, target: str, timeout_s: float = TIMEOUT_S) -> float | None:
+    def send_request(self, target: str, timeout_s: float = TIMEOUT_S) -> float | None:
         """How long an answer took; ``None``: there was none."""
-        began_s = self.loop.time()
-        asking = self.ways["front"].request(self.at[target], METHOD, b"x", timeout_s)
+        started_s = self.loop.time()
+        pending = self.requesters["front"].request(self.addresses[target], METHOD, b"x", timeout_s)
         try:
-            self.loop.run_until_complete(asking)
+            self.loop.run_until_complete(pending)
         except PeerUnreachable:
             return None
-        return self.loop.time() - began_s
+        return self.loop.time() - started_s
 
-    async def ask_after(self, wait_s: float, target: str) -> bytes:
+    async def send_request_after(self, wait_s: float, target: str) -> bytes:
         await asyncio.sleep(wait_s)
-        return await self.ways["front"].request(self.at[target], METHOD, b"x", 2.0)
+        return await self.requesters["front"].request(self.addresses[target], METHOD, b"x", 2.0)
 
     def cut_from_stores(self, *names: str) -> None:
         for name in names:
             for store in ("near-store", "far-store"):
                 self.network.cuts.update(((name, store), (store, name)))
 
-    def asked_relays(self) -> set[str]:
+    def used_relays(self) -> set[str]:
         counted = self.network.num_sent.items()
         return {to for (of, to, method), num in counted if method == "paths.relay" and num}
 
-    def num_asked_relays(self) -> int:
+    def num_relay_requests(self) -> int:
         counted = self.network.num_sent.items()
         return sum(num for (_, _, method), num in counted if method == "paths.relay")
 
-    def assert_answered_within(self, took_s: float | None, most_s: float) -> None:
+    def assert_answered_within(self, took_s: float | None, max_s: float) -> None:
         self.assertIsNotNone(took_s)
         assert took_s is not None
-        self.assertLess(took_s, most_s)
+        self.assertLess(took_s, max_s)
 
     # --- calm ------------------------------------------------------------------------------
 
-    def test_a_calm_far_request_is_sent_once_from_the_first_on(self) -> None:
+    def test_distant_request_without_a_fault_is_sent_once(self) -> None:
         for number in range(1, 6):
-            took_s = self.ask("far-store")
+            took_s = self.send_request("far-store")
             self.assert_answered_within(took_s, ROUND_TRIP_S + COMMIT_S + 0.001)
             self.assertEqual(self.num_answers, number)
-        self.assertEqual(self.asked_relays(), set())
-        self.assertEqual(self.ways["front"].num_doubled, 0)
+        self.assertEqual(self.used_relays(), set())
+        self.assertEqual(self.requesters["front"].num_doubled, 0)
 
-    def test_a_commit_that_crosses_the_link_too_is_waited_for(self) -> None:
+    def test_commit_that_crosses_the_link_is_awaited(self) -> None:
         async def slow_answer(payload: bytes) -> bytes:
             self.num_answers += 1
             await asyncio.sleep(2 * LINK_S)
@@ -118,80 +122,82 @@
 
         for store in ("near-store", "far-store"):
             self.transports[store].handlers[METHOD] = slow_answer
-            self.ask(store)
+            self.send_request(store)
             self.loop.run_until_complete(asyncio.sleep(TIMEOUT_S))
             before = self.num_answers
             for _ in range(3):
-                self.ask(store)
+                self.send_request(store)
             self.assertEqual(self.num_answers, before + 3)
 
-    def test_a_link_that_becomes_ten_times_as_long_is_known_after_a_while(self) -> None:
+    def test_timeouts_adapt_to_a_ten_times_slower_link(self) -> None:
         for _ in range(3):
-            self.ask("far-store")
-        self.set_link(THIN_LINK_S)
+            self.send_request("far-store")
+        self.set_link(SLOW_LINK_S)
         for _ in range(60):
-            self.ask("far-store", 3.0)
+            self.send_request("far-store", 3.0)
         self.network.num_sent.clear()
         before = self.num_answers
         for _ in range(5):
-            self.assertIsNotNone(self.ask("far-store", 3.0))
-        self.assertEqual((self.num_answers - before, self.asked_relays()), (5, set()))
+            self.assertIsNotNone(self.send_request("far-store", 3.0))
+        self.assertEqual((self.num_answers - before, self.used_relays()), (5, set()))
 
     # --- a cut -----------------------------------------------------------------------------
 
-    def test_a_cut_from_a_near_store_is_found_as_fast_as_ever(self) -> None:
-        self.ask("near-store")
+    def test_cut_from_a_near_store_is_detected_quickly(self) -> None:
+        self.send_request("near-store")
         self.cut_from_stores("front")
-        self.assert_answered_within(self.ask("near-store"), 0.13)
+        self.assert_answered_within(self.send_request("near-store"), 0.13)
         for _ in range(5):
-            self.assert_answered_within(self.ask("near-store"), 2 * NEAR_TRIP_S + COMMIT_S + 0.001)
-        self.assertTrue(all(name.startswith("near") for name in self.asked_relays()))
+            self.assert_answered_within(
+                self.send_request("near-store"), 2 * NEAR_TRIP_S + COMMIT_S + 0.001
+            )
+        self.assertTrue(all(name.startswith("near") for name in self.used_relays()))
 
-    def test_a_cut_from_a_far_store_costs_one_patience_and_then_a_near_relay(self) -> None:
-        self.ask("far-store")
+    def test_cut_from_a_distant_store_costs_one_timeout_and_then_a_near_relay(self) -> None:
+        self.send_request("far-store")
         self.cut_from_stores("front")
         first_s = 2 * (ROUND_TRIP_S + COMMIT_S) + 0.03 + NEAR_TRIP_S + ROUND_TRIP_S + COMMIT_S
-        self.assert_answered_within(self.ask("far-store"), first_s + 0.01)
+        self.assert_answered_within(self.send_request("far-store"), first_s + 0.01)
         self.network.num_sent.clear()
         for _ in range(10):
-            took_s = self.ask("far-store")
+            took_s = self.send_request("far-store")
             self.assert_answered_within(took_s, NEAR_TRIP_S + ROUND_TRIP_S + COMMIT_S + 0.001)
-        self.assertEqual(self.num_asked_relays(), 10)
-        self.assertTrue(all(name.startswith("near") for name in self.asked_relays()))
+        self.assertEqual(self.num_relay_requests(), 10)
+        self.assertTrue(all(name.startswith("near") for name in self.used_relays()))
 
-    def test_requests_that_wait_beside_the_first_follow_the_way_that_it_finds(self) -> None:
+    def test_concurrent_requests_use_the_relay_that_the_first_finds(self) -> None:
         for target in ("near-store", "far-store"):
-            self.ask(target)
+            self.send_request(target)
         self.cut_from_stores("front")
-        for target, most_s in (("far-store", 0.39), ("near-store", 0.2)):
-            asking = [self.ask_after(0.005 * number, target) for number in range(5)]
-            began_s = self.loop.time()
-            self.loop.run_until_complete(asyncio.wait_for(gathered(asking), 2.5))
-            self.assertLess(self.loop.time() - began_s, most_s)
-
-    def test_a_near_store_is_reached_through_the_other_region_if_need_be(self) -> None:
-        self.ask("near-store")
+        for target, max_s in (("far-store", 0.39), ("near-store", 0.2)):
+            pending = [self.send_request_after(0.005 * number, target) for number in range(5)]
+            started_s = self.loop.time()
+            self.loop.run_until_complete(asyncio.wait_for(gather_all(pending), 2.5))
+            self.assertLess(self.loop.time() - started_s, max_s)
+
+    def test_near_store_is_reached_through_the_other_region_if_necessary(self) -> None:
+        self.send_request("near-store")
         self.cut_from_stores("front", "near-1", "near-2", "near-3")
-        answered = [self.ask("near-store", TIMEOUT_S) for _ in range(12)]
+        answered = [self.send_request("near-store", TIMEOUT_S) for _ in range(12)]
         self.assertTrue(any(took_s is not None for took_s in answered[:4]))
         for took_s in answered[4:]:
             self.assert_answered_within(took_s, 2 * ROUND_TRIP_S + COMMIT_S + 0.001)
 
-    def test_a_far_store_is_reached_through_a_relay_beside_it(self) -> None:
-        self.ask("far-store")
+    def test_distant_store_is_reached_through_a_relay_in_its_region(self) -> None:
+        self.send_request("far-store")
         self.cut_from_stores("front", "near-1", "near-2", "near-3")
-        answered = [self.ask("far-store") for _ in range(12)]
+        answered = [self.send_request("far-store") for _ in range(12)]
         for took_s in answered[6:]:
             self.assert_answered_within(took_s, NEAR_TRIP_S + ROUND_TRIP_S + COMMIT_S + 0.001)
-        self.assertTrue(any(name.startswith("far") for name in self.asked_relays()))
+        self.assertTrue(any(name.startswith("far") for name in self.used_relays()))
 
-    def test_a_request_that_cannot_end_in_time_is_not_passed_on(self) -> None:
-        self.ask("far-store")
+    def test_request_that_cannot_finish_in_time_is_not_relayed(self) -> None:
+        self.send_request("far-store")
         self.cut_from_stores("front")
-        self.ask("far-store")
+        self.send_request("far-store")
         self.network.num_sent.clear()
-        self.assertIsNone(self.ask("far-store", LINK_S))
-        self.assertEqual(self.asked_relays(), set())
+        self.assertIsNone(self.send_request("far-store", LINK_S))
+        self.assertEqual(self.used_relays(), set())
 
 
 if __name__ == "__main__":
