--- a/tests/test_round_trips.py
+++ b/tests/test_round_trips.py
@@ -19,39 +19,39 @@
 
 class RoundTripsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.trips: RoundTrips[str] = RoundTrips()
+        self.round_trips: RoundTrips[str] = RoundTrips()
 
-    def test_the_least_of_a_window_counts(self) -> None:
+    def test_minimum_of_a_window_counts(self) -> None:
         for number, took_s in enumerate((0.09, 0.061, 0.3, 0.07)):
-            self.trips.note("peer", took_s, number)
-        self.assertEqual(self.trips.least_s("peer", 4.0), 0.061)
-        self.assertIsNone(self.trips.least_s("another", 4.0))
+            self.round_trips.note("peer", took_s, number)
+        self.assertEqual(self.round_trips.least_s("peer", 4.0), 0.061)
+        self.assertIsNone(self.round_trips.least_s("another", 4.0))
 
-    def test_a_way_that_became_longer_is_known_after_two_windows(self) -> None:
-        self.trips.note("peer", 0.06, 0.0)
+    def test_longer_round_trip_is_known_after_two_windows(self) -> None:
+        self.round_trips.note("peer", 0.06, 0.0)
         for second in range(1, int(2 * WINDOW_S) + 2):
-            self.trips.note("peer", 0.6, second)
-        self.assertEqual(self.trips.least_s("peer", 2 * WINDOW_S + 2), 0.6)
+            self.round_trips.note("peer", 0.6, second)
+        self.assertEqual(self.round_trips.least_s("peer", 2 * WINDOW_S + 2), 0.6)
 
-    def test_a_way_that_became_shorter_is_known_at_once(self) -> None:
-        self.trips.note("peer", 0.6, 0.0)
-        self.trips.note("peer", 0.06, 0.1)
-        self.assertEqual(self.trips.least_s("peer", 0.1), 0.06)
+    def test_shorter_round_trip_is_known_at_once(self) -> None:
+        self.round_trips.note("peer", 0.6, 0.0)
+        self.round_trips.note("peer", 0.06, 0.1)
+        self.assertEqual(self.round_trips.least_s("peer", 0.1), 0.06)
 
-    def test_after_a_silence_only_the_new_word_counts(self) -> None:
-        self.trips.note("peer", 0.06, 0.0)
-        self.trips.note("peer", 0.6, 3 * WINDOW_S)
-        self.assertEqual(self.trips.least_s("peer", 3 * WINDOW_S), 0.6)
+    def test_after_a_gap_only_the_new_measurement_counts(self) -> None:
+        self.round_trips.note("peer", 0.06, 0.0)
+        self.round_trips.note("peer", 0.6, 3 * WINDOW_S)
+        self.assertEqual(self.round_trips.least_s("peer", 3 * WINDOW_S), 0.6)
 
-    def test_an_old_word_holds_for_a_while_and_not_for_ever(self) -> None:
-        self.trips.note("peer", 0.06, 0.0)
-        self.assertEqual(self.trips.least_s("peer", MEMORY_S), 0.06)
-        self.assertIsNone(self.trips.least_s("peer", MEMORY_S + 1))
+    def test_old_measurement_expires(self) -> None:
+        self.round_trips.note("peer", 0.06, 0.0)
+        self.assertEqual(self.round_trips.least_s("peer", MEMORY_S), 0.06)
+        self.assertIsNone(self.round_trips.least_s("peer", MEMORY_S + 1))
 
-    def test_what_is_kept_is_bounded(self) -> None:
+    def test_number_of_peers_is_bounded(self) -> None:
         for number in range(MAX_PEERS + 10):
-            self.trips.note(str(number), 0.01, 0.0)
-        self.assertEqual(len(self.trips.all_s(0.0)), MAX_PEERS)
+            self.round_trips.note(str(number), 0.01, 0.0)
+        self.assertEqual(len(self.round_trips.all_s(0.0)), MAX_PEERS)
 
 
 class HostLocationsTest(unittest.TestCase):
@@ -70,7 +70,7 @@
         self.assertAlmostEqual(medians[Distance.SAME_REGION], 0.002)
         self.assertAlmostEqual(medians[Distance.OTHER_REGION], 0.13)
 
-    def test_bounds_are_at_least_those_of_neighbours(self) -> None:
+    def test_timeouts_are_at_least_those_of_near_peers(self) -> None:
         known = {"h2": 0.001, "h4": 0.06}
         adaptive_timeout = AdaptiveTimeout(lambda peer: known.get(peer.host), self.host_locations)
         near, far = Address("h2", 1), Address("h4", 1)
@@ -81,7 +81,7 @@
         self.assertGreater(adaptive_timeout.direct_timeout_s(far, "m", 0.0), 2 * 0.12)
         self.assertLess(adaptive_timeout.direct_timeout_s(far, "another", 0.0), 2 * 0.12)
 
-    def test_who_is_not_measured_counts_as_others_of_his_kind(self) -> None:
+    def test_unmeasured_peer_gets_the_default_of_its_distance(self) -> None:
         adaptive_timeout = AdaptiveTimeout(lambda _peer: None, self.host_locations)
         self.assertEqual(
             adaptive_timeout.expected_round_trip_s(Address("h4", 1)),
@@ -94,14 +94,16 @@
 
 
 class RegionReachabilityTest(unittest.TestCase):
-    def test_a_region_is_told_once_when_it_falls_silent_and_once_when_it_is_back(self) -> None:
-        watch = RegionReachability()
-        self.assertEqual(watch.note(["west"], ["west"]), {})
-        told = [watch.note(["west"], []) for _ in range(UNREACHABLE_ROUNDS + 2)]
-        self.assertEqual([row for row in told if row], [{"west": False}])
-        self.assertEqual(watch.num_unreachable, 1)
-        self.assertEqual(watch.note(["west"], ["west"]), {"west": True})
-        self.assertEqual((watch.note(["west"], ["west"]), watch.num_unreachable), ({}, 0))
+    def test_region_is_reported_once_when_unreachable_and_once_when_back(self) -> None:
+        reachability = RegionReachability()
+        self.assertEqual(reachability.note(["west"], ["west"]), {})
+        changes = [reachability.note(["west"], []) for _ in range(UNREACHABLE_ROUNDS + 2)]
+        self.assertEqual([row for row in changes if row], [{"west": False}])
+        self.assertEqual(reachability.num_unreachable, 1)
+        self.assertEqual(reachability.note(["west"], ["west"]), {"west": True})
+        self.assertEqual(
+            (reachability.note(["west"], ["west"]), reachability.num_unreachable), ({}, 0)
+        )
 
 
 class OverTcpTest(unittest.IsolatedAsyncioTestCase):
@@ -111,7 +113,7 @@
         self.node, self.peer = TcpTransport(LOCAL, 0), TcpTransport(LOCAL, 0)
         await self.node.start()
         self.address = await self.peer.start()
-        self.asked, self.answered = asyncio.Event(), asyncio.Event()
+        self.received, self.may_answer = asyncio.Event(), asyncio.Event()
         self.peer.handlers["wait"] = self.wait
 
     async def asyncTearDown(self) -> None:
@@ -120,29 +122,29 @@
 
     async def wait(self, payload: bytes) -> bytes:
         """Take as long as it takes until the test has moved this loop's clock."""
-        self.asked.set()
-        await self.answered.wait()
+        self.received.set()
+        await self.may_answer.wait()
         return payload
 
-    async def test_the_time_that_the_peer_took_does_not_count(self) -> None:
+    async def test_processing_time_of_the_peer_is_excluded(self) -> None:
         loop = asyncio.get_running_loop()
         real_time, ahead_s = loop.time, 0.0
         loop.time = lambda: real_time() + ahead_s  # type: ignore[method-assign]
-        asking = loop.create_task(self.node.request(self.address, "wait", b"x", 10_000.0))
-        await self.asked.wait()
+        pending = loop.create_task(self.node.request(self.address, "wait", b"x", 10_000.0))
+        await self.received.wait()
         ahead_s = 500.0
-        self.answered.set()
-        self.assertEqual(await asking, b"x")
+        self.may_answer.set()
+        self.assertEqual(await pending, b"x")
         measured_s = self.node.round_trip_s(self.address)
         assert measured_s is not None
         self.assertLess(measured_s, 400.0)
         self.assertIsNone(self.peer.round_trip_s(self.address))
 
-    async def test_bytes_are_told_by_message_and_distance(self) -> None:
+    async def test_sent_bytes_are_reported_by_message_and_distance(self) -> None:
         registry = CollectorRegistry()
         self.node.traffic.distance = HostLocations("a", PLACES, {LOCAL: "x"}).distance
         self.node.traffic.add_to(registry)
-        self.answered.set()
+        self.may_answer.set()
         await self.node.request(self.address, "wait", bytes(1_000), 10_000.0)
         page = generate_latest(registry).decode()
         row = next(line for line in page.splitlines() if line.startswith("bendshed_peer_bytes"))
