--- a/tests/test_departure.py
+++ b/tests/test_planned_stop.py
@@ -15,10 +15,10 @@
 from bendshed.rehearsal.simulator.callers import PlannedCall
 from bendshed.rehearsal.simulator.world import World
 
-LED_AGAIN_S = 30.0
-STARTED_S = 0.3
-STREAM_S = 5.0
-STOPPED_S = 10.0
+ELECTION_TIMEOUT_S = 30.0
+STREAM_START_S = 0.3
+STREAM_END_S = 5.0
+STOP_TIMEOUT_S = 10.0
 
 
 class PlannedStopTest(unittest.TestCase):
@@ -28,23 +28,23 @@
         self.world = World.started(1)
         self.addCleanup(self.world.close)
 
-    def test_a_stream_at_another_node_ends_whole_where_a_disk_node_is_dead(self) -> None:
+    def test_stream_at_another_node_completes_while_a_disk_node_is_dead(self) -> None:
         world = self.world
         world.kill_node("node-1")
         world.run_for(1.0)
-        world.wait_for(world.all_groups_led, LED_AGAIN_S)
+        world.wait_for(world.all_groups_led, ELECTION_TIMEOUT_S)
         program = world.start_program([])
         program.calls.append(call := PlannedCall(1, max_answer_tokens=64))
         request = program.request(call, world.nodes["node-4"].clock.wall_ms())
-        streaming = world.send(request, "node-4")
-        world.run_for(STARTED_S)
+        pending = world.send(request, "node-4")
+        world.run_for(STREAM_START_S)
         world.drain_node("node-2")
-        world.run_for(STREAM_S)
-        self.assertIsInstance(streaming.result().outcome, Answered)
+        world.run_for(STREAM_END_S)
+        self.assertIsInstance(pending.result().outcome, Answered)
         self.assertTrue(world.is_draining("node-2") or not world.nodes["node-2"].is_up)
 
-    def test_an_installation_that_stops_as_a_whole_does_not_wait(self) -> None:
+    def test_installation_that_stops_as_a_whole_does_not_wait(self) -> None:
         for name in self.world.nodes:
             self.world.drain_node(name)
-        self.world.run_for(STOPPED_S)
+        self.world.run_for(STOP_TIMEOUT_S)
         self.assertEqual([name for name, node in self.world.nodes.items() if node.is_up], [])
