--- a/tests/patterns/test_quota_siblings.py
+++ b/tests/patterns/test_quota_siblings.py
@@ -1,11 +1,13 @@
-"""Load pattern: sub-agents of one program ask side by side while their tenant is at its limit.
+"""Load pattern: concurrent turns of sub-agents of one program whose tenant is at its limit.
 
-Grounds for the figures: a program starts about five sub-agents at once; a tenant of 4 requests a
-second and a burst of 10 may have 46 turns counted in 5 s; a caller comes back once after a refusal
-and sends a failed turn again twice after 0.1 to 0.4 s, so it has six tries, and waits for at most
-a second each time, a third of what its turn has left. On the measured day six of ten programs that
-failed in their midst were told 100 ms again and again, and had used up their tries within 0.4 to
-1.7 s, while a place was free every 110 ms.
+Basis of the figures: a program starts about five sub-agents at once; for a tenant of 4 requests a
+second and a burst of 10, up to 46 turns may be counted in 5 s. A caller retries once after a
+rejection and sends a failed turn again twice, after 0.1 to 0.4 s, so it has six attempts. It waits
+at most a second each time, a third of the time left for its turn.
+
+Guards against equal retry times: under measured load, six of ten programs that failed midway were
+told to retry after 100 ms each time and used up their attempts within 0.4 to 1.7 s, while a place
+became free every 110 ms.
 """
 
 import unittest
@@ -25,7 +27,7 @@
 
 
 class SubAgentRetryTest(unittest.TestCase):
-    """The ledger and callers that keep to what they are told; no network, no clock."""
+    """The ledger, and callers that respect their retry times; no network and no real clock."""
 
     def setUp(self) -> None:
         self.ledger = QuotaLedger(WINDOW_MS)
@@ -34,12 +36,12 @@
         self.num_requests = 0
 
     def fill(self, until_ms: int) -> None:
-        """As many requests before as the tenant's turns may be."""
+        """Count as many earlier requests as the tenant may have turns."""
         for place in reversed(range(int(LIMIT.turns))):
             self.usage.charge("t", until_ms - 1 - place * REQUEST_INTERVAL_MS, 1)
 
     def request_turn(self, chain: str, now_ms: int) -> int:
-        """Ask for one turn; return 0 if it runs, else the time after which it comes back."""
+        """Request one turn; return 0 if it runs, otherwise the time after which it is retried."""
         self.num_requests += 1
         request = QuotaRequest(f"r{self.num_requests}", "t", "program", Rank.TURN, chain)
         admission = self.ledger.admit_turn(request, LIMIT, self.usage, now_ms)
--- a/tests/test_budget_use.py
+++ b/tests/test_budget_use.py
@@ -1,12 +1,12 @@
-"""Programs were answered 402 for reservations of turns that never ran.
+"""Guards against answering 402 because of reservations of turns that never ran.
 
-Seen: after a cut between two regions a program got 402 with 149 tokens of its budget left. A front
-that stood still held reservations in the other region's group; in another world the ends of refused
-turns there had not come yet.
+Tokens reserved in another group used to count as used at once, and in the turn's own group after
+three seconds. After a partition between two regions, a program therefore got 402 with 149 tokens of
+its budget left: a paused front still held reservations in the other region's group, or the ends of
+rejected turns had not arrived there yet.
 
-Cause: what another group had reserved counted as used at once, and in the turn's own group what
-had stood for three seconds. A reservation is no proof that tokens were handed out. Only what ended
-turns were charged is spent; reservations tell the turn to come back until they are released.
+A reservation does not prove that tokens were delivered. Only tokens charged for ended turns are
+spent; while reservations exist, the turn is told to retry.
 """
 
 import unittest
@@ -36,7 +36,7 @@
 
 
 class GatheredSharesTest(unittest.TestCase):
-    """A turn that one group's share does not hold, by what all groups use."""
+    """Status of a turn that does not fit into one group's share, given the use in all groups."""
 
     def status(self, here: BudgetUse, elsewhere: BudgetUse, has_all: bool = True) -> BudgetStatus:
         begin = wire.BeginTurn(most_tokens=MAX_TOKENS, budget_tokens=BUDGET)
--- a/tests/test_cold_runners.py
+++ b/tests/test_cold_runners.py
@@ -1,4 +1,7 @@
-"""Cold runners: whose word counts, and what leaders grant however they change."""
+"""Cold runners: which listing takes precedence, and how many permits leaders grant.
+
+The bound on permits must hold in every second, however often the leader changes.
+"""
 
 import random
 import unittest
@@ -118,7 +121,7 @@
 
 @dataclass
 class SimulatedLeader:
-    """One leader that grants whatever it may; what it grants leaves as late as it may."""
+    """Grants as many permits as possible; each is used at a random time of its validity."""
 
     permits: ColdPermitCounts = field(default_factory=lambda: ColdPermitCounts(TERMS))
     dispatched_s: list[float] = field(default_factory=list)
@@ -175,7 +178,7 @@
     def test_two_leader_changes_keep_the_bound_in_every_second(
         self, seed: int, first_s: float, second_s: float
     ) -> None:
-        """Each that was replaced goes on granting for a while beside its successors."""
+        """Each replaced leader goes on granting permits for a while, concurrently with the next."""
         rng = random.Random(seed)
         started_s = [0.0, 4.0 + min(first_s, second_s), 4.0 + max(first_s, second_s)]
         ended_s = [started_s[1] + MAX_STALE_LEADER_S, started_s[2] + MAX_STALE_LEADER_S, 9.0]
@@ -187,13 +190,13 @@
 
     def test_resumed_leader_keeps_the_bound_after_two_other_leaders(self) -> None:
         rng = random.Random(5)
-        frozen, second, third = SimulatedLeader(), SimulatedLeader(), SimulatedLeader()
-        frozen.lead(0.0, 5.0, rng, term=1)
+        paused, second, third = SimulatedLeader(), SimulatedLeader(), SimulatedLeader()
+        paused.lead(0.0, 5.0, rng, term=1)
         second.lead(5.4, 8.0 + MAX_STALE_LEADER_S, rng, term=2)
         third.lead(8.0, 12.0, rng, term=3)
-        self.assertEqual(frozen.permits.leadership.share(8.1), 0.0)
-        frozen.lead(8.1, 8.1 + MAX_STALE_LEADER_S, rng, term=1)
-        dispatched_s = [*frozen.dispatched_s, *second.dispatched_s, *third.dispatched_s]
+        self.assertEqual(paused.permits.leadership.share(8.1), 0.0)
+        paused.lead(8.1, 8.1 + MAX_STALE_LEADER_S, rng, term=1)
+        dispatched_s = [*paused.dispatched_s, *second.dispatched_s, *third.dispatched_s]
         self.assertLessEqual(max_in_one_second(dispatched_s), BOUND)
 
     def test_reelected_leader_counts_its_earlier_permits(self) -> None:
--- a/tests/test_distance_relays.py
+++ b/tests/test_distance_relays.py
@@ -1,4 +1,4 @@
-"""Ways around a cut when one region is 60 ms of round trip away: calm, at the cut, afterwards."""
+"""Relayed requests between regions 60 ms of round trip apart: without a fault and with a cut."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 METHOD = "say"
 LINK_S = 0.03
-"""One way between the regions."""
+"""One-way latency between the regions."""
 SLOW_LINK_S = 10 * LINK_S
 ROUND_TRIP_S = 2 * (LINK_S + JITTER_S)
 NEAR_TRIP_S = 2 * (LATENCY_S + JITTER_S)
@@ -73,7 +73,7 @@
         return payload
 
     def send_request(self, target: str, timeout_s: float = TIMEOUT_S) -> float | None:
-        """How long an answer took; ``None``: there was none."""
+        """Return how long an answer took; ``None`` if there was none."""
         started_s = self.loop.time()
         pending = self.requesters["front"].request(self.addresses[target], METHOD, b"x", timeout_s)
         try:
@@ -104,7 +104,7 @@
         assert took_s is not None
         self.assertLess(took_s, max_s)
 
-    # --- calm ------------------------------------------------------------------------------
+    # --- no fault --------------------------------------------------------------------------
 
     def test_distant_request_without_a_fault_is_sent_once(self) -> None:
         for number in range(1, 6):
--- a/tests/test_grant_return.py
+++ b/tests/test_grant_return.py
@@ -1,11 +1,12 @@
-"""A call that never left its node was charged, and its outcome called unknown.
+"""Guards against charging a call that was never sent, or reporting its outcome as unknown.
 
-Seen: a caller got group_unavailable, and asked again with the same key at another node. A call that
-must not be repeated was answered outcome_unknown; one that may be was charged twice.
+The group's answer with the grant was lost. The node returned group_unavailable to its caller and
+dropped the call. When the caller retried with the same key at another node, that node took the
+grant for one of a lost process: a call that must not be repeated failed with outcome_unknown, and a
+repeatable one was charged twice.
 
-Cause: the group's answer with the grant was lost. The node told its caller so and forgot the call,
-and whoever asked it then took the grant for one of a process that is gone. The node itself knows
-that it sent nothing: it hands the grant back, and says that it executes the call until then.
+The first node knows that it sent nothing, so it returns the grant, and until then it answers that
+it is executing the call.
 """
 
 import logging
@@ -32,7 +33,7 @@
         self.program = self.world.start_program([])
 
     def lose_answers(self) -> None:
-        """Everything that node-4 sends arrives, and nothing comes back."""
+        """Deliver everything that node-4 sends, and drop everything sent to it."""
         here = self.world.nodes["node-4"].host
         others = [node.host for node in self.world.nodes.values() if node.host != here]
         self.world.network.cuts.update((other, here) for other in others)
@@ -44,7 +45,7 @@
         return pending.result()
 
     def spent_tokens(self, program: ProgramDriver) -> int:
-        """What the program's group has charged, as its most advanced replica knows."""
+        """Return the tokens charged by the program's group, as its most advanced replica knows."""
         groups = [
             group
             for holder in self.world.up_nodes()
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,11 +1,10 @@
-"""A planned stop cut a stream at another node, which then waited a minute for an answer it had.
+"""Guards against a planned stop that takes the majority from a group.
 
-Seen: one disk node of three was killed, another one was stopped. A stream under way at a third node
-got all of its tokens and then, after 61 s, group_unavailable.
-
-Cause: without the two the group of the call had no majority to commit the outcome. A node that
-stops waits until its groups can do without it, but only where a further disk node could take its
-replica over, and it counted voters as well that had died a moment ago.
+One disk node of three was killed and another one was stopped. A stream that was running at a third
+node delivered all of its tokens and then, after 61 s, failed with group_unavailable, because the
+call's group had no majority to commit the outcome. A stopping node waits until its groups have a
+majority without it, but it did so only if another disk node could take over its replica, and it
+counted voters that had just died.
 """
 
 import logging
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas: the window's arithmetic, the leader's decisions, a node's allowances."""
+"""Quotas: sliding windows, decisions of the leader, allowances of nodes."""
 
 import random
 import unittest
@@ -30,7 +30,7 @@
 
 
 def max_in_any_window(times_ms: list[int], window_ms: int = WINDOW_MS) -> int:
-    """The promise's own arithmetic: the fullest sliding window."""
+    """Return the highest count in any sliding window, computed independently of the ledger."""
     ordered = sorted(times_ms)
     return max(
         (sum(1 for t in ordered if begin <= t < begin + window_ms) for begin in ordered), default=0
@@ -116,7 +116,7 @@
         self.assertTrue(self.turn("newer", 0))
 
     def extend_allowance(self, node: str, now_ms: int, limit: TenantLimit) -> int:
-        """What a node is allowed after a turn; committed as the turn's end is."""
+        """Return a node's allowance after a turn, committed together with the turn's end."""
         ceiling = self.ledger.extend_allowance(node, 0, "t", limit, self.usage, now_ms)
         if ceiling:
             self.usage.set_allowance(node, "t", ceiling, now_ms)
@@ -124,7 +124,7 @@
         return ceiling
 
     def call(self, node: str, now_ms: int, limit: TenantLimit = EXACT_LIMIT) -> bool:
-        """Ask for a call; it is committed as it is granted."""
+        """Request a call, which is committed when it is admitted."""
         request = QuotaRequest("c", "t", node, Rank.CALL)
         total = self.usage.reported_total(node, "t")
         granted = self.ledger.admit_call(request, node, total, limit, self.usage, now_ms).is_granted
@@ -200,7 +200,7 @@
         self.assertEqual(number, int(limit.calls))
 
     def test_calls_are_admitted_before_turns(self) -> None:
-        """A turn is sent again three times; a call that fails ends its program."""
+        """A turn is retried three times, whereas a failed call ends its program."""
         limit = tenant_limit(SMALL, TERMS)
         number = 0
         while self.turn(f"turn-{number}", 0, limit, is_running=True, program=str(number)):
@@ -329,9 +329,8 @@
     def test_call_admitted_by_the_leader_extends_no_allowance(self) -> None:
         self.allowances.add_allowance("t", 2, 0.0)
         self.allowances.unreported(ALLOWANCE_VALID_S)
-        self.allowances.record_admitted(
-            "t", 3, 5.0
-        )  # with the lapsed allowance, which was counted then
+        # The total of 3 includes the expired allowance, which was counted then.
+        self.allowances.record_admitted("t", 3, 5.0)
         self.assertEqual(self.allowances.total("t"), 3)
         self.assertFalse(self.allowances.try_admit("t", 5.1))
 
@@ -395,7 +394,7 @@
 
 
 class DispatchedTurnTest(unittest.TestCase):
-    """A leader that counts nothing more meets turns of the leader before it."""
+    """A leader whose tenant has no room left gets turns that its predecessor admitted."""
 
     def setUp(self) -> None:
         catalog = Catalog()
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Ways around a cut: through other nodes, and only while the direct way is silent."""
+"""Requests are relayed by other nodes around a cut, only while the direct path does not answer."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class RelaysTest(unittest.TestCase):
-    """One node, one target and three others that may pass requests on."""
+    """One node, one target and three other nodes that may relay requests."""
 
     def setUp(self) -> None:
         self.loop = VirtualTimeLoop()
@@ -50,7 +50,7 @@
 
     async def answer(self, payload: bytes) -> bytes:
         self.num_answers += 1
-        return b"heard " + payload
+        return b"echo " + payload
 
     def cut(self, *pairs: tuple[str, str]) -> None:
         for pair in pairs:
@@ -59,7 +59,7 @@
     def send_request(
         self, method: str = METHOD, target: str = "target"
     ) -> tuple[bytes | None, float]:
-        """The answer, and how long it took."""
+        """Return the answer, and how long it took."""
         started_s = self.loop.time()
         pending = self.requesters["node"].request(self.addresses[target], method, b"x", TIMEOUT_S)
         try:
@@ -79,19 +79,19 @@
             if condition():
                 return
             self.loop.run_until_complete(asyncio.sleep(0.05))
-        self.fail("never")
+        self.fail("the condition was never true")
 
     def test_reachable_target_gets_one_direct_request(self) -> None:
-        self.assertEqual(self.send_request()[0], b"heard x")
+        self.assertEqual(self.send_request()[0], b"echo x")
         self.assertEqual((self.num_answers, self.requesters["node"].num_relayed), (1, 0))
 
     def test_cut_is_detected_by_the_first_request_and_does_not_delay_later_ones(self) -> None:
         self.cut(("node", "target"))
         answer, took_s = self.send_request()
-        self.assertEqual(answer, b"heard x")
+        self.assertEqual(answer, b"echo x")
         self.assertLess(took_s, MIN_DIRECT_TIMEOUT_S + 0.03)
         answer, took_s = self.send_request()
-        self.assertEqual(answer, b"heard x")
+        self.assertEqual(answer, b"echo x")
         self.assertLess(took_s, 0.03)
 
     def test_another_target_behind_the_same_cut_is_relayed_without_a_timeout(self) -> None:
@@ -104,7 +104,7 @@
         self.assertTrue(self.requesters["node"].is_relay_only(self.addresses["target"]))
         self.assertFalse(self.requesters["node"].is_relay_only(self.addresses["second"]))
         answer, took_s = self.send_request(target="second")
-        self.assertEqual(answer, b"heard x")
+        self.assertEqual(answer, b"echo x")
         self.assertLess(took_s, MIN_DIRECT_TIMEOUT_S)
         self.assertTrue(self.requesters["node"].is_relay_only(self.addresses["second"]))
         if found != self.addresses["relay-1"]:
@@ -122,7 +122,7 @@
             self.loop.run_until_complete(pending)
             self.assertTrue(self.requesters[name].is_relay_only(self.addresses["target"]))
         answer, took_s = self.send_request()
-        self.assertEqual(answer, b"heard x")
+        self.assertEqual(answer, b"echo x")
         self.assertLess(took_s, MIN_DIRECT_TIMEOUT_S + 0.03)
 
     def test_target_that_relays_do_not_reach_is_not_silent_behind_a_cut(self) -> None:
@@ -152,7 +152,7 @@
         self.wait_until(lambda: self.send_request()[0] is not None)
         for _ in range(5):
             answer, took_s = self.send_request()
-            self.assertEqual(answer, b"heard x")
+            self.assertEqual(answer, b"echo x")
             self.assertLess(took_s, 0.03)
 
     def test_lost_relay_is_replaced_within_one_request(self) -> None:
@@ -162,7 +162,7 @@
         assert relay is not None
         self.cut(("node", relay.host))
         answer, took_s = self.send_request()
-        self.assertEqual(answer, b"heard x")
+        self.assertEqual(answer, b"echo x")
         self.assertLess(took_s, RELAY_TARGET_SLACK_S + RELAY_MARGIN_S + 0.03)
 
     def test_non_idempotent_method_is_not_relayed(self) -> None:
--- a/tests/test_round_trips.py
+++ b/tests/test_round_trips.py
@@ -1,4 +1,4 @@
-"""What the way to a peer takes: measured by what is sent anyway, in the simulation and over TCP."""
+"""Round trips to peers, measured from ordinary requests, in the simulation and over TCP."""
 
 import asyncio
 import unittest
@@ -63,8 +63,8 @@
     def test_distances_and_their_medians(self) -> None:
         self.assertIs(self.host_locations.distance("h1"), Distance.SAME_ZONE)
         self.assertIs(self.host_locations.distance("h4"), Distance.OTHER_REGION)
-        self.assertIsNone(self.host_locations.distance("nobody"))
-        took_s = {"h2": 0.001, "h3": 0.003, "h4": 0.06, "h5": 0.2, "nobody": 9.0}
+        self.assertIsNone(self.host_locations.distance("unknown"))
+        took_s = {"h2": 0.001, "h3": 0.003, "h4": 0.06, "h5": 0.2, "unknown": 9.0}
         medians = self.host_locations.medians_s({Address(h, 1): s for h, s in took_s.items()})
         self.assertEqual(set(medians), {Distance.SAME_REGION, Distance.OTHER_REGION})
         self.assertAlmostEqual(medians[Distance.SAME_REGION], 0.002)
@@ -88,7 +88,7 @@
             DEFAULT_ROUND_TRIPS_S[Distance.OTHER_REGION],
         )
         self.assertEqual(
-            adaptive_timeout.expected_round_trip_s(Address("nobody", 1)),
+            adaptive_timeout.expected_round_trip_s(Address("unknown", 1)),
             DEFAULT_ROUND_TRIPS_S[None],
         )
 
@@ -107,7 +107,7 @@
 
 
 class OverTcpTest(unittest.IsolatedAsyncioTestCase):
-    """Real sockets of this machine; the asker's and the answerer's clocks are the same."""
+    """Real sockets of this machine; requester and peer share one clock."""
 
     async def asyncSetUp(self) -> None:
         self.node, self.peer = TcpTransport(LOCAL, 0), TcpTransport(LOCAL, 0)
@@ -121,7 +121,7 @@
         await self.peer.close()
 
     async def wait(self, payload: bytes) -> bytes:
-        """Take as long as it takes until the test has moved this loop's clock."""
+        """Answer only after the test has moved this loop's clock."""
         self.received.set()
         await self.may_answer.wait()
         return payload
--- a/tests/test_standing_reservations.py
+++ b/tests/test_standing_reservations.py
@@ -1,4 +1,4 @@
-"""Which reservations stand when a turn is refused by its program's budget."""
+"""Which reservations count as standing when the program's budget rejects a turn."""
 
 import unittest
 from unittest import mock
