--- a/src/bendshed/admission/quota_ledger.py
+++ b/src/bendshed/admission/quota_ledger.py
@@ -188,9 +188,9 @@
         now_ms: int,
     ) -> int:
         """Return the total up to which a node may admit calls after a turn; 0 for no allowance."""
-        held = self._num_allowed(tenant, usage, now_ms)
+        num_allowed = self._num_allowed(tenant, usage, now_ms)
         num_counted = self._num_counted(tenant, usage, now_ms)
-        room = min(limit.allowances - held, limit.allowance_threshold - num_counted)
+        room = min(limit.allowances - num_allowed, limit.allowance_threshold - num_counted)
         total = max(
             node_total, usage.reported_total(node, tenant), self.granted_total(node, tenant)
         )
--- a/src/bendshed/admission/quota_usage.py
+++ b/src/bendshed/admission/quota_usage.py
@@ -41,21 +41,21 @@
 
     def set_allowance(self, node: str, tenant: str, ceiling: int, at_ms: int) -> None:
         """Allow a node to admit calls of a tenant up to a total."""
-        held = self._allowances.setdefault(tenant, {}).get(node)
-        if held is None or ceiling >= held.ceiling:
+        allowance = self._allowances.setdefault(tenant, {}).get(node)
+        if allowance is None or ceiling >= allowance.ceiling:
             self._allowances[tenant][node] = _Allowance(ceiling, at_ms)
 
     def ceiling(self, node: str, tenant: str) -> int:
         """Return the ceiling of a node's allowance; 0 if it has none."""
-        held = self._allowances.get(tenant, {}).get(node)
-        return held.ceiling if held is not None else 0
+        allowance = self._allowances.get(tenant, {}).get(node)
+        return allowance.ceiling if allowance is not None else 0
 
     def num_allowed(self, tenant: str, since_ms: int) -> int:
         """Return the unreported calls, admitted or not, that allowances since a time permit."""
         return sum(
-            max(0, held.ceiling - self.reported_total(node, tenant))
-            for node, held in self._allowances.get(tenant, {}).items()
-            if held.at_ms >= since_ms
+            max(0, allowance.ceiling - self.reported_total(node, tenant))
+            for node, allowance in self._allowances.get(tenant, {}).items()
+            if allowance.at_ms >= since_ms
         )
 
     def charge(self, tenant: str, at_ms: int, count: int) -> None:
@@ -76,11 +76,11 @@
 
     def _remove_allowance(self, node: str, tenant: str, reached: int) -> None:
         """Remove an allowance that is used up or has expired."""
-        of_tenant = self._allowances.get(tenant, {})
-        held = of_tenant.get(node)
-        if held is not None and held.ceiling <= reached:
-            del of_tenant[node]
-            if not of_tenant:
+        by_node = self._allowances.get(tenant, {})
+        allowance = by_node.get(node)
+        if allowance is not None and allowance.ceiling <= reached:
+            del by_node[node]
+            if not by_node:
                 del self._allowances[tenant]
 
     def reported_total(self, node: str, tenant: str) -> int:
@@ -90,22 +90,22 @@
 
     def in_window(self, tenant: str, now_ms: int, window_ms: int) -> int:
         """Return the requests counted in the window that ends now."""
-        held = self._counts.get(tenant)
-        return held.in_window(now_ms, window_ms) if held is not None else 0
+        counter = self._counts.get(tenant)
+        return counter.in_window(now_ms, window_ms) if counter is not None else 0
 
     def wait_ms(self, tenant: str, now_ms: int, window_ms: int, excess: float) -> int:
         """Return the time in ms until ``excess`` counted requests have left the window."""
-        held = self._counts.get(tenant, SlidingWindowCounter())
-        return held.wait_ms(now_ms, window_ms, excess)
+        counter = self._counts.get(tenant, SlidingWindowCounter())
+        return counter.wait_ms(now_ms, window_ms, excess)
 
     def sweep(self, now_ms: int) -> None:
         """Remove usage and allowances that are outside every window."""
         oldest_ms = now_ms - USAGE_MEMORY_MS
-        for tenant in [t for t, held in self._counts.items() if held.drop_before(oldest_ms)]:
+        for tenant in [t for t, counter in self._counts.items() if counter.drop_before(oldest_ms)]:
             del self._counts[tenant]
         for tenant in list(self._allowances):
-            held = self._allowances[tenant]
-            valid = {node: row for node, row in held.items() if row.at_ms >= oldest_ms}
+            by_node = self._allowances[tenant]
+            valid = {node: row for node, row in by_node.items() if row.at_ms >= oldest_ms}
             self._allowances[tenant] = valid
             if not valid:
                 del self._allowances[tenant]
@@ -116,9 +116,9 @@
 
     def snapshot_parts(self) -> Iterator[wire.TurnLogSnapshot]:
         """Yield the parts of a snapshot."""
-        for tenant, held in self._counts.items():
+        for tenant, counter in self._counts.items():
             spans = [
-                wire.UsageSpan(at_ms=bucket.at_ms, count=bucket.count) for bucket in held.buckets
+                wire.UsageSpan(at_ms=bucket.at_ms, count=bucket.count) for bucket in counter.buckets
             ]
             yield wire.TurnLogSnapshot(usage=[wire.TenantUsage(tenant=tenant, spans=spans)])
         for (node, tenant), known in self._reported.items():
