--- a/src/bendshed/dispatch/attempt_sender.py
+++ b/src/bendshed/dispatch/attempt_sender.py
@@ -23,7 +23,7 @@
     StreamSummary,
     StreamUnknown,
 )
-from bendshed.retries.own_interface import RetryBudget, backoff_s
+from bendshed.retries.retry_budget import RetryBudget, backoff_s
 from bendshed.routing.scheduler import Scheduler
 from bendshed.wire import programs_pb2 as wire
 
@@ -71,14 +71,14 @@
         if not await self._confirm_runner(runner_id):
             return await self._settle_not_started(run, granted)
         run.sent_attempts.add(granted.attempt)
-        table.begin(runner_id, run.request.program_id)
+        table.begin_attempt(runner_id, run.request.program_id)
         succeeded = False
         try:
             result = await self._send(run, granted, history)
             succeeded = result.status == wire.CALL_STATUS_FINISHED
             return result
         finally:
-            table.end(runner_id, succeeded, now_s())
+            table.end_attempt(runner_id, succeeded, now_s())
             self._scheduler.schedule()
 
     async def _fetch_whole_history(self, run: CallRun) -> wire.CallResult:
