--- a/src/bendshed/admission/cold_permits.py
+++ b/src/bendshed/admission/cold_permits.py
@@ -100,12 +100,12 @@
     """Permits that one process has granted, over all of its terms.
 
     Attributes:
-        terms: bound on requests to a cold runner.
+        rate_limit: bound on requests to a cold runner.
         num_leaders: number of groups of the turn log, whose leaders share the bound.
 
     """
 
-    terms: ColdRateLimit = field(default_factory=ColdRateLimit)
+    rate_limit: ColdRateLimit = field(default_factory=ColdRateLimit)
     num_leaders: int = 1
     leadership: LeadershipTracker = field(default_factory=LeadershipTracker)
     _granted: dict[str, SlidingWindowCounter] = field(default_factory=dict)
@@ -116,7 +116,7 @@
         It is lower for requests of new programs.
         """
         share = self.leadership.share(now_s) / self.num_leaders
-        max_permits = int(share * self.terms.max_per_s(cold_per_s))
+        max_permits = int(share * self.rate_limit.max_per_s(cold_per_s))
         if not is_new_program or not max_permits:
             return max_permits
         return max(1, int(NEW_PROGRAM_SHARE * max_permits))
--- a/tests/test_cold_runners.py
+++ b/tests/test_cold_runners.py
@@ -25,7 +25,7 @@
 from bendshed.placement.cold_runners import MAX_VANISHED, ColdRateLimit, ColdRunners
 
 START_S = 8.0
-TERMS = ColdRateLimit(factor=1.5, slack=5)
+RATE_LIMIT = ColdRateLimit(factor=1.5, slack=5)
 COLD_PER_S = 25.0
 BOUND = 42.5
 SERVICES = {
@@ -123,7 +123,7 @@
 class SimulatedLeader:
     """Grants as many permits as possible; each is used at a random time of its validity."""
 
-    permits: ColdPermitCounts = field(default_factory=lambda: ColdPermitCounts(TERMS))
+    permits: ColdPermitCounts = field(default_factory=lambda: ColdPermitCounts(RATE_LIMIT))
     dispatched_s: list[float] = field(default_factory=list)
 
     def lead(self, from_s: float, to_s: float, rng: random.Random, term: int) -> None:
@@ -147,17 +147,17 @@
         self.assertEqual(WINDOW_MS, 1000 * (1 + PERMIT_VALID_S))
 
     def test_established_leader_permits_half_and_a_new_one_a_quarter(self) -> None:
-        permits = ColdPermitCounts(TERMS)
+        permits = ColdPermitCounts(RATE_LIMIT)
         permits.leadership.update(1, True, 0.0)
         self.assertEqual(permits.max_permits(COLD_PER_S, False, 0.1), int(BOUND / 4))
         for step in range(1, 30):
             permits.leadership.update(1, True, step / 10)
         self.assertEqual(permits.max_permits(COLD_PER_S, False, 2.9), int(BOUND / 2))
-        halved = ColdPermitCounts(TERMS, num_leaders=2, leadership=permits.leadership)
+        halved = ColdPermitCounts(RATE_LIMIT, num_leaders=2, leadership=permits.leadership)
         self.assertEqual(halved.max_permits(COLD_PER_S, False, 2.9), int(BOUND / 4))
 
     def test_running_programs_have_permits_that_new_programs_lack(self) -> None:
-        permits = ColdPermitCounts(TERMS)
+        permits = ColdPermitCounts(RATE_LIMIT)
         permits.leadership.update(1, True, 0.0)
         while permits.num_available("r", COLD_PER_S, True, 0.1) > 0:
             permits.grant("r", 0.1)
@@ -208,13 +208,13 @@
         self.assertLessEqual(leader.permits.num_available("r", COLD_PER_S, False, 3.05), 0)
 
     def test_permit_counts_use_bounded_memory(self) -> None:
-        permits = ColdPermitCounts(TERMS)
+        permits = ColdPermitCounts(RATE_LIMIT)
         for number in range(10_000):
             permits.grant("r", number / 100)
         self.assertLess(len(permits._granted["r"].buckets), 30)
 
     def test_permits_outside_every_window_are_removed(self) -> None:
-        permits = ColdPermitCounts(TERMS)
+        permits = ColdPermitCounts(RATE_LIMIT)
         permits.grant("r", 1.0)
         permits.sweep(2.0)
         self.assertEqual(permits.num_granted("r", 2.0), 1)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -24,7 +24,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 WINDOW_MS = 5_000
-TERMS = QuotaTolerance(5.0, 0.1, 20)
+TOLERANCE = QuotaTolerance(5.0, 0.1, 20)
 SMALL = Tenant("small", rate_per_s=3, burst=3)
 EXACT_LIMIT = TenantLimit(10, 10, 10, 10, 0, 0)
 
@@ -173,7 +173,7 @@
         self.assertFalse(self.turn("refused", 1))
 
     def test_running_programs_are_admitted_before_new_ones(self) -> None:
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         now_ms, number = 0, 0
         while self.turn(f"new-{number}", now_ms, limit):
             number += 1
@@ -187,13 +187,13 @@
         self.assertGreater(num_running, 5)
 
     def test_tenant_within_its_limit_is_never_rejected(self) -> None:
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         granted = [self.turn(f"new-{number}", 0, limit) for number in range(18)]
         self.assertEqual(granted, [True] * 18)
 
     def test_first_come_first_served_ignores_ranks(self) -> None:
         self.ledger = QuotaLedger(WINDOW_MS, prioritizes_running_programs=False)
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         number = 0
         while self.turn(f"new-{number}", 0, limit):
             number += 1
@@ -201,7 +201,7 @@
 
     def test_calls_are_admitted_before_turns(self) -> None:
         """A turn is retried three times, whereas a failed call ends its program."""
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         number = 0
         while self.turn(f"turn-{number}", 0, limit, is_running=True, program=str(number)):
             number += 1
@@ -246,7 +246,7 @@
         self.assertTrue(self.turn("in time", retry_at_ms))
 
     def test_allowances_of_all_nodes_stay_within_their_share(self) -> None:
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         held = 0
         for number in range(40):
             node = f"n{number}"
@@ -270,7 +270,7 @@
         self.assertTrue(self.call("m", 0, limit))
 
     def test_new_leader_knows_allowances_of_its_predecessor(self) -> None:
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         self.assertEqual(limit.allowances, 3)
         held = sum(self.extend_allowance(f"n{number}", 0, limit) for number in range(6))
         self.assertEqual(held, limit.allowances)
@@ -285,7 +285,7 @@
         self.assertEqual(granted + held, int(limit.calls))
 
     def test_allowances_count_before_they_are_committed(self) -> None:
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         given = [
             self.ledger.extend_allowance(f"n{number}", 0, "t", limit, self.usage, 0)
             for number in range(6)
@@ -309,7 +309,7 @@
         self.assertEqual(totals, [5, 6, 7])
 
     def test_tenant_near_its_limit_gets_no_allowances(self) -> None:
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         self.usage.charge("t", 0, 15)
         self.assertEqual(self.extend_allowance("n", 0, limit), 0)
 
@@ -399,7 +399,7 @@
     def setUp(self) -> None:
         catalog = Catalog()
         catalog.take_document(ServiceDocument(version=1, tenants=(SMALL,)))
-        self.quotas = QuotaCounting(catalog, TERMS)
+        self.quotas = QuotaCounting(catalog, TOLERANCE)
         self.state = TurnLogState()
         self.state.usage.charge(SMALL.name, 0, 1_000)
 
