--- a/src/bendshed/admission/quota_limits.py
+++ b/src/bendshed/admission/quota_limits.py
@@ -1,10 +1,10 @@
 """Limits of a tenant in one window, and how far they may be exceeded. Pure.
 
-At most ``(rate x window + burst) x (1 + over) + slack`` requests of a tenant may run in any window.
-The margin between that and the tenant's limit is divided by rank. New programs may use the smallest
-part. Turns of running programs may use more, because the work of a program that does not finish is
-lost. Calls may use the largest part, because a call that fails ends its program, whereas a turn is
-retried. The rest of the margin is for requests that reach their runner late.
+At most ``(rate x window + burst) x (1 + excess_share) + slack`` requests of a tenant may run in any
+window. The margin between that and the tenant's limit is divided by rank. New programs may use the
+smallest part. Turns of running programs may use more, because the work of a program that does not
+finish is lost. Calls may use the largest part, because a call that fails ends its program, whereas
+a turn is retried. The rest of the margin is for requests that reach their runner late.
 
 Source: docs/design/0007.
 """
@@ -33,13 +33,13 @@
 
     Attributes:
         window_s: length of the sliding window; at most ``MAX_WINDOW_S``.
-        over: share of the limit by which it may be exceeded.
+        excess_share: share of the limit by which it may be exceeded.
         slack: number of requests by which it may be exceeded in addition.
 
     """
 
     window_s: float = 5.0
-    over: float = 0.0
+    excess_share: float = 0.0
     slack: float = 0.0
 
 
@@ -72,7 +72,7 @@
 def tenant_limit(tenant: Tenant, tolerance: QuotaTolerance) -> TenantLimit:
     """Return the limits that follow from a tenant's rate and burst."""
     nominal = tenant.rate_per_s * tolerance.window_s + tenant.burst
-    margin = nominal * tolerance.over + tolerance.slack
+    margin = nominal * tolerance.excess_share + tolerance.slack
     return TenantLimit(
         nominal,
         nominal + NEW_PROGRAM_MARGIN_SHARE * margin,
--- a/src/bendshed/rehearsal/site/documents.py
+++ b/src/bendshed/rehearsal/site/documents.py
@@ -18,7 +18,7 @@
 RETENTION_MS = 60_000
 NARROW, WIDE, GUEST = "narrow", "wide", "guest"
 """Tenants: one with a limit that programs reach, one without, one whose key may be removed."""
-QUOTA_TERMS = QuotaTolerance(window_s=5.0, over=0.1, slack=5.0)
+QUOTA_TERMS = QuotaTolerance(window_s=5.0, excess_share=0.1, slack=5.0)
 NARROW_RATE_PER_S, NARROW_BURST = 2.0, 4.0
 
 
@@ -35,7 +35,7 @@
 def narrow_most() -> float:
     """Requests of the narrow tenant that may run in any window."""
     own = NARROW_RATE_PER_S * QUOTA_TERMS.window_s + NARROW_BURST
-    return own * (1 + QUOTA_TERMS.over) + QUOTA_TERMS.slack
+    return own * (1 + QUOTA_TERMS.excess_share) + QUOTA_TERMS.slack
 
 
 def make_document(
