--- a/src/bendshed/consensus/membership_plan.py
+++ b/src/bendshed/consensus/membership_plan.py
@@ -12,60 +12,60 @@
     """What the leader knows when it decides.
 
     Attributes:
-        me: the leader itself.
+        leader_id: the leader itself.
         wiped: identities whose disk is lost for good.
         silent: members without a reply for long enough to be replaced.
         retiring: identities that are to be emptied.
         caught_up: learners that hold nearly the whole log.
         candidates: live processes that hold no replica, best first.
-        count: wanted voters.
+        num_voters: wanted voters.
         places: zones of nodes, so that voters survive the loss of a zone.
-        unheard: members without a reply for a moment: they may be gone, or not.
+        unresponsive: members without a reply for a moment: they may be gone, or not.
 
     """
 
-    me: str
+    leader_id: str
     wiped: Collection[str]
     silent: Collection[str]
     retiring: Collection[str]
     caught_up: Collection[str]
     candidates: Sequence[str]
-    count: int
+    num_voters: int
     topology: VoterTopology = field(default_factory=lambda: VoterTopology({}))
-    unheard: Collection[str] = ()
+    unresponsive: Collection[str] = ()
 
-    def may_let_go(self, voters: Collection[str], node: str) -> bool:
+    def may_remove(self, voters: Collection[str], node: str) -> bool:
         """Whether one voter may leave: a live one only while all others are heard.
 
         If another is gone and its successor among the voters, a loss of the successor's disk would
         leave too few.
         """
-        others = [voter for voter in voters if voter not in (node, self.me)]
-        return node in self.silent or not any(voter in self.unheard for voter in others)
+        others = [voter for voter in voters if voter not in (node, self.leader_id)]
+        return node in self.silent or not any(voter in self.unresponsive for voter in others)
 
-    def is_weak(self, node: str) -> bool:
+    def needs_replacement(self, node: str) -> bool:
         """Whether a voter is to be replaced."""
         return node in self.silent or node in self.retiring
 
 
 def plan_membership(present: GroupMembership, inputs: PlanInputs) -> GroupMembership | None:
-    """Return the next step towards ``count`` sound voters; ``None``: nothing to do now.
+    """Return the next step towards ``num_voters`` sound voters; ``None``: nothing to do now.
 
     A wiped voter is removed at once: it can neither vote nor come back. A silent or retiring one
     stays until a successor has caught up, and so does one in a worse zone than a free machine
     would. A leader never removes itself.
     """
     voters, learners = list(present.voters), list(present.learners)
-    useless = [node for node in learners if node in inputs.wiped or inputs.is_weak(node)]
+    useless = [node for node in learners if node in inputs.wiped or inputs.needs_replacement(node)]
     if useless:
         return _membership(voters, [node for node in learners if node not in useless])
     for node in voters:
-        if node in inputs.wiped and node != inputs.me:
+        if node in inputs.wiped and node != inputs.leader_id:
             return _without(present, node)
-    weak = [node for node in voters if inputs.is_weak(node)]
-    if len(voters) > inputs.count:
+    weak = [node for node in voters if inputs.needs_replacement(node)]
+    if len(voters) > inputs.num_voters:
         return _shrink(present, weak, inputs)
-    if len(voters) - len(weak) >= inputs.count:
+    if len(voters) - len(weak) >= inputs.num_voters:
         return _rebalance(present, inputs)
     if learners:
         return _replace(present, inputs)
@@ -82,7 +82,7 @@
     learner the other makes a majority, alone it would be the only copy.
     """
     ready = [node for node in present.learners if node in inputs.caught_up]
-    gone = [node for node in present.voters if node in inputs.silent and node != inputs.me]
+    gone = [node for node in present.voters if node in inputs.silent and node != inputs.leader_id]
     if ready and gone and len(present.voters) > 2:
         return _without(present, gone[0])
     return _promote(present, ready)
@@ -103,22 +103,22 @@
 
     A silent one goes before one that still votes while it waits to be emptied.
     """
-    removable = [node for node in weak if node != inputs.me]
+    removable = [node for node in weak if node != inputs.leader_id]
     if weak and not removable:
         return None  # the leader itself is to go; it hands over first
     silent = [node for node in removable if node in inputs.silent]
-    others = silent or removable or [node for node in present.voters if node != inputs.me]
+    others = silent or removable or [node for node in present.voters if node != inputs.leader_id]
     leaving = inputs.topology.choose_removal(present.voters, others)
-    return _without(present, leaving) if inputs.may_let_go(present.voters, leaving) else None
+    return _without(present, leaving) if inputs.may_remove(present.voters, leaving) else None
 
 
 def _rebalance(present: GroupMembership, inputs: PlanInputs) -> GroupMembership | None:
     """Enough sound voters: take in a machine whose zone is better than that of one of them.
 
     Each exchange leaves the voters strictly better, so exchanges end. None begins while a voter is
-    unheard.
+    unresponsive.
     """
-    if any(node in inputs.unheard for node in present.voters):
+    if any(node in inputs.unresponsive for node in present.voters):
         return None
     for node in present.learners:
         if not _improves(present, node, inputs):
@@ -132,7 +132,7 @@
 def _improves(present: GroupMembership, node: str, inputs: PlanInputs) -> bool:
     """Whether voters are spread better with ``node`` in place of one that is not the leader."""
     voters = list(present.voters)
-    others = [voter for voter in voters if voter != inputs.me]
+    others = [voter for voter in voters if voter != inputs.leader_id]
     if not others:
         return False
     leaving = inputs.topology.choose_removal([*voters, node], others)
@@ -148,9 +148,9 @@
     present: GroupMembership, inputs: PlanInputs
 ) -> GroupMembership | None:
     """No machine is free to take over: a retiring voter still goes while two others stay."""
-    leaving = [n for n in present.voters if n in inputs.retiring and n != inputs.me]
-    stay = [n for n in present.voters if not inputs.is_weak(n)]
-    if leaving and len(stay) >= 2 and inputs.may_let_go(present.voters, leaving[0]):
+    leaving = [n for n in present.voters if n in inputs.retiring and n != inputs.leader_id]
+    stay = [n for n in present.voters if not inputs.needs_replacement(n)]
+    if leaving and len(stay) >= 2 and inputs.may_remove(present.voters, leaving[0]):
         return _without(present, leaving[0])
     return None
 
--- a/src/bendshed/consensus/replica_placement.py
+++ b/src/bendshed/consensus/replica_placement.py
@@ -23,7 +23,7 @@
 
 PLACEMENT_KEY = "placement"
 CHECK_INTERVAL_S = 1.0
-UNHEARD_TICKS = 10
+UNRESPONSIVE_TICKS = 10
 """A member without a reply to the leader for so many ticks may be gone; heartbeats go every 3."""
 MAX_LEARNER_LAG = 100
 """A learner that lacks fewer entries becomes a voter."""
@@ -135,18 +135,18 @@
         topology = VoterTopology({node_id: node.zone for node_id, node in live.items()})
         free = [node for node in live if node not in members]
         voters = list(membership.voters)
-        unheard = replica.followers.silent(members, UNHEARD_TICKS)
+        unresponsive = replica.followers.silent(members, UNRESPONSIVE_TICKS)
         return PlanInputs(
-            me=self._host.node_id,
+            leader_id=self._host.node_id,
             wiped=(),
-            silent=gone & unheard,
-            unheard=unheard,
-            retiring=gone - unheard,  # a node that stops votes until its calls are over
+            silent=gone & unresponsive,
+            unresponsive=unresponsive,
+            retiring=gone - unresponsive,  # a node that stops votes until its calls are over
             caught_up=replica.followers.caught_up(
                 membership.learners, replica.last_index, MAX_LEARNER_LAG
             ),
             candidates=rank_candidates(group_id, topology, free, voters, gone),
-            count=self._settings.replicas,
+            num_voters=self._settings.replicas,
             topology=topology,
         )
 
--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -21,7 +21,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 CHECK_INTERVAL_S = 0.1
-UNHEARD_S = 0.2
+UNRESPONSIVE_S = 0.2
 """A member that was silent for this long is asked who it is, and no live voter leaves."""
 SILENT_S = 1.0
 """A member that was silent for this long is replaced when a machine is free."""
@@ -124,7 +124,7 @@
             replica = group.replica
             if replica.role is Role.LEADER:
                 members = [*replica.membership.voters, *replica.membership.learners]
-                silent = replica.followers.silent(members, UNHEARD_S / self._tick_s)
+                silent = replica.followers.silent(members, UNRESPONSIVE_S / self._tick_s)
                 missed |= silent
                 if silent or len(replica.membership.voters) < self._num_voters:
                     missed.update(set(self._directory.node_ids()) - set(members))
@@ -206,7 +206,7 @@
         ranked = rank_candidates(group_id, topology, free, voters, weak)
         sound = [node for node in voters if node not in weak and node not in inputs.wiped]
         # While a machine is being taken in, no other is needed, and so none is waited for.
-        is_voter_missing = len(sound) < inputs.count and not replica.membership.learners
+        is_voter_missing = len(sound) < inputs.num_voters and not replica.membership.learners
         candidates = self._candidates.sort_responsive_first(group_id, ranked, is_voter_missing)
         if candidates is None and not inputs.wiped:
             return
@@ -243,14 +243,14 @@
         )
         self._candidates.record_caught_up(caught_up)
         return PlanInputs(
-            me=self.me.node_id,
+            leader_id=self.me.node_id,
             wiped=self._directory.wiped & set(members),
             silent=silent,
-            unheard=replica.followers.silent(members, UNHEARD_S / self._tick_s),
+            unresponsive=replica.followers.silent(members, UNRESPONSIVE_S / self._tick_s),
             retiring=retiring,
             caught_up=caught_up,
             candidates=free,
-            count=self._num_voters,
+            num_voters=self._num_voters,
             topology=topology,
         )
 
--- a/tests/test_membership_plan.py
+++ b/tests/test_membership_plan.py
@@ -9,13 +9,13 @@
 
 def inputs(**changes: object) -> PlanInputs:
     values: dict[str, object] = {
-        "me": "a",
+        "leader_id": "a",
         "wiped": (),
         "silent": (),
         "retiring": (),
         "caught_up": (),
         "candidates": (),
-        "count": 3,
+        "num_voters": 3,
     }
     return PlanInputs(**{**values, **changes})  # type: ignore[arg-type]
 
@@ -57,10 +57,12 @@
         self.assertEqual(self.plan(members("abcd")), ("abc", ""))
 
     def test_a_live_voter_stays_while_another_is_unheard(self) -> None:
-        self.assertIsNone(self.plan(members("abcd"), unheard=["b"]))
-        self.assertEqual(self.plan(members("abcd"), unheard=["d"]), ("abc", ""))
-        self.assertIsNone(self.plan(members("abc"), retiring=["c"], unheard=["b"]))
-        self.assertEqual(self.plan(members("abcd"), silent=["c"], unheard=["b", "c"]), ("abd", ""))
+        self.assertIsNone(self.plan(members("abcd"), unresponsive=["b"]))
+        self.assertEqual(self.plan(members("abcd"), unresponsive=["d"]), ("abc", ""))
+        self.assertIsNone(self.plan(members("abc"), retiring=["c"], unresponsive=["b"]))
+        self.assertEqual(
+            self.plan(members("abcd"), silent=["c"], unresponsive=["b", "c"]), ("abd", "")
+        )
 
     def test_a_useless_learner_is_dropped(self) -> None:
         self.assertEqual(self.plan(members("abc", "d"), wiped=["d"]), ("abc", ""))
--- a/tests/test_voter_places.py
+++ b/tests/test_voter_places.py
@@ -49,13 +49,13 @@
         weak = {*silent, *retiring}
         free = [node for node in zone_of if node not in known and node not in weak]
         inputs = PlanInputs(
-            me=me,
+            leader_id=me,
             wiped=(),
             silent=silent,
             retiring=retiring,
             caught_up=present.learners,
             candidates=rank_candidates(0, topology, free, present.voters, weak),
-            count=COUNT,
+            num_voters=COUNT,
             topology=topology,
         )
         wanted = plan_membership(present, inputs)
