--- a/src/bendshed/consensus/raft.py
+++ b/src/bendshed/consensus/raft.py
@@ -51,7 +51,7 @@
         persisted_index: last entry of this replica known to be durable.
         followers: what the leader knows of the others.
         log: entries since the last snapshot.
-        lost: identities whose disks are proven to be lost for good.
+        lost_nodes: identities whose disks are proven to be lost for good.
 
     """
 
@@ -74,7 +74,7 @@
         self.applied_index = stored.snapshot.index
         self.persisted_index = self.log.last_index
         self.followers = FollowerTable(node_id)
-        self.lost: frozenset[str] = frozenset()
+        self.lost_nodes: frozenset[str] = frozenset()
         self._votes: set[str] = set()
         self._timer = ElectionTimer(rng, order)
         self._ticks_since_heartbeat = 0
@@ -117,7 +117,7 @@
         return self.node_id in self.membership.voters
 
     @property
-    def membership_settled(self) -> bool:
+    def is_membership_committed(self) -> bool:
         """Whether no membership change is uncommitted."""
         pending = self.log.between(self.commit_index + 1, self.last_index)
         return not any(entry.kind == wire.ENTRY_KIND_MEMBERSHIP for entry in pending)
@@ -143,19 +143,19 @@
         """Append a command; returns its index, 0 when this replica is not the leader."""
         if self.role is not Role.LEADER or self._transfer_target:
             return 0, []
-        index = self._append_own(wire.ENTRY_KIND_COMMAND, data)
+        index = self._append_entry(wire.ENTRY_KIND_COMMAND, data)
         self._replicate_all()
         return index, self._take_effects()
 
     def propose_membership(self, membership: wire.GroupMembership) -> tuple[int, list[Effect]]:
         """Append a membership that differs from the present one by a single replica."""
-        if not self.is_ready_leader or not self.membership_settled:
+        if not self.is_ready_leader or not self.is_membership_committed:
             return 0, []
         changed = set(membership.voters) ^ set(self.membership.voters)
         if len(changed) > 1:
             raise ValueError("a membership change may add or remove one voter")
-        index = self._append_own(wire.ENTRY_KIND_MEMBERSHIP, membership.SerializeToString())
-        self._adopt_membership(membership)
+        index = self._append_entry(wire.ENTRY_KIND_MEMBERSHIP, membership.SerializeToString())
+        self._use_membership(membership)
         self._replicate_all()
         return index, self._take_effects()
 
@@ -236,7 +236,7 @@
 
     @property
     def _survivors(self) -> list[str]:
-        return [node for node in self.membership.voters if node not in self.lost]
+        return [node for node in self.membership.voters if node not in self.lost_nodes]
 
     def _start_pre_vote(self) -> None:
         self._timer.reset()
@@ -265,7 +265,7 @@
         for node in self.membership.voters:
             if node == self.node_id:
                 continue
-            message = self._message(wire.CONSENSUS_KIND_VOTE_REQUEST, node)
+            message = self._new_message(wire.CONSENSUS_KIND_VOTE_REQUEST, node)
             message.term = term
             message.pre_vote = pre_vote
             message.transfer = transfer
@@ -285,7 +285,7 @@
             self.voted_for = message.sender
             self._timer.reset()
             self._persist_hard_state()
-        reply = self._message(wire.CONSENSUS_KIND_VOTE_REPLY, message.sender)
+        reply = self._new_message(wire.CONSENSUS_KIND_VOTE_REPLY, message.sender)
         reply.term = message.term if granted else self.term
         reply.pre_vote = message.pre_vote
         reply.granted = granted
@@ -314,7 +314,7 @@
         self.leader_id = self.node_id
         self._transfer_target = ""
         self.followers.reset(self._peers(), self.log.last_index + 1)
-        self._append_own(wire.ENTRY_KIND_EMPTY, b"")
+        self._append_entry(wire.ENTRY_KIND_EMPTY, b"")
         self._effects.append(RoleChanged(self.role, self.term, self.leader_id))
         self._replicate_all()
 
@@ -348,7 +348,7 @@
             for node in self._peers():
                 self._replicate(node, heartbeat=True)
 
-    def _append_own(self, kind: "wire.EntryKind.ValueType", data: bytes) -> int:
+    def _append_entry(self, kind: "wire.EntryKind.ValueType", data: bytes) -> int:
         entry = wire.LogEntry(index=self.log.last_index + 1, term=self.term, kind=kind, data=data)
         self.log.extend([entry])
         self._persist(GroupWrite(self.group_id, entries=[entry]))
@@ -370,7 +370,7 @@
         entries = [] if in_flight > MAX_IN_FLIGHT_ENTRIES else self.log.between(previous + 1, last)
         if not entries and not heartbeat:
             return
-        message = self._message(wire.CONSENSUS_KIND_APPEND_REQUEST, node)
+        message = self._new_message(wire.CONSENSUS_KIND_APPEND_REQUEST, node)
         message.previous_index = previous
         message.previous_term = previous_term
         message.commit_index = self.commit_index
@@ -384,17 +384,17 @@
         if is_sent and (not heartbeat or progress.ticks_since_reply % 10):
             return
         progress.pending_snapshot_index = self.snapshot_index
-        message = self._message(wire.CONSENSUS_KIND_SNAPSHOT, node)
+        message = self._new_message(wire.CONSENSUS_KIND_SNAPSHOT, node)
         message.snapshot.CopyFrom(self.log.snapshot)
         self._send_now(message)
 
     def _on_append_request(self, message: wire.ConsensusMessage) -> None:
-        reply = self._message(wire.CONSENSUS_KIND_APPEND_REPLY, message.sender)
+        reply = self._new_message(wire.CONSENSUS_KIND_APPEND_REPLY, message.sender)
         if message.term < self.term:
             reply.previous_index = self.log.last_index
             self._send(reply)
             return
-        self._hear_leader(message.sender)
+        self._record_leader_contact(message.sender)
         if message.previous_index < self.snapshot_index:
             reply.granted = True
             reply.previous_index = self.snapshot_index
@@ -455,13 +455,13 @@
         if node == self._transfer_target and (
             self.followers[node].match_index == self.log.last_index
         ):
-            self._send_now(self._message(wire.CONSENSUS_KIND_TIMEOUT_NOW, node))
+            self._send_now(self._new_message(wire.CONSENSUS_KIND_TIMEOUT_NOW, node))
 
     def _advance_commit(self) -> None:
         candidate = self.followers.quorum_index(self._survivors, self.persisted_index, self._quorum)
         if candidate > self.commit_index and self.log.term_at(candidate) == self.term:
             self._commit_to(candidate)
-            if not self.is_voter and self.membership_settled:
+            if not self.is_voter and self.is_membership_committed:
                 self._become_follower(self.term, "")
 
     def _commit_to(self, index: int) -> None:
@@ -475,7 +475,7 @@
     def _on_snapshot(self, message: wire.ConsensusMessage) -> None:
         if message.term < self.term:
             return
-        self._hear_leader(message.sender)
+        self._record_leader_contact(message.sender)
         snapshot = message.snapshot
         if snapshot.index > self.commit_index:
             self.log = ReplicaLog(snapshot)
@@ -485,19 +485,19 @@
             self.membership = snapshot.membership
             self._persist(GroupWrite(self.group_id, truncate_from=1, snapshot=snapshot))
             self._effects.append(Restore(snapshot))
-        reply = self._message(wire.CONSENSUS_KIND_APPEND_REPLY, message.sender)
+        reply = self._new_message(wire.CONSENSUS_KIND_APPEND_REPLY, message.sender)
         reply.granted = True
         reply.previous_index = self.commit_index
         self._send(reply)
 
     # --- small pieces --------------------------------------------------------------------
 
-    def _hear_leader(self, leader_id: str) -> None:
+    def _record_leader_contact(self, leader_id: str) -> None:
         self._timer.record_heartbeat()
         if self.role is not Role.FOLLOWER or self.leader_id != leader_id:
             self._become_follower(self.term, leader_id)
 
-    def _adopt_membership(self, membership: wire.GroupMembership) -> None:
+    def _use_membership(self, membership: wire.GroupMembership) -> None:
         self.membership = membership
         if self.role is Role.LEADER:
             self.followers.update_members(self._peers(), self.log.last_index)
@@ -506,7 +506,7 @@
         members = (*self.membership.voters, *self.membership.learners)
         return [node for node in members if node != self.node_id]
 
-    def _message(
+    def _new_message(
         self, kind: "wire.ConsensusKind.ValueType", receiver: str
     ) -> wire.ConsensusMessage:
         return wire.ConsensusMessage(
--- a/src/bendshed/consensus/replica_placement.py
+++ b/src/bendshed/consensus/replica_placement.py
@@ -120,7 +120,7 @@
         gone = self._long_missing(live)
         for group_id, group in self._host.groups.items():
             replica = group.replica
-            if replica.role is not Role.LEADER or not replica.membership_settled:
+            if replica.role is not Role.LEADER or not replica.is_membership_committed:
                 continue
             inputs = self._plan_inputs(group_id, replica, live, gone)
             wanted = plan_membership(replica.membership, inputs)
--- a/src/bendshed/consensus/retirement.py
+++ b/src/bendshed/consensus/retirement.py
@@ -42,7 +42,11 @@
             return False
         replica = group.replica
         members = [*replica.membership.voters, *replica.membership.learners]
-        if not replica.membership_settled or node_id in members or node_id == self._host.node_id:
+        if (
+            not replica.is_membership_committed
+            or node_id in members
+            or node_id == self._host.node_id
+        ):
             self._goals.pop((group_id, node_id), None)
             return False
         return self._have_all_reached(group, self._goal(group, node_id))
--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -141,7 +141,7 @@
             for group_id, group in list(self._host.groups.items()):
                 # Announcements alone prove nothing: two voters that each read an older one of the
                 # other would both lead.
-                group.replica.lost = frozenset(self._directory.proven_lost)
+                group.replica.lost_nodes = frozenset(self._directory.proven_lost)
                 if group.replica.is_ready_leader:
                     self._supervise_group(group_id, group)
 
@@ -165,7 +165,7 @@
             self._host.transfer_leadership(group_id, staying)
             return
         self._lead_from_home(group_id, group, staying)
-        if group.replica.membership_settled:
+        if group.replica.is_membership_committed:
             self._change_membership(group_id, group)
 
     def _lead_from_home(self, group_id: int, group: HostedGroup, staying: list[str]) -> None:
