--- a/src/bendshed/consensus/raft.py
+++ b/src/bendshed/consensus/raft.py
@@ -61,7 +61,7 @@
         stored: StoredGroup,
         rng: random.Random,
         campaigns_at_start: bool = True,
-        order: ElectionOrder = SINGLE_REGION_ORDER,
+        election_order: ElectionOrder = SINGLE_REGION_ORDER,
     ) -> None:
         self.node_id = node_id
         self.group_id = stored.group_id
@@ -76,7 +76,7 @@
         self.followers = FollowerTable(node_id)
         self.lost_nodes: frozenset[str] = frozenset()
         self._votes: set[str] = set()
-        self._timer = ElectionTimer(rng, order)
+        self._timer = ElectionTimer(rng, election_order)
         self._ticks_since_heartbeat = 0
         self._transfer_target = ""
         self.membership = self.log.membership_at(self.log.last_index)
@@ -274,13 +274,13 @@
             self._send(message)
 
     def _on_vote_request(self, message: wire.ConsensusMessage) -> None:
-        held = (self.log.last_term, self.log.last_index)
-        up_to_date = (message.previous_term, message.previous_index) >= held
+        own_position = (self.log.last_term, self.log.last_index)
+        up_to_date = (message.previous_term, message.previous_index) >= own_position
         if message.pre_vote:
             granted = message.term > self.term and up_to_date and self.role is not Role.LEADER
         else:
-            free = self.voted_for in ("", message.sender)
-            granted = message.term == self.term and free and up_to_date
+            can_vote = self.voted_for in ("", message.sender)
+            granted = message.term == self.term and can_vote and up_to_date
         if granted and not message.pre_vote:
             self.voted_for = message.sender
             self._timer.reset()
@@ -296,10 +296,10 @@
             if not message.granted and message.term > self.term:
                 self._become_follower(message.term, "")
                 return
-            counts = self.role is Role.PRE_CANDIDATE and message.term == self.term + 1
+            is_expected = self.role is Role.PRE_CANDIDATE and message.term == self.term + 1
         else:
-            counts = self.role is Role.CANDIDATE and message.term == self.term
-        if not counts or not message.granted or message.sender not in self.membership.voters:
+            is_expected = self.role is Role.CANDIDATE and message.term == self.term
+        if not is_expected or not message.granted or message.sender not in self.membership.voters:
             return
         self._votes.add(message.sender)
         if len(self._votes) < self._quorum:
@@ -380,8 +380,8 @@
         self._send_now(message)
 
     def _send_snapshot(self, node: str, progress: Progress, heartbeat: bool) -> None:
-        is_sent = progress.pending_snapshot_index == self.snapshot_index
-        if is_sent and (not heartbeat or progress.ticks_since_reply % 10):
+        is_already_sent = progress.pending_snapshot_index == self.snapshot_index
+        if is_already_sent and (not heartbeat or progress.ticks_since_reply % 10):
             return
         progress.pending_snapshot_index = self.snapshot_index
         message = self._new_message(wire.CONSENSUS_KIND_SNAPSHOT, node)
@@ -413,16 +413,16 @@
         self._send(reply)
 
     def _store_entries(self, entries: list[wire.LogEntry]) -> None:
-        first = self.log.first_difference(entries)
-        if first is None:
+        first_new = self.log.first_difference(entries)
+        if first_new is None:
             return
-        write = GroupWrite(self.group_id, entries=[e for e in entries if e.index >= first])
-        if first <= self.log.last_index:
-            if first <= self.commit_index:
+        write = GroupWrite(self.group_id, entries=[e for e in entries if e.index >= first_new])
+        if first_new <= self.log.last_index:
+            if first_new <= self.commit_index:
                 raise AssertionError("a committed entry would be overwritten")
-            write.truncate_from = first
-            self.log.truncate_from(first)
-            self.persisted_index = min(self.persisted_index, first - 1)
+            write.truncate_from = first_new
+            self.log.truncate_from(first_new)
+            self.persisted_index = min(self.persisted_index, first_new - 1)
         self.log.extend(list(write.entries))
         if write.truncate_from or any(e.kind == wire.ENTRY_KIND_MEMBERSHIP for e in write.entries):
             self.membership = self.log.membership_at(self.log.last_index)
@@ -434,10 +434,10 @@
             return
         progress.ticks_since_reply = 0
         if not message.granted:
-            missing = max(progress.match_index, message.previous_index) + 1
-            if not progress.is_resend_in_flight(missing):
-                progress.record_resend(missing)
-                progress.next_index = missing
+            first_missing = max(progress.match_index, message.previous_index) + 1
+            if not progress.is_resend_in_flight(first_missing):
+                progress.record_resend(first_missing)
+                progress.next_index = first_missing
                 self._replicate(message.sender, heartbeat=True)
             return
         progress.pending_snapshot_index = 0
