--- a/src/bendshed/consensus/retirement.py
+++ b/src/bendshed/consensus/retirement.py
@@ -23,7 +23,7 @@
 """Requests it of another group's leader; ``False`` also where it does not answer."""
 
 
-class EmptiedMachines:
+class EmptiedTracker:
     """Whether groups that this process leads hold nothing on a machine that others lack.
 
     What a removed machine may have held alone was committed before its removal. So the index that
@@ -33,7 +33,7 @@
 
     def __init__(self, host: GroupHost) -> None:
         self._host = host
-        self._goals: dict[tuple[int, str], tuple[int, int]] = {}
+        self._required_indexes: dict[tuple[int, str], tuple[int, int]] = {}
 
     def is_emptied(self, group_id: int, node_id: str) -> bool:
         """Whether a machine may go as far as a group is concerned; ``False`` if not led here."""
@@ -47,21 +47,21 @@
             or node_id in members
             or node_id == self._host.node_id
         ):
-            self._goals.pop((group_id, node_id), None)
+            self._required_indexes.pop((group_id, node_id), None)
             return False
-        return self._have_all_reached(group, self._goal(group, node_id))
+        return self._do_voters_hold(group, self._required_index(group, node_id))
 
-    def _goal(self, group: HostedGroup, node_id: str) -> int:
+    def _required_index(self, group: HostedGroup, node_id: str) -> int:
         """Index that all voters must hold; a new term of this leader begins again."""
         replica = group.replica
-        begun = (replica.term, replica.commit_index)
-        term, index = self._goals.setdefault((replica.group_id, node_id), begun)
+        current = (replica.term, replica.commit_index)
+        term, index = self._required_indexes.setdefault((replica.group_id, node_id), current)
         if term != replica.term:
-            self._goals[replica.group_id, node_id] = begun
+            self._required_indexes[replica.group_id, node_id] = current
             return replica.commit_index
         return index
 
-    def _have_all_reached(self, group: HostedGroup, index: int) -> bool:
+    def _do_voters_hold(self, group: HostedGroup, index: int) -> bool:
         followers = group.replica.followers
         others = [node for node in group.replica.membership.voters if node != self._host.node_id]
         return all(followers[node].match_index >= index for node in others)
@@ -83,7 +83,7 @@
         self._directory = directory
         self._groups = groups
         self._request_emptied = request_emptied
-        self._emptied = EmptiedMachines(host)
+        self._emptied_tracker = EmptiedTracker(host)
         self._reported: dict[str, bool] = {}
 
     async def run(self) -> None:
@@ -94,11 +94,11 @@
             if group is None or group.replica.role is not Role.LEADER:
                 self._reported.clear()
                 continue
-            wished = sorted(self._directory.retiring)
+            retiring_names = sorted(self._directory.retiring)
             self._reported = {
-                name: self._reported[name] for name in wished if name in self._reported
+                name: self._reported[name] for name in retiring_names if name in self._reported
             }
-            for name in wished:
+            for name in retiring_names:
                 await self._report(name)
 
     async def answer(self, payload: bytes) -> bytes:
@@ -109,7 +109,7 @@
             leader_id = group.replica.leader_id if group is not None else ""
             hint = "" if leader_id == self._host.node_id else leader_id
             return wire.EmptiedReply(leader_id=hint).SerializeToString()
-        is_emptied = self._emptied.is_emptied(request.group, request.node_id)
+        is_emptied = self._emptied_tracker.is_emptied(request.group, request.node_id)
         return wire.EmptiedReply(is_leader=True, is_emptied=is_emptied).SerializeToString()
 
     async def _report(self, name: str) -> None:
@@ -127,10 +127,10 @@
 
     async def _is_emptied(self, node_id: str) -> bool:
         """Whether every group has let the machine go."""
-        if not self._emptied.is_emptied(REPORTING_GROUP, node_id):
+        if not self._emptied_tracker.is_emptied(REPORTING_GROUP, node_id):
             return False
         for group_id in self._groups.others(REPORTING_GROUP):
-            here = self._emptied.is_emptied(group_id, node_id)
-            if not here and not await self._request_emptied(group_id, node_id):
+            is_emptied_here = self._emptied_tracker.is_emptied(group_id, node_id)
+            if not is_emptied_here and not await self._request_emptied(group_id, node_id):
                 return False
         return True
