--- a/src/bendshed/consensus/sqlite_storage.py
+++ b/src/bendshed/consensus/sqlite_storage.py
@@ -36,7 +36,7 @@
     checksum INTEGER NOT NULL, PRIMARY KEY (group_id, entry_index)) WITHOUT ROWID;
 """
 
-FORMER_SCHEMA_TABLE = "groups"
+LEGACY_TABLE = "groups"
 """Until December 2026 a group's hard state and snapshot were one row, so that each vote wrote the
 whole snapshot again."""
 MIGRATION = """
@@ -61,7 +61,7 @@
         self._writer = ThreadPoolExecutor(max_workers=1, thread_name_prefix="log-writer")
         self._database = self._writer.submit(self._open).result()
         self._node_id = self._writer.submit(self._read_identity).result()
-        self._checked: list[StoredGroup] | None = None
+        self._preloaded: list[StoredGroup] | None = None
 
     def _open(self) -> sqlite3.Connection:
         database = sqlite3.connect(self._path, isolation_level=None)
@@ -69,7 +69,7 @@
         database.execute("PRAGMA journal_mode=WAL")
         database.execute("PRAGMA synchronous=FULL")
         database.executescript(SCHEMA)
-        if self._has_table(database, FORMER_SCHEMA_TABLE):
+        if self._has_table(database, LEGACY_TABLE):
             database.executescript(f"BEGIN IMMEDIATE;{MIGRATION}COMMIT;")
         return database
 
@@ -92,13 +92,13 @@
 
     def check(self) -> None:
         """Read all groups in advance for the next ``load``; raise like it."""
-        self._checked = self.load()
+        self._preloaded = self.load()
 
     def load(self) -> list[StoredGroup]:
         """Read all groups; see the module for what happens to bad records."""
-        checked, self._checked = self._checked, None
-        if checked is not None:
-            return checked
+        preloaded, self._preloaded = self._preloaded, None
+        if preloaded is not None:
+            return preloaded
         try:
             return self._writer.submit(self._load).result()
         except sqlite3.DatabaseError as error:
@@ -219,12 +219,12 @@
     """Set a corrupt file aside; the next ``SqliteLogStorage`` is a new, empty identity."""
     path = folder / "log.sqlite"
     number = 1
-    while (aside := folder / f"log.sqlite.corrupt-{number}").exists():
+    while (quarantined := folder / f"log.sqlite.corrupt-{number}").exists():
         number += 1
-    path.rename(aside)
+    path.rename(quarantined)
     for leftover in ("log.sqlite-wal", "log.sqlite-shm"):
         (folder / leftover).unlink(missing_ok=True)
-    return aside
+    return quarantined
 
 
 def open_or_replace(folder: Path) -> SqliteLogStorage:
@@ -234,22 +234,22 @@
     except sqlite3.OperationalError:
         raise  # a full or failing disk says nothing of its content
     except sqlite3.DatabaseError as error:
-        return _replace(folder, error)
+        return _replace_corrupt(folder, error)
     try:
         storage.check()
     except sqlite3.OperationalError:
         raise
     except (StorageCorrupt, sqlite3.DatabaseError) as error:
         storage.close()
-        return _replace(folder, error)
+        return _replace_corrupt(folder, error)
     return storage
 
 
-def _replace(folder: Path, error: Exception) -> SqliteLogStorage:
-    aside = quarantine(folder)
+def _replace_corrupt(folder: Path, error: Exception) -> SqliteLogStorage:
+    quarantined = quarantine(folder)
     log.say(
         "log corrupt: starting empty under a new identity",
         reason=str(error),
-        kept_as=str(aside),
+        kept_as=str(quarantined),
     )
     return SqliteLogStorage(folder)
