--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -26,16 +26,16 @@
 SILENT_S = 1.0
 """A member that was silent for this long is replaced when a machine is free."""
 MAX_LEARNER_LAG = 100
-HOME_WATCH_S = 0.5
+HOME_CATCH_UP_S = 0.5
 """A voter at home must hold what was committed this long ago to be handed the lead."""
 
-HAND_ON_AGAIN_S = 5.0
+STALL_TRANSFER_INTERVAL_S = 5.0
 """A machine that stalls gives its groups away at most this often: others may be no better."""
 
 log = PartLog("supervisor")
 
 
-async def _request_no_one(_group_id: int, _node_id: str) -> bool:
+async def _request_nobody(_group_id: int, _node_id: str) -> bool:
     return False
 
 
@@ -43,7 +43,7 @@
     """Runs on every replica machine; only a group's leader changes the group.
 
     Attributes:
-        me: this process's announcement.
+        local_node: this process's announcement.
 
     """
 
@@ -54,37 +54,44 @@
         transport: Transport,
         registry: ReplicaRegistry,
         directory: ReplicaDirectory,
-        me: ReplicaNode,
+        local_node: ReplicaNode,
         tick_s: float,
         num_voters: int,
         groups: TurnGroups = ONE_GROUP,
-        request_emptied: RequestEmptied = _request_no_one,
+        request_emptied: RequestEmptied = _request_nobody,
     ) -> None:
-        self.me = me
+        self.local_node = local_node
         self._host = host
         self._transport = transport
         self._directory = directory
         self._tick_s = tick_s
         self._num_voters = num_voters
         self._groups = groups
-        self._bootstrap = GroupBootstrap(host, storage, registry, directory, me, num_voters, groups)
+        self._bootstrap = GroupBootstrap(
+            host, storage, registry, directory, local_node, num_voters, groups
+        )
         self._reporter = RetirementReporter(host, registry, directory, groups, request_emptied)
         self._candidates = ReplicaCandidates()
         self._introductions = Introductions(
-            transport, directory, host, me, self._missed, self._candidates.record_answer
+            transport,
+            directory,
+            host,
+            local_node,
+            self._nodes_to_ask,
+            self._candidates.record_answer,
         )
-        self._away_since: dict[int, tuple[float, int, int]] = {}
-        self._handed_on_s = float("-inf")
-        self._rested: dict[int, object] = {}
+        self._outside_home_since: dict[int, tuple[float, int, int]] = {}
+        self._last_stall_transfer_s = float("-inf")
+        self._idle_plan_keys: dict[int, object] = {}
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
         """Begin."""
-        self._directory.own_node = self.me
-        self._directory.put(self.me)
-        self._transport.one_way_handlers[HELLO_METHOD] = self._take_hello
+        self._directory.own_node = self.local_node
+        self._directory.put(self.local_node)
+        self._transport.one_way_handlers[HELLO_METHOD] = self._receive_hello
         self._transport.handlers[EMPTIED_METHOD] = self._reporter.answer
-        self._host.on_misaddressed_message = self._introduce_to
+        self._host.on_misaddressed_message = self._send_hello
         self._introductions.start()
         self._tasks = [
             start_loop(self._bootstrap.announce(), "supervisor"),
@@ -103,41 +110,43 @@
 
     # --- who is who ----------------------------------------------------------------------
 
-    def _introduce_to(self, sender: str) -> None:
+    def _send_hello(self, sender: str) -> None:
         """A peer wrote to an identity that this machine no longer has: send it the current one."""
         address = self._directory.resolve(sender)
         if address is not None:
-            self._transport.send(address, HELLO_METHOD, to_wire(self.me).SerializeToString())
+            self._transport.send(
+                address, HELLO_METHOD, to_wire(self.local_node).SerializeToString()
+            )
 
-    def _take_hello(self, payload: bytes) -> None:
+    def _receive_hello(self, payload: bytes) -> None:
         self._directory.put(from_wire(wire.ReplicaHello.FromString(payload)))
 
-    def _missed(self) -> set[str]:
+    def _nodes_to_ask(self) -> set[str]:
         """Identities whose word this machine needs.
 
         A leader needs that of members that are silent, and while one is or is missing, that of
         machines which may take its place. Without a leader all machines are asked, since a voter
         may be listed under another identity.
         """
-        missed: set[str] = set()
+        nodes_to_ask: set[str] = set()
         for group in self._host.groups.values():
             replica = group.replica
             if replica.role is Role.LEADER:
                 members = [*replica.membership.voters, *replica.membership.learners]
                 silent = replica.followers.silent(members, UNRESPONSIVE_S / self._tick_s)
-                missed |= silent
+                nodes_to_ask |= silent
                 if silent or len(replica.membership.voters) < self._num_voters:
-                    missed.update(set(self._directory.node_ids()) - set(members))
+                    nodes_to_ask.update(set(self._directory.node_ids()) - set(members))
             elif not replica.leader_id and replica.is_voter:
-                missed.update(self._directory.node_ids())
-        return missed
+                nodes_to_ask.update(self._directory.node_ids())
+        return nodes_to_ask
 
     # --- repair --------------------------------------------------------------------------
 
     async def _supervise(self) -> None:
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            self._hand_on_when_stalled()
+            self._transfer_if_stalled()
             for group_id, group in list(self._host.groups.items()):
                 # Announcements alone prove nothing: two voters that each read an older one of the
                 # other would both lead.
@@ -145,14 +154,18 @@
                 if group.replica.is_ready_leader:
                     self._supervise_group(group_id, group)
 
-    def _hand_on_when_stalled(self) -> None:
+    def _transfer_if_stalled(self) -> None:
         """Hand leadership over while this machine's disk or loop stalls."""
         now_s = asyncio.get_running_loop().time()
         stall = self._host.stall_detector.detect(now_s)
         led = self._host.led_groups()
-        if stall is None or not led or now_s < self._handed_on_s + HAND_ON_AGAIN_S:
+        if (
+            stall is None
+            or not led
+            or now_s < self._last_stall_transfer_s + STALL_TRANSFER_INTERVAL_S
+        ):
             return
-        self._handed_on_s = now_s
+        self._last_stall_transfer_s = now_s
         log.say("handing leadership over: disk or loop stalled", reason=stall.value, groups=led)
         self._host.transfer_all_leadership()
 
@@ -161,25 +174,27 @@
         voters = group.replica.membership.voters
         retiring = self._directory.retiring_ids()
         staying = [node for node in voters if node not in retiring]
-        if self.me.node_id in retiring and staying:
+        if self.local_node.node_id in retiring and staying:
             self._host.transfer_leadership(group_id, staying)
             return
-        self._lead_from_home(group_id, group, staying)
+        self._transfer_to_home_region(group_id, group, staying)
         if group.replica.is_membership_committed:
             self._change_membership(group_id, group)
 
-    def _lead_from_home(self, group_id: int, group: HostedGroup, staying: list[str]) -> None:
-        """Away from home, hand over to a voter there that has kept up for ``HOME_WATCH_S``."""
+    def _transfer_to_home_region(
+        self, group_id: int, group: HostedGroup, staying: list[str]
+    ) -> None:
+        """Away from home, hand over to a voter there that has kept up for ``HOME_CATCH_UP_S``."""
         topology = self._topology(group_id)
-        if topology.is_home(self.me.node_id):
-            self._away_since.pop(group_id, None)
+        if topology.is_home(self.local_node.node_id):
+            self._outside_home_since.pop(group_id, None)
             return
         now_s, replica = asyncio.get_running_loop().time(), group.replica
-        here = (now_s, replica.term, replica.commit_index)
-        since_s, term, index = self._away_since.setdefault(group_id, here)
-        if term == replica.term and now_s < since_s + HOME_WATCH_S:
+        current = (now_s, replica.term, replica.commit_index)
+        since_s, term, index = self._outside_home_since.setdefault(group_id, current)
+        if term == replica.term and now_s < since_s + HOME_CATCH_UP_S:
             return
-        self._away_since[group_id] = here
+        self._outside_home_since[group_id] = current
         home = [node for node in staying if topology.is_home(node)]
         ready = [node for node in home if replica.followers[node].match_index >= index]
         if term == replica.term and ready:
@@ -198,21 +213,21 @@
         """Take the next step, if any; the plan is made again only when its inputs changed."""
         replica = group.replica
         inputs = self._plan_inputs(group_id, group)
-        seen = (tuple(replica.membership.voters), tuple(replica.membership.learners), inputs)
-        if self._rested.get(group_id) == seen:
+        plan_key = (tuple(replica.membership.voters), tuple(replica.membership.learners), inputs)
+        if self._idle_plan_keys.get(group_id) == plan_key:
             return
-        topology, weak = inputs.topology, {*inputs.silent, *inputs.retiring}
-        free, voters = inputs.candidates, replica.membership.voters
-        ranked = rank_candidates(group_id, topology, free, voters, weak)
-        sound = [node for node in voters if node not in weak and node not in inputs.wiped]
+        topology, to_replace = inputs.topology, {*inputs.silent, *inputs.retiring}
+        available, voters = inputs.candidates, replica.membership.voters
+        ranked = rank_candidates(group_id, topology, available, voters, to_replace)
+        healthy = [node for node in voters if node not in to_replace and node not in inputs.wiped]
         # While a machine is being taken in, no other is needed, and so none is waited for.
-        is_voter_missing = len(sound) < inputs.num_voters and not replica.membership.learners
+        is_voter_missing = len(healthy) < inputs.num_voters and not replica.membership.learners
         candidates = self._candidates.sort_responsive_first(group_id, ranked, is_voter_missing)
         if candidates is None and not inputs.wiped:
             return
         wanted = plan_membership(replica.membership, replace(inputs, candidates=candidates or []))
         if wanted is None:
-            self._rested[group_id] = seen
+            self._idle_plan_keys[group_id] = plan_key
             return
         for node in set(replica.membership.learners) & set(inputs.silent):
             self._candidates.record_failure(node)
@@ -237,24 +252,26 @@
         silent = replica.followers.silent(members, SILENT_S / self._tick_s)
         retiring = self._directory.retiring_ids()
         topology = self._topology(group_id)
-        free = self._free(topology, members, retiring)
+        available = self._available_nodes(topology, members, retiring)
         caught_up = replica.followers.caught_up(
             membership.learners, replica.last_index, MAX_LEARNER_LAG
         )
         self._candidates.record_caught_up(caught_up)
         return PlanInputs(
-            leader_id=self.me.node_id,
+            leader_id=self.local_node.node_id,
             wiped=self._directory.wiped & set(members),
             silent=silent,
             unresponsive=replica.followers.silent(members, UNRESPONSIVE_S / self._tick_s),
             retiring=retiring,
             caught_up=caught_up,
-            candidates=free,
+            candidates=available,
             num_voters=self._num_voters,
             topology=topology,
         )
 
-    def _free(self, topology: VoterTopology, members: list[str], retiring: set[str]) -> list[str]:
+    def _available_nodes(
+        self, topology: VoterTopology, members: list[str], retiring: set[str]
+    ) -> list[str]:
         """Machines that may be taken in."""
         return [
             node
@@ -275,6 +292,6 @@
         return sum(
             1
             for node in voters
-            if node == self.me.node_id
+            if node == self.local_node.node_id
             or (node not in silent and replica.followers[node].match_index >= replica.commit_index)
         )
