--- a/src/bendshed/consensus/introductions.py
+++ b/src/bendshed/consensus/introductions.py
@@ -17,9 +17,9 @@
 
 INTRODUCE_METHOD = "replica.introduce"
 """Request of one replica machine to another: both name themselves."""
-INTERVAL_S = 0.3
-ANSWER_TIMEOUT_S = 0.5
-DISK_S = 0.3
+REQUEST_INTERVAL_S = 0.3
+REQUEST_TIMEOUT_S = 0.5
+FLUSH_TIMEOUT_S = 0.3
 """A machine whose disk takes longer could not hold a replica now, and does not say who it is."""
 
 
@@ -27,7 +27,7 @@
     """Asks machines whose word is missed who they are, again and again, and answers others.
 
     Args:
-        missed: identities that should speak and do not.
+        nodes_to_ask: identities that should speak and do not.
         on_answer: called with the identity of a machine that answered and whose disk takes writes.
 
     """
@@ -37,17 +37,17 @@
         transport: Transport,
         directory: ReplicaDirectory,
         host: GroupHost,
-        me: ReplicaNode,
-        missed: Callable[[], Collection[str]],
+        local_node: ReplicaNode,
+        nodes_to_ask: Callable[[], Collection[str]],
         on_answer: Callable[[str], None],
     ) -> None:
         self._transport = transport
         self._directory = directory
         self._host = host
-        self._hello = to_wire(me).SerializeToString()
-        self._missed = missed
+        self._hello = to_wire(local_node).SerializeToString()
+        self._nodes_to_ask = nodes_to_ask
         self._on_answer = on_answer
-        self._asking: dict[str, asyncio.Task[None]] = {}
+        self._pending_requests: dict[str, asyncio.Task[None]] = {}
 
     def start(self) -> None:
         """Answer from now on."""
@@ -56,28 +56,28 @@
     async def run(self) -> None:
         """Ask until cancelled."""
         while True:
-            await asyncio.sleep(INTERVAL_S)
-            missed = self._missed()
+            await asyncio.sleep(REQUEST_INTERVAL_S)
+            missed = self._nodes_to_ask()
             for node in list(self._directory.by_name.values()):
                 if node.node_id in missed and node != self._directory.own_node:
-                    self._begin_to_ask(node)
+                    self._start_request(node)
 
-    def _begin_to_ask(self, node: ReplicaNode) -> None:
+    def _start_request(self, node: ReplicaNode) -> None:
         """Ask one machine, unless it is being asked: a silent one holds no other up."""
-        if node.name not in self._asking:
-            asking = asyncio.get_running_loop().create_task(self._ask(node))
-            self._asking[node.name] = asking
-            asking.add_done_callback(lambda _done: self._asking.pop(node.name, None))
+        if node.name not in self._pending_requests:
+            request = asyncio.get_running_loop().create_task(self._request_identity(node))
+            self._pending_requests[node.name] = request
+            request.add_done_callback(lambda _done: self._pending_requests.pop(node.name, None))
 
     def stop(self) -> None:
         """Give up what is being asked."""
-        for asking in self._asking.values():
-            asking.cancel()
+        for request in self._pending_requests.values():
+            request.cancel()
 
-    async def _ask(self, node: ReplicaNode) -> None:
+    async def _request_identity(self, node: ReplicaNode) -> None:
         try:
             reply = await self._transport.request(
-                node.address, INTRODUCE_METHOD, self._hello, ANSWER_TIMEOUT_S
+                node.address, INTRODUCE_METHOD, self._hello, REQUEST_TIMEOUT_S
             )
         except PeerUnreachable:
             return  # silent, or of a version that does not know the method: asked again
@@ -91,7 +91,7 @@
         """Take who asks, and reply who this is; empty while the disk takes no writes."""
         self._directory.put(from_wire(wire.ReplicaHello.FromString(payload)))
         try:
-            async with asyncio.timeout(DISK_S):
+            async with asyncio.timeout(FLUSH_TIMEOUT_S):
                 await self._host.flush()
         except TimeoutError:
             return b""
--- a/tests/test_introductions.py
+++ b/tests/test_introductions.py
@@ -12,16 +12,16 @@
 from bendshed.ports.transport import PeerUnreachable
 from bendshed.wire import turns_pb2 as wire
 
-TURNS_OF_THE_LOOP = 6
-ME = ReplicaNode("me", "me-1", Address("10.0.0.1", 1), "zone-a")
+LOOP_ITERATIONS = 6
+LOCAL_NODE = ReplicaNode("me", "me-1", Address("10.0.0.1", 1), "zone-a")
 OLD = ReplicaNode("peer", "peer-1", Address("10.0.0.2", 1), "zone-b")
 NEW = ReplicaNode("peer", "peer-2", Address("10.0.0.2", 1), "zone-b")
 
 
 class IntroductionsTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        self.directory = ReplicaDirectory(own_node=ME)
-        self.directory.put(ME)
+        self.directory = ReplicaDirectory(own_node=LOCAL_NODE)
+        self.directory.put(LOCAL_NODE)
         self.transport = mock.Mock(handlers={}, request=mock.AsyncMock())
         self.host = mock.Mock(flush=mock.AsyncMock())
         self.answered: list[str] = []
@@ -29,16 +29,16 @@
             self.transport,
             self.directory,
             self.host,
-            ME,
-            lambda: [ME.node_id, OLD.node_id, NEW.node_id],
+            LOCAL_NODE,
+            lambda: [LOCAL_NODE.node_id, OLD.node_id, NEW.node_id],
             self.answered.append,
         )
 
     async def ask_once(self) -> None:
         """Let it ask, and take the replies."""
-        with mock.patch.object(introductions, "INTERVAL_S", 0.0):
+        with mock.patch.object(introductions, "REQUEST_INTERVAL_S", 0.0):
             running = asyncio.create_task(self.introductions.run())
-            for _ in range(TURNS_OF_THE_LOOP):
+            for _ in range(LOOP_ITERATIONS):
                 await asyncio.sleep(0)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
@@ -83,7 +83,7 @@
         self.introductions.start()
         hello = to_wire(OLD).SerializeToString()
         reply = await self.transport.handlers[INTRODUCE_METHOD](hello)
-        self.assertEqual(from_wire(wire.ReplicaHello.FromString(reply)), ME)
+        self.assertEqual(from_wire(wire.ReplicaHello.FromString(reply)), LOCAL_NODE)
         self.assertEqual(self.directory.resolve(OLD.node_id), OLD.address)
 
     async def test_a_machine_whose_disk_hangs_does_not_say_who_it_is(self) -> None:
