--- a/src/bendshed/consensus/replica_placement.py
+++ b/src/bendshed/consensus/replica_placement.py
@@ -24,7 +24,8 @@
 PLACEMENT_KEY = "placement"
 CHECK_INTERVAL_S = 1.0
 UNRESPONSIVE_TICKS = 10
-"""A member without a reply to the leader for so many ticks may be gone; heartbeats go every 3."""
+"""A member without a reply to the leader for so many ticks may be missing_too_long; heartbeats go
+every 3."""
 MAX_LEARNER_LAG = 100
 """A learner that lacks fewer entries becomes a voter."""
 
@@ -117,40 +118,45 @@
 
     def _repair(self) -> None:
         live = self._live_disk_nodes()
-        gone = self._long_missing(live)
+        missing_too_long = self._missing_too_long(live)
         for group_id, group in self._host.groups.items():
             replica = group.replica
             if replica.role is not Role.LEADER or not replica.is_membership_committed:
                 continue
-            inputs = self._plan_inputs(group_id, replica, live, gone)
+            inputs = self._plan_inputs(group_id, replica, live, missing_too_long)
             wanted = plan_membership(replica.membership, inputs)
             if wanted is not None and self._host.propose_membership(group_id, wanted):
                 log.say("membership change proposed", group=group_id, voters=list(wanted.voters))
 
     def _plan_inputs(
-        self, group_id: int, replica: RaftReplica, live: dict[str, DiskNode], gone: set[str]
+        self,
+        group_id: int,
+        replica: RaftReplica,
+        live: dict[str, DiskNode],
+        missing_too_long: set[str],
     ) -> PlanInputs:
         membership = replica.membership
         members = [*membership.voters, *membership.learners]
         topology = VoterTopology({node_id: node.zone for node_id, node in live.items()})
-        free = [node for node in live if node not in members]
+        available = [node for node in live if node not in members]
         voters = list(membership.voters)
         unresponsive = replica.followers.silent(members, UNRESPONSIVE_TICKS)
         return PlanInputs(
             leader_id=self._host.node_id,
             wiped=(),
-            silent=gone & unresponsive,
+            silent=missing_too_long & unresponsive,
             unresponsive=unresponsive,
-            retiring=gone - unresponsive,  # a node that stops votes until its calls are over
+            retiring=missing_too_long
+            - unresponsive,  # a node that stops votes until its calls are over
             caught_up=replica.followers.caught_up(
                 membership.learners, replica.last_index, MAX_LEARNER_LAG
             ),
-            candidates=rank_candidates(group_id, topology, free, voters, gone),
+            candidates=rank_candidates(group_id, topology, available, voters, missing_too_long),
             num_voters=self._settings.replicas,
             topology=topology,
         )
 
-    def _long_missing(self, live: dict[str, DiskNode]) -> set[str]:
+    def _missing_too_long(self, live: dict[str, DiskNode]) -> set[str]:
         """Replicas that have not been live for the time after which they are replaced."""
         now_s = asyncio.get_running_loop().time()
         members = {
