--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -281,7 +281,7 @@
             and not self._candidates.is_backed_off(node)
         ]
 
-    def num_sound_voters(self, group_id: int = 0) -> int:
+    def num_healthy_voters(self, group_id: int = 0) -> int:
         """Voters that answered lately and hold all that is committed; 0 at a follower."""
         group = self._host.groups.get(group_id)
         if group is None or not group.replica.is_ready_leader:
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -71,7 +71,7 @@
         leader = world.leader()
         if leader is None or leader is struck or leader.replica is None:
             return False
-        return leader.replica.supervisor.num_sound_voters() >= world.layout.num_voters
+        return leader.replica.supervisor.num_healthy_voters() >= world.layout.num_voters
 
     def wait(self, world: SiteWorld, condition: Callable[[], bool]) -> None:
         """Let time pass in steps of ``STEP_S``, finer than the world's."""
