--- a/src/bendshed/consensus/retirement.py
+++ b/src/bendshed/consensus/retirement.py
@@ -129,7 +129,7 @@
         """Whether every group has let the machine go."""
         if not self._emptied_tracker.is_emptied(REPORTING_GROUP, node_id):
             return False
-        for group_id in self._groups.others(REPORTING_GROUP):
+        for group_id in self._groups.other_ids(REPORTING_GROUP):
             is_emptied_here = self._emptied_tracker.is_emptied(group_id, node_id)
             if not is_emptied_here and not await self._request_emptied(group_id, node_id):
                 return False
--- a/src/bendshed/placement/cluster_load.py
+++ b/src/bendshed/placement/cluster_load.py
@@ -18,18 +18,18 @@
 from bendshed.model.places import Distance
 from bendshed.model.runner import ServiceRunner
 from bendshed.placement.distance import DistanceCosts, TurnPaths
-from bendshed.placement.other_loads import OtherLoad, OtherLoads
-from bendshed.placement.placement_cost import PoolTimes, cold_ms, cost_ms
+from bendshed.placement.peer_loads import LoadSummary, PeerLoads
+from bendshed.placement.placement_cost import PoolTimes, cold_cost_ms, cost_ms
 from bendshed.placement.runner_health import median_pace
 from bendshed.placement.running_turns import RunningTurns
-from bendshed.placement.spill import SpillGate
-from bendshed.placement.turn_demand import Demand, Ended
+from bendshed.placement.spill import SpilloverLimiter
+from bendshed.placement.turn_demand import EndedTurn, TurnDemand
 
 MAX_CANDIDATES = 64
 """Runners whose costs one placement compares: bounds its processor time (227 to 296 microseconds
 for 24 runners). Of a larger pool it compares a sample of this size, and those that hold the prompt
 or have a connection."""
-EQUAL_MS = 1.0
+EQUAL_COST_MARGIN_MS = 1.0
 """Costs that exceed the least by no more than this, in milliseconds, count as equal: the zone and
 the chain's rank decide between them, so that a chain does not move for differences below noise."""
 
@@ -80,15 +80,15 @@
     Invariant: a turn counts at one runner from its placement until its end or its deadline.
 
     Attributes:
-        elsewhere: load at runners that leaders of other groups placed there.
+        peer_loads: load at runners that leaders of other groups placed there.
         distance: costs of runners that are far from the requesting node.
 
     """
 
     def __init__(self, rng: random.Random, distance: DistanceCosts | None = None) -> None:
-        self.elsewhere = OtherLoads()
+        self.peer_loads = PeerLoads()
         self.distance = distance if distance is not None else DistanceCosts()
-        self._spill = SpillGate(self.distance.terms.region_mbit_per_s)
+        self._spill = SpilloverLimiter(self.distance.link.region_mbit_per_s)
         self._running = RunningTurns(self._spill)
         self._rng = rng
 
@@ -98,19 +98,19 @@
         return self._running.num_running
 
     @property
-    def num_away(self) -> int:
+    def num_redirected(self) -> int:
         """Of them, those that run outside the requesting node's region."""
-        return self._spill.num_away
+        return self._spill.num_redirected
 
-    def own_loads(self) -> list[tuple[str, OtherLoad]]:
+    def own_loads(self) -> list[tuple[str, LoadSummary]]:
         """Load that this leader placed at runners, for the leaders of other groups."""
-        return self._running.loads()
+        return self._running.load_summaries()
 
     # --- placement -------------------------------------------------------------------------
 
     def place(
         self,
-        demand: Demand,
+        demand: TurnDemand,
         runners: Sequence[ServiceRunner],
         capacity_tokens: int,
         now_s: float,
@@ -126,27 +126,27 @@
             cold: ids of the cold ones among them; they come after warm ones that have room.
 
         """
-        self._running.end_overdue(now_s)
+        self._running.end_expired(now_s)
         if not runners:
             return NotPlaced()
-        self._running.meet(runners, capacity_tokens)
-        self._running.learn_cache(demand)
+        self._running.add_runners(runners, capacity_tokens)
+        self._running.assume_cached(demand)
         candidates = {r.runner_id: r for r in self._candidates(demand, runners)}
-        paths = self.distance.paths(demand.zone, demand.moved_bytes)
+        paths = self.distance.paths(demand.zone, demand.transferred_bytes)
         pool = self._pool_times(runners, now_s)
         costs = self._costs(demand, candidates, paths, pool, cold)
-        if paths.has_far:
-            costs = self._within_region(demand, candidates, paths, costs, now_s)
-        chosen, reason = _least(costs, candidates, demand)
+        if paths.has_other_region:
+            costs = self._limit_spillover(demand, candidates, paths, costs, now_s)
+        chosen, reason = _choose_least_cost(costs, candidates, demand)
         kind = paths[candidates[chosen].zone].kind
-        load = self._running.at(chosen)
+        load = self._running.load_of(chosen)
         cached_tokens = load.cache.cached_tokens(demand.parts)
         placed = Placed(chosen, costs[chosen], len(load.turns), cached_tokens, kind, reason)
         self._record(demand, placed, now_s)
         return placed
 
     def _candidates(
-        self, demand: Demand, runners: Sequence[ServiceRunner]
+        self, demand: TurnDemand, runners: Sequence[ServiceRunner]
     ) -> Sequence[ServiceRunner]:
         """All of a small pool; of a large one a sample, the connected, those with the prompt."""
         if len(runners) <= MAX_CANDIDATES:
@@ -155,17 +155,19 @@
             runner
             for runner in runners
             if runner.runner_id in demand.connected
-            or self._running.at(runner.runner_id).cache.cached_tokens(demand.parts)
+            or self._running.load_of(runner.runner_id).cache.cached_tokens(demand.parts)
         ]
         return [*preferred, *self._rng.sample(list(runners), MAX_CANDIDATES)]
 
     def _pool_times(self, runners: Sequence[ServiceRunner], now_s: float) -> PoolTimes:
-        event_gap_ms = median_pace(self._running.at(r.runner_id).health for r in runners)
-        return PoolTimes(self._running.turn_ms, self._running.reading_ms, event_gap_ms, now_s)
+        event_gap_ms = median_pace(self._running.load_of(r.runner_id).health for r in runners)
+        return PoolTimes(
+            self._running.mean_turn_ms, self._running.mean_prefill_ms, event_gap_ms, now_s
+        )
 
     def _costs(
         self,
-        demand: Demand,
+        demand: TurnDemand,
         candidates: Candidates,
         paths: TurnPaths,
         pool: PoolTimes,
@@ -176,8 +178,8 @@
             runner_id: cost_ms(
                 demand,
                 runner,
-                self._running.at(runner_id),
-                self.elsewhere.at(runner_id, pool.now_s),
+                self._running.load_of(runner_id),
+                self.peer_loads.load_of(runner_id, pool.now_s),
                 paths[runner.zone],
                 pool,
             )
@@ -185,36 +187,40 @@
         }
         for runner_id in cold:
             if runner_id in costs:
-                costs[runner_id] += cold_ms(demand)
+                costs[runner_id] += cold_cost_ms(demand)
         return costs
 
-    def _within_region(
+    def _limit_spillover(
         self,
-        demand: Demand,
+        demand: TurnDemand,
         candidates: Candidates,
         paths: TurnPaths,
         costs: dict[str, float],
         now_s: float,
     ) -> dict[str, float]:
         """Costs of the requesting node's region, unless the turn may be redirected: then of all."""
-        far = {n for n, r in candidates.items() if paths[r.zone].kind is Distance.OTHER_REGION}
-        near = {runner_id: cost for runner_id, cost in costs.items() if runner_id not in far}
-        if not near:
+        remote_ids = {
+            n for n, r in candidates.items() if paths[r.zone].kind is Distance.OTHER_REGION
+        }
+        local_costs = {
+            runner_id: cost for runner_id, cost in costs.items() if runner_id not in remote_ids
+        }
+        if not local_costs:
             return costs
-        gain_ms = min(near.values()) - min(costs[runner_id] for runner_id in far)
-        num_slots = sum(candidates[runner_id].slots for runner_id in far)
-        if self._spill.may_redirect(gain_ms, num_slots, demand.moved_bytes, now_s):
+        gain_ms = min(local_costs.values()) - min(costs[runner_id] for runner_id in remote_ids)
+        num_slots = sum(candidates[runner_id].slots for runner_id in remote_ids)
+        if self._spill.may_redirect(gain_ms, num_slots, demand.transferred_bytes, now_s):
             return costs
-        return near
+        return local_costs
 
-    def _record(self, demand: Demand, placed: Placed, now_s: float) -> None:
+    def _record(self, demand: TurnDemand, placed: Placed, now_s: float) -> None:
         self._running.begin(demand, placed.runner_id, now_s)
         if placed.distance is Distance.OTHER_REGION:
-            self._spill.begin(demand.turn_id, demand.moved_bytes, now_s)
+            self._spill.begin(demand.turn_id, demand.transferred_bytes, now_s)
 
     # --- what follows a placement ----------------------------------------------------------
 
-    def end(self, ended: Ended, now_s: float) -> None:
+    def end(self, ended: EndedTurn, now_s: float) -> None:
         """Stop counting a turn, answered or not, and take what its node saw of runners."""
         self._running.end(ended, now_s)
 
@@ -223,12 +229,12 @@
         self._running.retain_only(listed)
 
 
-def _least(
-    costs: Mapping[str, float], candidates: Candidates, demand: Demand
+def _choose_least_cost(
+    costs: Mapping[str, float], candidates: Candidates, demand: TurnDemand
 ) -> tuple[str, PlacementReason]:
     """The least cost; between equals the node's own zone first, then the chain's rank."""
-    most_ms = min(costs.values()) + EQUAL_MS
-    equal = [runner_id for runner_id, cost in costs.items() if cost <= most_ms]
+    max_equal_ms = min(costs.values()) + EQUAL_COST_MARGIN_MS
+    equal = [runner_id for runner_id, cost in costs.items() if cost <= max_equal_ms]
     in_zone = [runner_id for runner_id in equal if candidates[runner_id].zone == demand.zone]
     if len(equal) == 1:
         return equal[0], PlacementReason.LEAST_COST
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -17,8 +17,8 @@
 from bendshed.model.places import Distance, Places
 from bendshed.paths.echo import Echo
 from bendshed.paths.neighbours import Neighbours
-from bendshed.placement.cold_runners import ColdTerms
-from bendshed.placement.distance import DistanceCosts, LinkTerms
+from bendshed.placement.cold_runners import ColdRateLimit
+from bendshed.placement.distance import DistanceCosts, LinkSettings
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.placement.zones import ZoneUpdate
 from bendshed.policy import EVERYTHING, Policy
@@ -89,8 +89,8 @@
     policy: Policy = EVERYTHING
     quotas: QuotaTerms = EXACT
     groups: TurnGroups = ONE_GROUP
-    cold: ColdTerms = field(default_factory=ColdTerms)
-    links: LinkTerms = field(default_factory=LinkTerms)
+    cold: ColdRateLimit = field(default_factory=ColdRateLimit)
+    links: LinkSettings = field(default_factory=LinkSettings)
 
 
 class TurnLogNode:
@@ -199,7 +199,7 @@
     def _add_gauges(self, metrics: TurnLogMetrics, placement: TurnPlacement) -> None:
         ReplicaGauges(
             self.host,
-            tuple(self._groups.numbers),
+            tuple(self._groups.ids),
             self.directory,
             self._service,
             placement.cluster_load,
@@ -215,7 +215,7 @@
             self.neighbours.put(replica.address.host, replica.zone)
 
     def _take_distances(self, measured_ms: dict[Distance, float]) -> None:
-        self._distance.measured_ms = measured_ms
+        self._distance.measured_round_trip_ms = measured_ms
 
     def _other_replicas(self) -> list[Address]:
         nodes = self.directory.by_name.values()
@@ -240,8 +240,8 @@
     def take_zones(self, update: ZoneUpdate) -> None:
         """The registry itself said which zones are closed."""
         self.catalog.take_zones(update)
-        self.catalog.confirm(CatalogPart.ZONES, update.zones.at)
-        self.follower.note_zones(update.zones.at)
+        self.catalog.confirm(CatalogPart.ZONES, update.zones.revision)
+        self.follower.note_zones(update.zones.revision)
 
     def start(self) -> None:
         """Start all parts."""
--- a/tests/site_zone_defects.py
+++ b/tests/site_zone_defects.py
@@ -95,7 +95,7 @@
     )
 
 
-_REAL_TAKE = ZoneRecord.take
+_REAL_TAKE = ZoneRecord.apply
 
 
 def _take_any_word(record: ZoneRecord, word: ZoneUpdate, now_s: float) -> ZoneChanges:
@@ -106,7 +106,7 @@
 
 
 def _listen_to_older_words() -> contextlib.AbstractContextManager[object]:
-    return mock.patch.object(ZoneRecord, "take", _take_any_word)
+    return mock.patch.object(ZoneRecord, "apply", _take_any_word)
 
 
 ZONE_DEFECTS: dict[str, Defect] = {
@@ -124,6 +124,6 @@
     "nobody asks whether a zone is closed": Defect(
         Rule.CLOSED,
         a_zone_is_closed_and_opened,
-        patch(RunnerFilter, "may_get", lambda *_args: True),
+        patch(RunnerFilter, "allows", lambda *_args: True),
     ),
 }
