--- a/src/bendshed/consensus/bootstrap.py
+++ b/src/bendshed/consensus/bootstrap.py
@@ -30,7 +30,7 @@
         storage: LogStorage,
         registry: ReplicaRegistry,
         directory: ReplicaDirectory,
-        me: ReplicaNode,
+        local_node: ReplicaNode,
         num_voters: int,
         groups: TurnGroups,
     ) -> None:
@@ -38,7 +38,7 @@
         self._storage = storage
         self._registry = registry
         self._directory = directory
-        self._me = me
+        self._local_node = local_node
         self._num_voters = num_voters
         self._groups = groups
 
@@ -46,7 +46,7 @@
         """Write who and where this machine is, until the registry has taken it."""
         while True:
             try:
-                await self._registry.announce(self._me)
+                await self._registry.announce(self._local_node)
                 return
             except RegistryUnavailable as error:
                 log.say("announcement failed: registry unavailable", reason=str(error))
@@ -55,17 +55,17 @@
     async def run(self) -> None:
         """Bootstrap each group, or learn that it was."""
         started_s = asyncio.get_running_loop().time()
-        open_groups = [group for group in self._groups.ids if not self._is_settled(group)]
-        while open_groups:
+        pending_groups = [group for group in self._groups.ids if not self._is_bootstrapped(group)]
+        while pending_groups:
             waited_s = asyncio.get_running_loop().time() - started_s
             if self._may_bootstrap(waited_s):
-                open_groups = [
-                    group for group in open_groups if not await self._bootstrap_one(group)
+                pending_groups = [
+                    group for group in pending_groups if not await self._bootstrap_one(group)
                 ]
-            if open_groups:
+            if pending_groups:
                 await asyncio.sleep(BOOTSTRAP_RETRY_S)
 
-    def _is_settled(self, group_id: int) -> bool:
+    def _is_bootstrapped(self, group_id: int) -> bool:
         """Whether this machine has done its part in an earlier incarnation."""
         if group_id == FIRST_GROUP:
             return self._storage.is_bootstrapped()
@@ -73,10 +73,10 @@
 
     async def _bootstrap_one(self, group_id: int) -> bool:
         """Do this machine's part; ``False``: the registry does not answer."""
-        voters = await self._first_voters(group_id)
+        voters = await self._initial_voters(group_id)
         if not voters:
             return False
-        if self._me.node_id in voters and group_id not in self._host.groups:
+        if self._local_node.node_id in voters and group_id not in self._host.groups:
             self._host.bootstrap(group_id, GroupMembership(voters=voters))
             await self._host.flush()
             if group_id == FIRST_GROUP:
@@ -84,13 +84,13 @@
             log.say("group bootstrapped", group=group_id, voters=voters)
         return True
 
-    async def _first_voters(self, group_id: int) -> list[str]:
+    async def _initial_voters(self, group_id: int) -> list[str]:
         """Read the bootstrap record, or write it if there is none; empty: the registry is down."""
         try:
             voters = await self._registry.bootstrap_voters(group_id)
             if voters:
                 return voters
-            nodes = [DiskNode(n.node_id, n.zone) for n in self._directory.by_name.values()]
+            nodes = [DiskNode(node.node_id, node.zone) for node in self._directory.by_name.values()]
             home_zones = self._groups.home_zones(group_id)
             chosen = choose_replicas(group_id, nodes, self._num_voters, home_zones)
             return await self._registry.found(chosen, group_id)
