--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -25,7 +25,7 @@
                     self.assertTrue(all(set(quorum) & set(majority) for majority in majorities))
                     self.assertTrue(all(set(quorum) & set(other) for other in quorums))
 
-    def test_what_can_be_outlived(self) -> None:
+    def test_losses_that_a_group_survives(self) -> None:
         self.assertEqual(quorum_size(3, 3), 2)
         self.assertEqual(quorum_size(2, 1), 1)
         self.assertEqual(quorum_size(4, 2), 2)
@@ -35,12 +35,12 @@
 
 class OwnIdentityTest(unittest.TestCase):
     def test_an_old_announcement_does_not_supersede_this_process(self) -> None:
-        me = ReplicaNode("store-1", "new", Address("10.0.0.1", 7000), "a")
+        local_node = ReplicaNode("store-1", "new", Address("10.0.0.1", 7000), "a")
         old = ReplicaNode("store-1", "old", Address("10.0.0.1", 7000), "a")
-        directory = ReplicaDirectory(own_node=me)
-        directory.put(me)
+        directory = ReplicaDirectory(own_node=local_node)
+        directory.put(local_node)
         directory.put(old)
-        self.assertEqual(directory.by_name["store-1"], me)
+        self.assertEqual(directory.by_name["store-1"], local_node)
         self.assertEqual(directory.wiped, {"old"})
 
 
@@ -55,9 +55,9 @@
             for machine in self.world.stores.values()
             if machine.replica is not None and not machine.replica.host.groups
         )
-        self.take_away(standby)
+        self.remove(standby)
 
-    def take_away(self, machine: SimMachine) -> None:
+    def remove(self, machine: SimMachine) -> None:
         self.world.kill(machine)
         del self.world.stores[machine.name]
         del self.world.registry.announced[machine.name]
@@ -68,21 +68,21 @@
         self.world.run_for(0.4)
         self.world.restart(machine)
 
-    def wait_for_another_than(self, leader: SimMachine) -> None:
+    def wait_for_new_leader(self, leader: SimMachine) -> None:
         self.world.wait_for(lambda: self.world.leader() not in (None, leader), 5.0)
 
-    def test_the_last_voter_goes_on_alone_and_takes_the_empty_ones_in(self) -> None:
+    def test_last_voter_continues_alone_and_readmits_wiped_machines(self) -> None:
         start_programs(self.world)
         self.world.run_for(3.0)
         leaving = next(m for m in self.world.stores.values() if m is not self.world.leader())
         self.world.registry.retirements[leaving.name] = False
         self.world.wait_for(lambda: self.world.registry.retirements[leaving.name], 10.0)
-        self.take_away(leaving)
+        self.remove(leaving)
         for _ in range(3):
             leader = self.world.leader()
             assert leader is not None
             self.wipe(leader)
-            self.wait_for_another_than(leader)
+            self.wait_for_new_leader(leader)
             start_programs(self.world, 3)
             self.world.run_for(5.0)
         self.assertEqual(self.world.settle(), [])
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -33,7 +33,7 @@
             snapshot = wire.Snapshot(index=1, term=1, membership=membership)
             stored = StoredGroup(0, 1, "", snapshot, [])
             self.replicas[node] = RaftReplica(node, stored, random.Random(number))
-        self.waiting: dict[str, list[wire.ConsensusMessage]] = {}
+        self.held_messages: dict[str, list[wire.ConsensusMessage]] = {}
         self.num_entries_to: dict[str, int] = dict.fromkeys(VOTERS, 0)
         self._queue: deque[wire.ConsensusMessage] = deque()
 
@@ -50,20 +50,20 @@
     def deliver(self) -> None:
         while self._queue:
             message = self._queue.popleft()
-            if message.receiver in self.waiting:
-                self.waiting[message.receiver].append(message)
+            if message.receiver in self.held_messages:
+                self.held_messages[message.receiver].append(message)
             else:
                 self.perform(message.receiver, self.replicas[message.receiver].receive(message))
 
     def tick(self) -> None:
         for node, replica in self.replicas.items():
-            if node not in self.waiting:
+            if node not in self.held_messages:
                 self.perform(node, replica.tick())
         self.deliver()
 
-    def wake(self, node: str, num_lost: int) -> None:
+    def resume(self, node: str, num_lost: int) -> None:
         """What waits arrives, but for the first messages."""
-        for message in self.waiting.pop(node)[num_lost:]:
+        for message in self.held_messages.pop(node)[num_lost:]:
             self.perform(node, self.replicas[node].receive(message))
         self.deliver()
 
@@ -81,10 +81,10 @@
                     return replica
         raise AssertionError("nobody leads")
 
-    def stand_still(self) -> str:
+    def pause_follower(self) -> str:
         """A follower stands still while entries are committed."""
         follower = next(node for node in VOTERS if node != self.leader.node_id)
-        self.group.waiting[follower] = []
+        self.group.held_messages[follower] = []
         for number in range(NUM_ENTRIES):
             _, effects = self.leader.propose(b"%d" % number)
             self.group.perform(self.leader.node_id, effects)
@@ -93,22 +93,22 @@
         self.assertEqual(self.leader.commit_index, self.leader.last_index)
         return follower
 
-    def is_whole(self, follower: str) -> bool:
+    def has_whole_log(self, follower: str) -> bool:
         return self.group.replicas[follower].last_index == self.leader.last_index
 
-    def test_many_rejections_bring_the_same_entries_once(self) -> None:
-        follower = self.stand_still()
+    def test_many_rejections_resend_the_same_entries_once(self) -> None:
+        follower = self.pause_follower()
         self.group.num_entries_to[follower] = 0
-        self.group.wake(follower, NUM_LOST)
+        self.group.resume(follower, NUM_LOST)
         self.assertLessEqual(self.group.num_entries_to[follower], 2 * NUM_ENTRIES)
-        self.assertTrue(self.is_whole(follower))
+        self.assertTrue(self.has_whole_log(follower))
 
     def test_entries_that_are_lost_again_are_sent_again(self) -> None:
-        follower = self.stand_still()
-        self.group.wake(follower, len(self.group.waiting[follower]))
-        self.group.waiting[follower] = []
+        follower = self.pause_follower()
+        self.group.resume(follower, len(self.group.held_messages[follower]))
+        self.group.held_messages[follower] = []
         self.group.tick()
-        self.group.wake(follower, len(self.group.waiting[follower]))
+        self.group.resume(follower, len(self.group.held_messages[follower]))
         for _ in range(MAX_TICKS):
             self.group.tick()
-        self.assertTrue(self.is_whole(follower))
+        self.assertTrue(self.has_whole_log(follower))
