--- a/tests/test_introductions.py
+++ b/tests/test_introductions.py
@@ -14,8 +14,8 @@
 
 LOOP_ITERATIONS = 6
 LOCAL_NODE = ReplicaNode("me", "me-1", Address("10.0.0.1", 1), "zone-a")
-OLD = ReplicaNode("peer", "peer-1", Address("10.0.0.2", 1), "zone-b")
-NEW = ReplicaNode("peer", "peer-2", Address("10.0.0.2", 1), "zone-b")
+FORMER_NODE = ReplicaNode("peer", "peer-1", Address("10.0.0.2", 1), "zone-b")
+CURRENT_NODE = ReplicaNode("peer", "peer-2", Address("10.0.0.2", 1), "zone-b")
 
 
 class IntroductionsTest(unittest.IsolatedAsyncioTestCase):
@@ -30,7 +30,7 @@
             self.directory,
             self.host,
             LOCAL_NODE,
-            lambda: [LOCAL_NODE.node_id, OLD.node_id, NEW.node_id],
+            lambda: [LOCAL_NODE.node_id, FORMER_NODE.node_id, CURRENT_NODE.node_id],
             self.answered.append,
         )
 
@@ -43,52 +43,52 @@
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
 
-    async def test_a_machine_says_that_its_former_identity_is_lost(self) -> None:
-        self.directory.put(OLD)
-        self.transport.request.return_value = to_wire(NEW).SerializeToString()
+    async def test_reply_marks_the_former_identity_as_wiped(self) -> None:
+        self.directory.put(FORMER_NODE)
+        self.transport.request.return_value = to_wire(CURRENT_NODE).SerializeToString()
         await self.ask_once()
-        self.assertEqual(self.directory.wiped, {OLD.node_id})
-        self.assertEqual(set(self.answered), {NEW.node_id})
+        self.assertEqual(self.directory.wiped, {FORMER_NODE.node_id})
+        self.assertEqual(set(self.answered), {CURRENT_NODE.node_id})
 
-    async def test_an_identity_that_answers_is_not_lost(self) -> None:
-        self.directory.put(NEW)
-        self.directory.put(OLD)
-        self.assertEqual(self.directory.wiped, {NEW.node_id})
-        self.transport.request.return_value = to_wire(NEW).SerializeToString()
+    async def test_identity_that_answers_is_not_wiped(self) -> None:
+        self.directory.put(CURRENT_NODE)
+        self.directory.put(FORMER_NODE)
+        self.assertEqual(self.directory.wiped, {CURRENT_NODE.node_id})
+        self.transport.request.return_value = to_wire(CURRENT_NODE).SerializeToString()
         await self.ask_once()
-        self.assertEqual(self.directory.wiped, {OLD.node_id})
-        self.assertEqual(self.directory.resolve(NEW.node_id), NEW.address)
+        self.assertEqual(self.directory.wiped, {FORMER_NODE.node_id})
+        self.assertEqual(self.directory.resolve(CURRENT_NODE.node_id), CURRENT_NODE.address)
 
-    async def test_a_word_that_came_meanwhile_stays(self) -> None:
-        self.directory.put(OLD)
+    async def test_announcement_received_meanwhile_is_kept(self) -> None:
+        self.directory.put(FORMER_NODE)
 
         async def answer(*_request: object) -> bytes:
-            node = NEW if OLD.node_id in self.directory.wiped else OLD
-            self.directory.put(NEW)
+            node = CURRENT_NODE if FORMER_NODE.node_id in self.directory.wiped else FORMER_NODE
+            self.directory.put(CURRENT_NODE)
             return to_wire(node).SerializeToString()
 
         self.transport.request.side_effect = answer
         await self.ask_once()
-        self.assertEqual(self.directory.wiped, {OLD.node_id})
-        self.assertNotIn(OLD.node_id, self.answered)
+        self.assertEqual(self.directory.wiped, {FORMER_NODE.node_id})
+        self.assertNotIn(FORMER_NODE.node_id, self.answered)
 
-    async def test_silence_and_a_version_without_the_method_change_nothing(self) -> None:
-        self.directory.put(OLD)
+    async def test_timeout_or_unknown_method_changes_nothing(self) -> None:
+        self.directory.put(FORMER_NODE)
         for error in (PeerUnreachable("silent"), PeerUnreachable("no method", is_silent=False)):
             self.transport.request.side_effect = error
             await self.ask_once()
         self.assertEqual((self.directory.wiped, self.answered), (set(), []))
 
-    async def test_who_asks_is_taken_and_answered(self) -> None:
+    async def test_requester_is_recorded_and_answered(self) -> None:
         self.introductions.start()
-        hello = to_wire(OLD).SerializeToString()
+        hello = to_wire(FORMER_NODE).SerializeToString()
         reply = await self.transport.handlers[INTRODUCE_METHOD](hello)
         self.assertEqual(from_wire(wire.ReplicaHello.FromString(reply)), LOCAL_NODE)
-        self.assertEqual(self.directory.resolve(OLD.node_id), OLD.address)
+        self.assertEqual(self.directory.resolve(FORMER_NODE.node_id), FORMER_NODE.address)
 
-    async def test_a_machine_whose_disk_hangs_does_not_say_who_it_is(self) -> None:
+    async def test_machine_with_a_stalled_disk_replies_empty(self) -> None:
         self.introductions.start()
         self.host.flush.side_effect = TimeoutError
-        hello = to_wire(OLD).SerializeToString()
+        hello = to_wire(FORMER_NODE).SerializeToString()
         self.assertEqual(await self.transport.handlers[INTRODUCE_METHOD](hello), b"")
-        self.assertEqual(self.directory.resolve(OLD.node_id), OLD.address)
+        self.assertEqual(self.directory.resolve(FORMER_NODE.node_id), FORMER_NODE.address)
