--- a/tests/test_silent_groups.py
+++ b/tests/test_silent_groups.py
@@ -21,11 +21,11 @@
 
 GROUP = 0
 METHOD = "say"
-GUARD_S = 30.0
+REQUEST_TIMEOUT_S = 30.0
 """Ends a request that hangs; a busy machine may take its time for one that is answered."""
 TICK_S = 0.025
-TRY_S = 0.1
-NUM_TRIES = 120
+ATTEMPT_TIMEOUT_S = 0.1
+NUM_ATTEMPTS = 120
 """Tries of a commit, one after the other: 12 s, the time within which service has to be back."""
 
 
@@ -79,27 +79,27 @@
         for proxy in self.proxies:
             await proxy.stop()
 
-    async def commits(self) -> bool:
-        """Whether any replica commits a command."""
-        for number in range(NUM_TRIES):
+    async def can_commit(self) -> bool:
+        """Whether any replica can_commit a command."""
+        for number in range(NUM_ATTEMPTS):
             try:
-                await self.hosts[number % len(self.hosts)].propose(GROUP, b"x", TRY_S)
+                await self.hosts[number % len(self.hosts)].propose(GROUP, b"x", ATTEMPT_TIMEOUT_S)
             except NotLeader:
-                await self.wait_for_role()
+                await self.wait_for_role_change()
             except (NotCommitted, CommitUnknown):
                 continue
             else:
                 return True
         return False
 
-    async def wait_for_role(self) -> None:
+    async def wait_for_role_change(self) -> None:
         """Wait until a replica takes another role, or as long as a try takes."""
         self.role_changed.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(TRY_S):
+            async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
                 await self.role_changed.wait()
 
-    async def open_all(self) -> None:
+    async def open_all_connections(self) -> None:
         """Open each connection that any replica may use; those opened later are not silent."""
 
         async def answer(payload: bytes) -> bytes:
@@ -109,11 +109,11 @@
             transport.handlers[METHOD] = answer
         for transport in self.transports:
             for address in self.addresses:
-                await transport.request(address, METHOD, b"", GUARD_S)
+                await transport.request(address, METHOD, b"", REQUEST_TIMEOUT_S)
 
-    async def test_it_commits_again(self) -> None:
-        await self.open_all()
-        self.assertTrue(await self.commits())
+    async def test_group_commits_after_connections_fall_silent(self) -> None:
+        await self.open_all_connections()
+        self.assertTrue(await self.can_commit())
         for proxy in self.proxies:
             proxy.fall_silent()
-        self.assertTrue(await self.commits())
+        self.assertTrue(await self.can_commit())
