--- a/tests/test_compaction.py
+++ b/tests/test_compaction.py
@@ -21,7 +21,7 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    def test_a_store_that_comes_empty_is_filled_by_a_snapshot(self) -> None:
+    def test_empty_store_is_filled_by_a_snapshot(self) -> None:
         world = SiteWorld.started(1)
         self.addCleanup(world.close)
         for _ in range(3):
@@ -38,8 +38,8 @@
                 self.assertEqual(leader_loses_its_disk(seed), [])
 
 
-class LengthTest(unittest.TestCase):
-    def test_a_log_counts_the_data_that_it_holds(self) -> None:
+class LogSizeTest(unittest.TestCase):
+    def test_log_counts_the_bytes_that_it_holds(self) -> None:
         log = ReplicaLog(wire.Snapshot(index=0, term=0))
         log.extend([entry(index, 100) for index in range(1, 11)])
         self.assertEqual(log.num_bytes, 1000)
@@ -48,7 +48,7 @@
         log.compact(wire.Snapshot(index=3, term=1))
         self.assertEqual((log.num_bytes, len(log.entries)), (500, 5))
 
-    def test_nodes_compact_at_different_lengths(self) -> None:
+    def test_nodes_compact_at_different_sizes(self) -> None:
         lengths = {stagger_limit(1000, f"node-{number}") for number in range(40)}
         self.assertGreater(len(lengths), 3)
         self.assertTrue(all(1000 <= length <= 1400 for length in lengths))
--- a/tests/test_disk_stall.py
+++ b/tests/test_disk_stall.py
@@ -47,7 +47,7 @@
         self.stall(self.leader())
         self.assert_serves()
 
-    def test_a_stalled_leader_lets_another_lead(self) -> None:
+    def test_stalled_leader_transfers_leadership(self) -> None:
         before = self.leader()
         self.stall(before)
         self.world.start_program(ProgramPlan(turns=20, tools=0), budget_tokens=100_000)
@@ -55,7 +55,7 @@
         self.assertIsNot(self.leader(), before)
         self.assert_serves()
 
-    def test_a_late_loop_is_told_from_a_single_late_tick(self) -> None:
+    def test_single_late_tick_is_no_loop_stall(self) -> None:
         detector = StallDetector()
         for delay_s in (0.0,) * 39 + (2.0,):
             detector.record_tick(delay_s)
@@ -64,11 +64,11 @@
             detector.record_tick(MAX_MEAN_TICK_DELAY_S)
         self.assertIs(detector.detect(0.0), Stall.LOOP)
 
-    def test_a_stalled_follower_costs_nothing(self) -> None:
+    def test_stalled_follower_does_not_delay_commits(self) -> None:
         self.stall(next(store for store in self.voters() if store is not self.leader()))
         self.assert_serves()
 
-    def test_without_a_majority_of_disks_nothing_counts_as_kept(self) -> None:
+    def test_nothing_is_acknowledged_without_a_majority_of_disks(self) -> None:
         for store in self.voters()[:2]:
             self.stall(store)
         program = self.world.start_program(ProgramPlan(turns=2, tools=0))
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -40,7 +40,7 @@
         database.commit()
         database.close()
 
-    def test_writes_outlive_the_process(self) -> None:
+    def test_writes_survive_a_restart(self) -> None:
         node_id = self.commit(
             GroupWrite(3, term=2, voted_for="n", entries=entries(1, 5)),
             GroupWrite(3, truncate_from=4, entries=entries(4, 4, term=2)),
@@ -75,7 +75,7 @@
         lines = Path("/proc/self/io").read_text().splitlines()
         return int(next(line for line in lines if line.startswith("wchar")).split()[1])
 
-    def test_a_folder_of_the_former_layout_is_read(self) -> None:
+    def test_legacy_schema_is_migrated(self) -> None:
         node_id = self.commit()
         database = sqlite3.connect(self.folder / "log.sqlite")
         snapshot = GroupSnapshot(index=5, term=2, state=b"kept").SerializeToString()
@@ -96,7 +96,7 @@
             self.assertEqual(storage.node_id(), node_id)
             storage.close()
 
-    def test_the_check_at_the_start_reads_the_log_once(self) -> None:
+    def test_startup_check_reads_the_log_once(self) -> None:
         self.commit(GroupWrite(1, entries=entries(1, 3)))
         with mock.patch.object(SqliteLogStorage, "_load", autospec=True) as load:
             load.side_effect = REAL_LOAD
@@ -105,14 +105,14 @@
             self.assertEqual(load.call_count, 1)
         storage.close()
 
-    def test_a_torn_tail_is_cut(self) -> None:
+    def test_torn_last_entry_is_truncated(self) -> None:
         self.commit(GroupWrite(1, entries=entries(1, 3)))
         self.damage(3)
         storage = SqliteLogStorage(self.folder)
         self.assertEqual([e.index for e in storage.load()[0].entries], [1, 2])
         storage.close()
 
-    def test_a_corrupt_middle_gives_a_new_identity(self) -> None:
+    def test_corrupt_entry_before_the_last_gives_a_new_identity(self) -> None:
         old_id = self.commit(GroupWrite(1, entries=entries(1, 3)))
         self.damage(2)
         storage = SqliteLogStorage(self.folder)
