--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -10,8 +10,8 @@
 from bendshed.rehearsal.site.sim_disruption import Disruption
 from bendshed.rehearsal.site.sim_world import SimMachine
 
-LONGER_THAN_THE_PLAY_S = 100.0
-QUIET_S = 5.0
+BEYOND_SCENARIO_S = 100.0
+SETTLE_S = 5.0
 
 
 class PowerLossCase(unittest.TestCase):
@@ -23,12 +23,12 @@
         self.world = ClosingWorld.opened(self.seed)
         self.addCleanup(self.world.close)
 
-    def check_serves_after(self, victim: SimMachine | None) -> None:
+    def check_serves_after_power_loss(self, victim: SimMachine | None) -> None:
         self.assertTrue(self.world.is_led())
         self.assertEqual(self.world.close_down(victim), [])
 
 
-class FrontsOnDiskTest(PowerLossCase):
+class SavedFrontsTest(PowerLossCase):
     """Fronts wait for a store to greet them, and no store that kept its disk knows them.
 
     Seen: no request is served for as long as the platform's store is silent, though a leader stands
@@ -40,11 +40,11 @@
 
     seed = 1213
 
-    def test_a_store_greets_fronts_that_followed_another(self) -> None:
-        self.world.run_for(QUIET_S)
+    def test_store_sends_hello_to_fronts_of_another_store(self) -> None:
+        self.world.run_for(SETTLE_S)
         followed = next(m for m in self.world.stores.values() if _fronts_of(m))
-        self.world.disrupt(Disruption.DOWN, LONGER_THAN_THE_PLAY_S)
-        self.check_serves_after(followed)
+        self.world.disrupt(Disruption.DOWN, BEYOND_SCENARIO_S)
+        self.check_serves_after_power_loss(followed)
 
 
 class TwoVotersTest(PowerLossCase):
@@ -62,13 +62,13 @@
         CLOSINGS.apply(self.world, Step(Trouble.RETIRE, 1, 1.0))
         self.assertTrue(self.world.may_lose())
 
-    def test_a_survivor_learns_that_the_other_lost_its_disk(self) -> None:
+    def test_survivor_learns_that_the_other_voter_lost_its_disk(self) -> None:
         victim = self.world.stores["store-3"]
-        self.world.disrupt(Disruption.REFUSES_SOME, LONGER_THAN_THE_PLAY_S, [victim])
-        self.check_serves_after(victim)
+        self.world.disrupt(Disruption.REFUSES_SOME, BEYOND_SCENARIO_S, [victim])
+        self.check_serves_after_power_loss(victim)
 
 
-class SuccessorTest(PowerLossCase):
+class ReturningSuccessorTest(PowerLossCase):
     """A successor that was away for a while is left alone long after it is back.
 
     Seen: no leader after a loss of power of all in which one disk was lost. How: a store is
@@ -78,15 +78,15 @@
     store is still a voter. Proof: the voters at the loss of power are the first three.
     """
 
-    AWAY_S = 6.6
+    OUTAGE_S = 6.6
 
-    def test_a_successor_that_is_back_is_taken_in_again(self) -> None:
+    def test_successor_that_returns_is_added_again(self) -> None:
         CLOSINGS.apply(self.world, Step(Trouble.REPLACE, 0, 0.0))
         successor = next(name for name in sorted(self.world.stores) if "next" in name)
         which = sorted(self.world.stores).index(successor)
-        CLOSINGS.apply(self.world, Step(Trouble.CUT_FROM_ALL, which, self.AWAY_S / MAX_TROUBLE_S))
+        CLOSINGS.apply(self.world, Step(Trouble.CUT_FROM_ALL, which, self.OUTAGE_S / MAX_TROUBLE_S))
         self.assertTrue(self.world.may_lose())
-        self.check_serves_after(self.world.stores["store-2"])
+        self.check_serves_after_power_loss(self.world.stores["store-2"])
 
 
 class OlderAnnouncementTest(PowerLossCase):
@@ -100,16 +100,16 @@
     identity among the lost ones, has no address for it, and has no quorum.
     """
 
-    def test_what_was_known_to_be_lost_stays_so(self) -> None:
+    def test_wiped_identities_survive_a_restart(self) -> None:
         older = dict(self.world.registry.announced)
         CLOSINGS.apply(self.world, Step(Trouble.LOSE_DISK, 1, 0.1))
         self.assertTrue(self.world.may_lose())
-        self.world.disrupt(Disruption.STALE, LONGER_THAN_THE_PLAY_S)
+        self.world.disrupt(Disruption.STALE, BEYOND_SCENARIO_S)
         self.world.disrupted.listed = older
-        self.check_serves_after(self.world.stores["store-3"])
+        self.check_serves_after_power_loss(self.world.stores["store-3"])
 
 
-class UnknownPastTest(PowerLossCase):
+class UnknownFormerIdentityTest(PowerLossCase):
     """A store that is alive is taken for lost by one that came later.
 
     Seen: as above. How: as above, and the survivor joined after the first disk was lost, so it
@@ -119,14 +119,14 @@
     the newer one.
     """
 
-    def test_the_word_of_a_machine_itself_decides(self) -> None:
+    def test_direct_reply_decides_which_identity_is_current(self) -> None:
         older = dict(self.world.registry.announced)
         CLOSINGS.apply(self.world, Step(Trouble.LOSE_DISK, 1, 0.1))
         CLOSINGS.apply(self.world, Step(Trouble.REPLACE, 0, 0.1))
         self.assertTrue(self.world.may_lose())
-        self.world.disrupt(Disruption.STALE, LONGER_THAN_THE_PLAY_S)
+        self.world.disrupt(Disruption.STALE, BEYOND_SCENARIO_S)
         self.world.disrupted.listed = older
-        self.check_serves_after(self.world.stores["store-3"])
+        self.check_serves_after_power_loss(self.world.stores["store-3"])
 
 
 class RemovedMachinesTest(PowerLossCase):
@@ -141,17 +141,17 @@
 
     NUM_REPLACED = 7
 
-    def test_a_machine_that_answers_is_taken_in_first(self) -> None:
+    def test_machine_that_answers_is_added_first(self) -> None:
         for number in range(self.NUM_REPLACED):
             oldest = min(self.world.stores.values(), key=_number)
             which = sorted(self.world.stores).index(oldest.name)
             CLOSINGS.apply(self.world, Step(Trouble.REPLACE, which, 0.0))
             self.assertTrue(self.world.may_lose())
             self.assertTrue(self.world.is_led(), number)
-        self.check_serves_after(min(self.world.stores.values(), key=_number))
+        self.check_serves_after_power_loss(min(self.world.stores.values(), key=_number))
 
 
-class RebalancedTest(PowerLossCase):
+class RebalanceDuringLossTest(PowerLossCase):
     """A live voter leaves for a better placed machine while another voter is already gone.
 
     Seen: no leader after a loss of power of all, though only the newest store lost its disk. How:
@@ -161,20 +161,20 @@
     the newcomer; the store that left holds the log and has no vote.
     """
 
-    BETWEEN_S = 0.6
+    LOSS_DELAY_S = 0.6
 
-    def test_no_voter_leaves_while_another_is_unheard(self) -> None:
+    def test_no_voter_is_removed_while_another_is_unresponsive(self) -> None:
         for which in (4, 2):
             CLOSINGS.apply(self.world, Step(Trouble.REPLACE, which, 0.0))
-            self.world.run_for(QUIET_S)
+            self.world.run_for(SETTLE_S)
         self.assertTrue(self.world.may_lose())
         CLOSINGS.apply(self.world, Step(Trouble.REPLACE, 1, 0.0))
-        self.world.run_for(self.BETWEEN_S)
+        self.world.run_for(self.LOSS_DELAY_S)
         newest = max(self.world.stores.values(), key=_number)
-        self.check_serves_after(newest)
+        self.check_serves_after_power_loss(newest)
 
 
-class SuccessorsFirstMomentsTest(unittest.TestCase):
+class NewVoterLosesDiskTest(unittest.TestCase):
     """A successor loses its disk in the moment in which it and the removed voter both vote.
 
     Seen: no leader after a loss of power of all in which the newest store alone lost its disk, at
@@ -184,21 +184,21 @@
     """
 
     seed = 1
-    MOMENTS_S = (1.05, 1.1, 1.15, 1.2, 1.25)
+    DELAYS_S = (1.05, 1.1, 1.15, 1.2, 1.25)
 
     def setUp(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def test_the_site_serves_whenever_it_happens(self) -> None:
-        broken = {moment_s: self.broken_at(moment_s) for moment_s in self.MOMENTS_S}
-        self.assertEqual(broken, {moment_s: [] for moment_s in self.MOMENTS_S})
+    def test_site_serves_after_each_delay(self) -> None:
+        violations = {delay_s: self.violations_after(delay_s) for delay_s in self.DELAYS_S}
+        self.assertEqual(violations, {delay_s: [] for delay_s in self.DELAYS_S})
 
-    def broken_at(self, moment_s: float) -> list[Broken]:
+    def violations_after(self, delay_s: float) -> list[Broken]:
         world = ClosingWorld.opened(self.seed)
         try:
             CLOSINGS.apply(world, Step(Trouble.REPLACE, 1, 0.0))
-            world.run_for(moment_s)
+            world.run_for(delay_s)
             return world.close_down(max(world.stores.values(), key=_number))
         finally:
             world.close()
