--- a/src/bendshed/consensus/followers.py
+++ b/src/bendshed/consensus/followers.py
@@ -1,24 +1,24 @@
-"""What the leader of a group knows of the other replicas. Pure."""
+"""A leader's replication state for each follower. No I/O."""
 
 from collections.abc import Collection, Iterable, Iterator
 from dataclasses import dataclass, field
 
 RESEND_TIMEOUT_TICKS = 6
 """Rejections within two heartbeats of a resend answer messages that were sent before it: a follower
-that lacks one of hundreds in flight rejects all that come behind it."""
+that misses one of hundreds of messages in flight rejects all that follow it."""
 
 
 @dataclass(slots=True)
 class Progress:
-    """What the leader knows of one follower.
+    """Replication state of one follower.
 
     Attributes:
-        next_index: first entry to send next.
-        match_index: last entry known to be durable there.
+        next_index: index of the next entry to send.
+        match_index: last entry known to be durable on the follower.
         ticks_since_reply: ticks since its last reply.
-        pending_snapshot_index: index of a snapshot under way; 0: none.
-        resend_index: first entry that was sent again after a rejection; 0: none since it caught up.
-        ticks_since_resend: ticks since then.
+        pending_snapshot_index: index of a snapshot in transfer; 0: none.
+        resend_index: first entry that was resent after a rejection; 0: none since it caught up.
+        ticks_since_resend: ticks since that resend.
 
     """
 
@@ -30,11 +30,11 @@
     ticks_since_resend: int = 0
 
     def is_resend_in_flight(self, first_index: int) -> bool:
-        """Whether entries from this one on were sent again so lately that they may arrive yet."""
+        """Whether entries from this one on were resent so recently that they may still arrive."""
         return self.resend_index == first_index and self.ticks_since_resend < RESEND_TIMEOUT_TICKS
 
     def record_resend(self, first_index: int) -> None:
-        """Entries from this one on are sent again."""
+        """Record that entries from this one on are resent."""
         self.resend_index = first_index
         self.ticks_since_resend = 0
 
@@ -44,7 +44,7 @@
     """The leader's followers by node id; empty at any other replica.
 
     Attributes:
-        node_id: the replica itself, never a follower.
+        node_id: this replica, which is never a follower.
 
     """
 
@@ -61,26 +61,26 @@
         return self._progress[node]
 
     def get(self, node: str) -> Progress | None:
-        """Progress of a follower; ``None``: it is none."""
+        """Progress of a follower; ``None`` if the node is not one."""
         return self._progress.get(node)
 
     def reset(self, followers: Iterable[str], next_index: int) -> None:
-        """Begin again, with nothing known of any replica."""
+        """Start over with no known progress of any follower."""
         self._progress = {node: Progress(next_index) for node in followers}
 
     def clear(self) -> None:
-        """This replica does not lead any more."""
+        """Drop all progress when this replica stops leading."""
         self._progress = {}
 
     def update_members(self, followers: Collection[str], next_index: int) -> None:
-        """The membership changed: retain what is known of those that stay."""
+        """Apply a membership change; the progress of remaining followers is kept."""
         for node in followers:
             self._progress.setdefault(node, Progress(next_index))
         for node in set(self._progress) - set(followers):
             del self._progress[node]
 
     def tick(self) -> None:
-        """One unit of time has passed."""
+        """Advance the time by one tick."""
         for progress in self._progress.values():
             progress.ticks_since_reply += 1
             progress.ticks_since_resend += 1
@@ -101,14 +101,14 @@
         ]
 
     def most_advanced(self, voters: Iterable[str], ticks: int) -> str | None:
-        """Follower that replied lately and holds the most of the log."""
+        """Recently replying follower that holds the most of the log; ``None`` if none replied."""
         alive = [node for node in self.recently_replied(voters, ticks) if node != self.node_id]
         if not alive:
             return None
         return max(sorted(alive), key=lambda node: self._progress[node].match_index)
 
     def quorum_index(self, voters: Collection[str], own_index: int, quorum: int) -> int:
-        """Highest index that a quorum of the voters holds durably; 0: there are too few."""
+        """Highest index that is durable on a quorum of voters; 0 if there are too few voters."""
         if len(voters) < quorum:
             return 0
         matches = sorted(
@@ -118,7 +118,7 @@
         return matches[len(matches) - quorum]
 
     def caught_up(self, nodes: Iterable[str], last_index: int, max_lag: int) -> list[str]:
-        """Those of ``nodes`` that lack at most ``max_lag`` entries."""
+        """Followers among ``nodes`` that lack at most ``max_lag`` entries."""
         return [
             node
             for node in nodes
--- a/src/bendshed/consensus/membership_plan.py
+++ b/src/bendshed/consensus/membership_plan.py
@@ -1,4 +1,4 @@
-"""Which membership change a small group needs next: a pure decision, one replica at a time."""
+"""Decides the next membership change of a small group, one replica at a time. No I/O."""
 
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass, field
@@ -9,18 +9,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanInputs:
-    """What the leader knows when it decides.
+    """What the leader knows when it plans a membership change.
 
     Attributes:
-        leader_id: the leader itself.
-        wiped: identities whose disk is lost for good.
+        leader_id: identity of the leader, which makes the plan.
+        wiped: identities whose disk is lost permanently.
         silent: members without a reply for long enough to be replaced.
-        retiring: identities that are to be emptied.
+        retiring: identities of machines that are to be emptied.
         caught_up: learners that hold nearly the whole log.
         candidates: live processes that hold no replica, best first.
-        num_voters: wanted voters.
-        places: zones of nodes, so that voters survive the loss of a zone.
-        unresponsive: members without a reply for a moment: they may be silent_voters, or not.
+        num_voters: desired number of voters.
+        topology: zones of the nodes, so that the voters survive the loss of a zone.
+        unresponsive: members without a reply for a short time, which may or may not have failed.
 
     """
 
@@ -35,26 +35,25 @@
     unresponsive: Collection[str] = ()
 
     def may_remove(self, voters: Collection[str], node: str) -> bool:
-        """Whether one voter may leave: a live one only while all others are heard.
+        """Whether a voter may be removed: a live one only while all others are responsive.
 
-        If another is silent_voters and its successor among the voters, a loss of the successor's
-        disk would
-        leave too few.
+        If another voter has failed and its successor already votes, losing the successor's disk
+        would leave too few voters.
         """
         others = [voter for voter in voters if voter not in (node, self.leader_id)]
         return node in self.silent or not any(voter in self.unresponsive for voter in others)
 
     def needs_replacement(self, node: str) -> bool:
-        """Whether a voter is to be replaced."""
+        """Whether a voter is silent or retiring."""
         return node in self.silent or node in self.retiring
 
 
 def plan_membership(current: GroupMembership, inputs: PlanInputs) -> GroupMembership | None:
-    """Return the next step towards ``num_voters`` sound voters; ``None``: nothing to do now.
+    """Return the next step towards ``num_voters`` healthy voters; ``None`` if there is none now.
 
-    A wiped voter is removed at once: it can neither vote nor come back. A silent or retiring one
-    stays until a successor has caught up, and so does one in a worse zone than a free machine
-    would. A leader never removes itself.
+    A wiped voter is removed at once: it can neither vote nor return. A silent or retiring voter
+    stays until a successor has caught up, and so does a voter in a worse zone than that of an
+    available machine. A leader never removes itself.
     """
     voters, learners = list(current.voters), list(current.learners)
     obsolete = [node for node in learners if node in inputs.wiped or inputs.needs_replacement(node)]
@@ -76,11 +75,12 @@
 
 
 def _replace(current: GroupMembership, inputs: PlanInputs) -> GroupMembership | None:
-    """A learner that has caught up takes a voter's place.
+    """Replace a voter by a learner that has caught up.
 
-    A silent voter goes before its successor votes: beside it, a majority would need one voter more,
-    and a loss of the successor's disk would leave too few. Of two voters none goes first: with the
-    learner the other makes a majority, alone it would be the only copy.
+    A silent voter is removed before its successor votes: with both as voters a majority would need
+    one voter more, and losing the successor's disk would leave too few. Of two voters none is
+    removed first: the other one forms a majority with the learner, but alone it would hold the only
+    copy.
     """
     ready = [node for node in current.learners if node in inputs.caught_up]
     silent_voters = [
@@ -92,7 +92,7 @@
 
 
 def _promote(current: GroupMembership, ready: Sequence[str]) -> GroupMembership | None:
-    """A learner that has caught up becomes a voter."""
+    """Make a learner that has caught up a voter."""
     if not ready:
         return None
     learners = [node for node in current.learners if node != ready[0]]
@@ -102,13 +102,13 @@
 def _remove_surplus(
     current: GroupMembership, to_replace: Sequence[str], inputs: PlanInputs
 ) -> GroupMembership | None:
-    """More voters than wanted: one goes, and of equals the one without which the rest is best.
+    """Remove one of too many voters: among equals the one whose removal leaves the best placement.
 
-    A silent one goes before one that still votes while it waits to be emptied.
+    A silent voter is removed before a retiring one, which still votes.
     """
     removable = [node for node in to_replace if node != inputs.leader_id]
     if to_replace and not removable:
-        return None  # the leader itself is to go; it hands over first
+        return None  # the leader itself is to be removed; it transfers leadership first
     silent = [node for node in removable if node in inputs.silent]
     others = silent or removable or [node for node in current.voters if node != inputs.leader_id]
     leaving = inputs.topology.choose_removal(current.voters, others)
@@ -116,10 +116,10 @@
 
 
 def _improve_placement(current: GroupMembership, inputs: PlanInputs) -> GroupMembership | None:
-    """Enough sound voters: take in a machine whose zone is better than that of one of them.
+    """With enough healthy voters, add a machine whose zone is better than that of one of them.
 
-    Each exchange leaves the voters strictly better, so exchanges end. None begins while a voter is
-    unresponsive.
+    Each exchange strictly lowers the placement cost, so exchanges terminate. None starts while a
+    voter is unresponsive.
     """
     if any(node in inputs.unresponsive for node in current.voters):
         return None
@@ -133,7 +133,7 @@
 
 
 def _improves_placement(current: GroupMembership, node: str, inputs: PlanInputs) -> bool:
-    """Whether voters are spread better with ``node`` in place of one that is not the leader."""
+    """Whether replacing a voter other than the leader by ``node`` improves the placement."""
     voters = list(current.voters)
     others = [voter for voter in voters if voter != inputs.leader_id]
     if not others:
@@ -148,7 +148,7 @@
 
 
 def _remove_retiring_voter(current: GroupMembership, inputs: PlanInputs) -> GroupMembership | None:
-    """No machine is free to take over: a retiring voter still goes while two others remaining."""
+    """Without an available machine, remove a retiring voter while two others remain."""
     leaving = [n for n in current.voters if n in inputs.retiring and n != inputs.leader_id]
     remaining = [n for n in current.voters if not inputs.needs_replacement(n)]
     if leaving and len(remaining) >= 2 and inputs.may_remove(current.voters, leaving[0]):
--- a/src/bendshed/consensus/quorum.py
+++ b/src/bendshed/consensus/quorum.py
@@ -1,13 +1,14 @@
-"""How many voters an election and a commit need, when some are known to be lost for good. Pure."""
+"""Quorum size when some voters are known to be lost permanently. No I/O."""
 
 
 def quorum_size(num_voters: int, num_survivors: int) -> int:
-    """Voters that an election and a commit need.
+    """Number of voters that an election and a commit need.
 
-    A majority of all voters while that many survive. With fewer, all survivors, if they meet every
-    majority of the voters: then each committed entry is on one of them, and the most advanced of
-    them holds all. So two voters outlive the loss of one disk, four that of two; three voters do
-    not outlive two. Where that does not hold either, a majority is required, which cannot come.
+    A majority of all voters while that many survive. With fewer survivors, all of them, provided
+    that they intersect every majority of the voters: then each committed entry is on at least one
+    of them, and the most advanced holds all. So two voters survive the loss of one disk and four
+    that of two, but three do not survive two. If the survivors do not intersect every majority, a
+    majority is required, which is then unreachable.
     """
     majority = num_voters // 2 + 1
     if num_survivors >= majority:
