--- a/src/bendshed/consensus/__init__.py
+++ b/src/bendshed/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated groups: a pure Raft state machine and the shell that runs many of them."""
+"""Replicated groups: a Raft state machine without I/O, and the host that runs many of them."""
--- a/src/bendshed/consensus/bootstrap.py
+++ b/src/bendshed/consensus/bootstrap.py
@@ -1,4 +1,4 @@
-"""Announces a replica machine and bootstraps the groups of the turn log, each by one record."""
+"""Announces a replica machine and bootstraps the turn log groups, each from one registry record."""
 
 import asyncio
 
@@ -13,16 +13,17 @@
 
 BOOTSTRAP_RETRY_S = 0.3
 BOOTSTRAP_WAIT_S = 4.0
-"""After this long a group is bootstrapped with fewer machines than wanted."""
+"""After this time a group is bootstrapped even if fewer machines than configured are known."""
 ANNOUNCE_RETRY_S = 0.5
 FIRST_GROUP = 0
-"""The storage remembers that this group was bootstrapped; of another its replica is the sign."""
+"""The storage records the bootstrap of this group. Any other group counts as bootstrapped once this
+machine holds a replica of it."""
 
 log = PartLog("supervisor")
 
 
 class GroupBootstrap:
-    """Takes part in the bootstrap of groups; a leader takes other machines in later."""
+    """Takes part in the bootstrap of groups; their leaders add further machines later."""
 
     def __init__(
         self,
@@ -43,7 +44,7 @@
         self._groups = groups
 
     async def announce(self) -> None:
-        """Write who and where this machine is, until the registry has taken it."""
+        """Write this machine's identity and address to the registry; retry until that succeeds."""
         while True:
             try:
                 await self._registry.announce(self._local_node)
@@ -53,7 +54,7 @@
                 await asyncio.sleep(ANNOUNCE_RETRY_S)
 
     async def run(self) -> None:
-        """Bootstrap each group, or learn that it was."""
+        """Bootstrap each group, or find that it has been bootstrapped already."""
         started_s = asyncio.get_running_loop().time()
         pending_groups = [group for group in self._groups.ids if not self._is_bootstrapped(group)]
         while pending_groups:
@@ -66,13 +67,16 @@
                 await asyncio.sleep(BOOTSTRAP_RETRY_S)
 
     def _is_bootstrapped(self, group_id: int) -> bool:
-        """Whether this machine has done its part in an earlier incarnation."""
+        """Whether this machine bootstrapped the group in an earlier incarnation."""
         if group_id == FIRST_GROUP:
             return self._storage.is_bootstrapped()
         return group_id in self._host.groups
 
     async def _bootstrap_one(self, group_id: int) -> bool:
-        """Do this machine's part; ``False``: the registry does not answer."""
+        """Create the local replica if this machine is an initial voter.
+
+        Returns ``False`` if the registry does not answer.
+        """
         voters = await self._initial_voters(group_id)
         if not voters:
             return False
--- a/src/bendshed/consensus/directory.py
+++ b/src/bendshed/consensus/directory.py
@@ -1,4 +1,4 @@
-"""Which processes can hold replicas, and where they are reached."""
+"""Directory of the processes that can hold replicas, with their addresses."""
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
@@ -20,18 +20,18 @@
 class ReplicaDirectory:
     """Replica machines by name.
 
-    Invariants: an identity that was superseded at its machine comes back by that machine's own
-    word alone, since its disk is lost, also over restarts of this process
-    (``catalog/persistence.py`` holds them); this process's own identity is never superseded; an
-    identity is proven lost only by its machine's own word under another one.
+    Invariants: an identity that was superseded counts as lost with its disk, also across restarts
+    of this process (``catalog/persistence.py`` stores such identities), and is reinstated only by a
+    direct reply of its machine; this process's own identity is never superseded; an identity is
+    proven lost only by a direct reply of its machine under another identity.
 
     Attributes:
-        own_node: this process's announcement; ``None``: it holds no replica.
+        own_node: this process's announcement; ``None`` if it holds no replica.
         by_name: the latest known announcement of each machine.
-        wiped: identities whose disk is lost, as announcements say, which come in any order.
-        proven_lost: those of them whose machine itself has answered under another identity.
-        retiring: names of machines that operators want emptied.
-        knows_retiring: whether this incarnation has read the operators' wishes.
+        wiped: identities whose disk is lost according to announcements, which arrive in any order.
+        proven_lost: wiped identities whose machine has itself answered under another identity.
+        retiring: names of machines that operators want to be emptied.
+        knows_retiring: whether this incarnation has read the operators' retirement requests.
         on_change: called after each change.
 
     """
@@ -46,7 +46,7 @@
     _identities: dict[str, set[str]] = field(default_factory=dict)
 
     def put(self, node: ReplicaNode) -> None:
-        """Take an announcement."""
+        """Record an announcement."""
         self._identities.setdefault(node.name, set()).add(node.node_id)
         if self._is_own_former_identity(node):
             self.wiped.add(node.node_id)
@@ -70,10 +70,10 @@
         self._notify()
 
     def put_direct_reply(self, node: ReplicaNode) -> None:
-        """Take what a machine itself has just replied.
+        """Record the identity that a machine has just replied with.
 
-        Announcements come in any order, so a live identity may count as lost. A process that
-        answers under it proves that its disk is there.
+        Announcements arrive in any order, so a live identity may count as lost. A process that
+        answers under it proves that its disk is present.
         """
         if node.node_id in self.wiped and not self._is_own_former_identity(node):
             self.wiped.discard(node.node_id)
@@ -83,7 +83,7 @@
         self.proven_lost |= self._identities[node.name] - {node.node_id}
 
     def set_retiring(self, names: Collection[str]) -> None:
-        """Take all wishes of operators that machines are emptied."""
+        """Replace the set of machines that operators want to be emptied."""
         self.knows_retiring = True
         for name in [name for name in self.retiring if name not in names]:
             self.remove_retiring(name)
@@ -91,7 +91,7 @@
             self.add_retiring(name)
 
     def add_retiring(self, name: str) -> None:
-        """An operator wants a machine emptied."""
+        """Record that operators want a machine to be emptied."""
         if name in self.retiring:
             return
         self.retiring.add(name)
@@ -99,13 +99,13 @@
         self._notify()
 
     def remove_retiring(self, name: str) -> None:
-        """The wish was taken back."""
+        """Record that a retirement was cancelled."""
         if name in self.retiring:
             self.retiring.discard(name)
             self._notify()
 
     def digest(self) -> int:
-        """64 bits that differ when anything announced to others differs; never 0."""
+        """64-bit digest of everything that is announced to others; never 0."""
         rows = [str(node) for _, node in sorted(self.by_name.items())]
         announced = "\n".join([*rows, *sorted(self.retiring), str(self.knows_retiring)])
         return xxhash.xxh3_64_intdigest(announced.encode()) or 1
@@ -115,12 +115,12 @@
             notify()
 
     def _is_own_former_identity(self, node: ReplicaNode) -> bool:
-        """The registry still holds this machine's announcement from before it lost its disk."""
+        """Whether this is this machine's own announcement from before it lost its disk."""
         own = self.own_node
         return own is not None and node.name == own.name and node.node_id != own.node_id
 
     def resolve(self, node_id: str) -> Address | None:
-        """Where an identity is reached; ``None``: unknown or wiped."""
+        """Address of an identity; ``None`` if it is unknown or wiped."""
         for node in self.by_name.values():
             if node.node_id == node_id:
                 return node.address
@@ -131,18 +131,18 @@
         return [node.node_id for node in self.by_name.values()]
 
     def node_ids_in(self, zones: Collection[str] | None) -> list[str]:
-        """Known identities in some zones; ``None``: none, since all zones are alike then."""
+        """Known identities in some zones; empty for ``None``, where no zone is preferred."""
         if zones is None:
             return []
         return [node.node_id for node in self.by_name.values() if node.zone in zones]
 
     def retiring_ids(self) -> set[str]:
-        """Identities that are to be emptied."""
+        """Identities of the machines that are to be emptied."""
         return {node.node_id for name, node in self.by_name.items() if name in self.retiring}
 
 
 def to_wire(node: ReplicaNode) -> wire.ReplicaHello:
-    """Translate an announcement for the wire."""
+    """Convert an announcement to its wire message."""
     return wire.ReplicaHello(
         name=node.name,
         node_id=node.node_id,
@@ -153,5 +153,5 @@
 
 
 def from_wire(hello: wire.ReplicaHello) -> ReplicaNode:
-    """Translate an announcement from the wire."""
+    """Convert a wire message to an announcement."""
     return ReplicaNode(hello.name, hello.node_id, Address(hello.host, hello.port), hello.zone)
--- a/src/bendshed/consensus/introductions.py
+++ b/src/bendshed/consensus/introductions.py
@@ -1,9 +1,10 @@
-"""Two replica machines tell each other who they are, without the registry.
+"""Replica machines exchange their identities directly, without the registry.
 
-A machine that lost its disk starts with an empty directory. While the registry is silent it knows
-nobody: it cannot acknowledge what a leader sends, nor tell voters that its former identity is lost.
-So whoever misses a peer's word asks at its address, and the question itself names who asks. A
-reply to a request that was sent a moment ago also corrects what older announcements said.
+A machine that lost its disk starts with an empty directory. While the registry does not answer, it
+knows no peers: it cannot acknowledge what a leader sends, nor tell voters that its former identity
+is lost. So a machine that gets no messages from a peer sends a request to the peer's address, and
+that request carries the sender's own identity. A reply to a request that has just been sent also
+corrects what older announcements said.
 """
 
 import asyncio
@@ -16,18 +17,18 @@
 from bendshed.wire import turns_pb2 as wire
 
 INTRODUCE_METHOD = "replica.introduce"
-"""Request of one replica machine to another: both name themselves."""
+"""Request in which both replica machines state their identities."""
 REQUEST_INTERVAL_S = 0.3
 REQUEST_TIMEOUT_S = 0.5
 FLUSH_TIMEOUT_S = 0.3
-"""A machine whose disk takes longer could not hold a replica now, and does not say who it is."""
+"""A machine whose disk takes longer could not hold a replica now, so its reply is empty."""
 
 
 class Introductions:
-    """Asks machines whose word is missed who they are, again and again, and answers others.
+    """Periodically asks silent machines for their identities, and answers the requests of others.
 
     Args:
-        nodes_to_ask: identities that should speak and do not.
+        nodes_to_ask: returns the identities from which messages are missing.
         on_answer: called with the identity of a machine that answered and whose disk takes writes.
 
     """
@@ -50,11 +51,11 @@
         self._pending_requests: dict[str, asyncio.Task[None]] = {}
 
     def start(self) -> None:
-        """Answer from now on."""
+        """Start answering requests."""
         self._transport.handlers[INTRODUCE_METHOD] = self._answer
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Send requests until cancelled."""
         while True:
             await asyncio.sleep(REQUEST_INTERVAL_S)
             missed = self._nodes_to_ask()
@@ -63,14 +64,14 @@
                     self._start_request(node)
 
     def _start_request(self, node: ReplicaNode) -> None:
-        """Ask one machine, unless it is being asked: a silent one holds no other up."""
+        """Ask one machine unless a request is pending; a silent one does not delay others."""
         if node.name not in self._pending_requests:
             request = asyncio.get_running_loop().create_task(self._request_identity(node))
             self._pending_requests[node.name] = request
             request.add_done_callback(lambda _done: self._pending_requests.pop(node.name, None))
 
     def stop(self) -> None:
-        """Give up what is being asked."""
+        """Cancel all pending requests."""
         for request in self._pending_requests.values():
             request.cancel()
 
@@ -80,15 +81,15 @@
                 node.address, INTRODUCE_METHOD, self._hello, REQUEST_TIMEOUT_S
             )
         except PeerUnreachable:
-            return  # silent, or of a version that does not know the method: asked again
-        # Another word that came meanwhile may be newer than this one: the machine is asked again.
+            return  # no answer, or a version without this method: asked again at the next interval
+        # An announcement that arrived meanwhile may be newer than this reply: ask again later.
         if reply and self._directory.by_name.get(node.name) == node:
             found = from_wire(wire.ReplicaHello.FromString(reply))
             self._directory.put_direct_reply(found)
             self._on_answer(found.node_id)
 
     async def _answer(self, payload: bytes) -> bytes:
-        """Take who asks, and reply who this is; empty while the disk takes no writes."""
+        """Record the requester and reply with this identity; empty while the disk is stalled."""
         self._directory.put(from_wire(wire.ReplicaHello.FromString(payload)))
         try:
             async with asyncio.timeout(FLUSH_TIMEOUT_S):
--- a/src/bendshed/consensus/replica_candidates.py
+++ b/src/bendshed/consensus/replica_candidates.py
@@ -1,4 +1,4 @@
-"""Which machines may take a replica next: those that answer first, those that failed later."""
+"""Ranks machines that may receive a replica: responsive ones first, failed ones after a backoff."""
 
 import asyncio
 from collections.abc import Iterable
@@ -6,19 +6,18 @@
 from bendshed.logs import PartLog
 
 INITIAL_BACKOFF_S = 3.0
-"""A machine that was taken in and did not answer is left alone for this long, and for twice as
-long each further time."""
+"""Backoff for a machine that was added and did not answer; it doubles with each further failure."""
 MAX_BACKOFF_S = 60.0
 RECENT_ANSWER_S = 1.5
-"""A machine that answered within this time is taken for alive."""
+"""A machine that answered within this time counts as alive."""
 FIRST_ANSWER_TIMEOUT_S = 0.8
-"""A leader that needs a machine waits this long for the first to answer."""
+"""Time for which a leader that needs a voter waits for the first machine to answer."""
 
 log = PartLog("supervisor")
 
 
 class ReplicaCandidates:
-    """What a leader has learned of machines that it may take in. All times are the loop's."""
+    """What a leader knows about machines that it may add. All times are event loop times."""
 
     def __init__(self) -> None:
         self._backoff_until_s: dict[str, float] = {}
@@ -27,25 +26,25 @@
         self._voter_missing_since_s: dict[int, float] = {}
 
     def is_backed_off(self, node: str) -> bool:
-        """Whether a machine was taken in, stayed silent, and has not answered since."""
+        """Whether a machine was added, did not answer, and is still in its backoff."""
         return asyncio.get_running_loop().time() < self._backoff_until_s.get(node, 0.0)
 
     def record_failure(self, node: str) -> None:
-        """Leave a machine alone that was taken in and stayed silent."""
+        """Start the backoff of a machine that was added and did not answer."""
         num_failures = self._num_failures.get(node, 0)
         self._num_failures[node] = num_failures + 1
         wait_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**num_failures)
         self._backoff_until_s[node] = asyncio.get_running_loop().time() + wait_s
 
     def record_caught_up(self, nodes: Iterable[str]) -> None:
-        """Machines that hold the log have not failed."""
+        """Reset the failure counts of learners that have caught up."""
         for node in nodes:
             self._num_failures.pop(node, None)
 
     def record_answer(self, node: str) -> None:
-        """A machine answers; one that was left alone may be taken in at once.
+        """Record that a machine answered; this ends its backoff.
 
-        Until it is, a lost voter that it is to replace still counts in each quorum.
+        Until it is added, the lost voter that it is to replace still counts in every quorum.
         """
         self._last_answer_s[node] = asyncio.get_running_loop().time()
         if self._backoff_until_s.pop(node, None) is not None:
@@ -54,17 +53,17 @@
     def sort_responsive_first(
         self, group_id: int, ranked: list[str], is_voter_missing: bool
     ) -> list[str] | None:
-        """Put machines that answer first; ``None``: wait for the first answer.
+        """Sort machines that answered recently first; ``None``: wait for the first answer.
 
-        The registry also lists machines that were removed. Each would be waited for as a member
-        while the voter to be replaced still counts in every quorum. A machine of a version that
+        The registry also lists machines that were removed. Adding one of them costs a wait for its
+        replies while the voter to be replaced still counts in every quorum. A machine whose version
         does not answer comes after those that do.
 
         Args:
-            group_id: for which group.
+            group_id: group that needs a machine.
             ranked: machines, best first.
-            is_voter_missing: whether a sound voter is missing; else there is time, and the rank
-                decides.
+            is_voter_missing: whether the group lacks a healthy voter; otherwise nothing is urgent
+                and the rank decides.
 
         """
         now_s = asyncio.get_running_loop().time()
