--- a/src/bendshed/consensus/group_client.py
+++ b/src/bendshed/consensus/group_client.py
@@ -1,4 +1,4 @@
-"""Reaches the leader of a group from any node, across leader changes."""
+"""Client that reaches the leader of a group from any node, across leader changes."""
 
 import asyncio
 import math
@@ -13,43 +13,43 @@
 
 COMMAND_METHOD = "group.command"
 REPLY_MARGIN_S = 1.0
-"""Time that a leader may take beyond the wait of a request."""
+"""Time that a leader may take to reply beyond the wait of a request."""
 SILENT_NODE_BACKOFF_S = 1.0
-"""A node that gave no answer is not tried for this long while others can be. One whose machine
-refuses the connection costs nothing to try, and may be about to start."""
+"""A node that timed out is not tried for this long while others are available. One whose machine
+refuses the connection is cheap to try and may be about to start, so it gets no backoff."""
 EXTRA_TIMEOUT_ROUND_TRIPS = 3.0
-"""Where the leader is far, its bound has so many round trips more: one for the direct
-path, two for a relayed one when that times out (`paths/`)."""
+"""Round trips that are added to the timeout of a remote leader: one for the direct path, two for a
+relayed one when that times out (`paths/`)."""
 MIN_CONCLUSIVE_ROUND_TRIPS = 2.0
-"""A node that had less time than so many round trips may be well though it gave no answer."""
+"""A timeout shorter than this many round trips does not show that the node is unavailable."""
 MIN_CONCLUSIVE_TIMEOUT_S = 0.06
-"""The same for a near one, whose commit may wait for replicas that are far."""
+"""The same for a nearby node, whose commit may wait for remote replicas."""
 RETRY_MIN_S = 0.02
 RETRY_MAX_S = 0.2
 
 
 class GroupUnavailable(Exception):
-    """No leader answered in time; whether the command took effect is unknown."""
+    """No leader answered in time; it is unknown whether the command took effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderAnswer:
-    """What the supposed leader of a group said."""
+    """Reply of the presumed leader of a group."""
 
     node_id: str
     content: bytes
 
 
 class GroupClient:
-    """Sends commands to group leaders; every command may be sent again without harm.
+    """Sends commands to group leaders; every command must be safe to send again.
 
-    Invariant: a failed try takes back only what it supposed itself; what another try has learned
-    meanwhile stays.
+    Invariant: a failed attempt clears only the leader that it assumed itself; what another attempt
+    has learned meanwhile stays.
 
     Attributes:
-        leaders: group -> node id of the leader last named (a hint).
+        leaders: group -> node id of the last reported leader (a hint).
 
-    While no leader is known, one of the nodes that may lead is tried, the likely ones first.
+    While no leader is known, one of the nodes that may lead is tried, the likely leaders first.
 
     """
 
@@ -79,10 +79,10 @@
         """Commit a command in the group of ``key`` (program id or tenant).
 
         Args:
-            key: decides the group.
-            command: may be applied at most once however often it is sent.
-            timeout_s: over all tries; then ``GroupUnavailable``.
-            wait_s: how long the leader may wait for the call's turn or outcome.
+            key: determines the group.
+            command: must be applied at most once however often it is sent.
+            timeout_s: for all attempts together; after it ``GroupUnavailable`` is raised.
+            wait_s: how long the leader may wait for the call to be dispatched or finished.
 
         """
         request = wire.GroupRequest(
@@ -121,14 +121,17 @@
         timeout_s: float,
         max_timeout_s: float = math.inf,
     ) -> LeaderAnswer | None:
-        """Send the supposed leader of a group a request; ``None``: no answer, it is forgotten.
+        """Send a request to the presumed leader of a group.
+
+        Returns ``None`` without an answer; the presumed leader is then forgotten, unless the time
+        was too short to show that it is unavailable.
 
         Args:
-            group_id: which group.
-            method: of the request.
-            payload: of the request.
-            timeout_s: for an answer of a neighbour; a far leader has more.
-            max_timeout_s: no answer helps after this long.
+            group_id: group whose leader is asked.
+            method: name of the request method.
+            payload: serialized request.
+            timeout_s: timeout for a nearby leader; a remote one gets more.
+            max_timeout_s: upper bound, after which an answer is of no use.
 
         """
         target = self._choose_target(group_id)
@@ -157,12 +160,12 @@
         return LeaderAnswer(target, content)
 
     def round_trip_to_leader_s(self, group_id: int) -> float:
-        """The round trip to the supposed leader: sooner no answer comes; 0: nobody is known."""
+        """Expected round trip to the presumed leader: its minimum response time; 0: none known."""
         address = self._resolve(self.leaders.get(group_id, ""))
         return self._expected_round_trip_s(address) if address is not None else 0.0
 
     def follow_hint(self, group_id: int, hint: str, hinted_by: str) -> None:
-        """A node that does not lead the group named who may; empty: nobody known.
+        """Follow the leader hint of a node that does not lead the group; empty: it knows none.
 
         Followers name a dead leader until they miss it, so one that was silent within
         ``SILENT_NODE_BACKOFF_S``
--- a/src/bendshed/consensus/host.py
+++ b/src/bendshed/consensus/host.py
@@ -1,8 +1,8 @@
 """Runs all replicas of one node: ticks, durable writes, messages and proposals.
 
-One turn of the writer makes the writes of all groups durable in a single commit; the messages
-that had to wait for them leave afterwards. Messages to one peer travel together, so heartbeats
-cost one message per pair of nodes and not one per group.
+Each iteration of the writer makes the pending writes of all groups durable in a single commit; the
+messages that depend on them are sent afterwards. Messages to one peer are batched, so heartbeats
+cost one message per pair of nodes instead of one per group.
 """
 
 import asyncio
@@ -28,14 +28,14 @@
 COMPACT_AFTER_ENTRIES = 2_000
 COMPACT_AFTER_BYTES = 32 * 1024 * 1024
 COMPACT_STAGGER_STEPS = 5
-"""Replicas compact at different lengths, so that a majority never writes snapshots at once."""
+"""Replicas compact at different log sizes, so that a majority never writes snapshots at once."""
 COMMIT_RETRY_S = 0.2
 
 log = PartLog("consensus")
 
 
 class ReplicatedState(Protocol):
-    """What a group replicates. ``apply`` must be deterministic."""
+    """State machine that a group replicates. ``apply`` must be deterministic."""
 
     def apply(self, data: bytes) -> object:
         """Apply one committed command and return its result."""
@@ -48,7 +48,7 @@
 
 
 class NotLeader(Exception):
-    """This node does not lead the group; ``leader_id`` may name who does."""
+    """This node does not lead the group; ``leader_id`` names the leader if it is known."""
 
     def __init__(self, leader_id: str) -> None:
         super().__init__(leader_id)
@@ -56,14 +56,14 @@
 
 
 class NotCommitted(Exception):
-    """Proven: the command was dropped and will never be applied."""
+    """The command was definitely dropped and will never be applied."""
 
 
 class CommitUnknown(Exception):
-    """The command was not seen to commit in time; it may still.
+    """The command did not commit within the timeout; it may still do so.
 
     Attributes:
-        index: of its log entry; 0: it has none here.
+        index: index of its log entry; 0: it has no entry on this node.
 
     """
 
@@ -74,11 +74,12 @@
 
 @dataclass(slots=True)
 class HostedGroup:
-    """A replica, its state machine and the proposals that wait on this node.
+    """A replica, its state machine and the pending proposals of this node.
 
     Attributes:
         waiters: index -> (term, future of the command's result).
-        changed: set and replaced at each applied command.
+        changed: set and replaced whenever commands are applied, a snapshot is restored or the role
+            changes.
 
     """
 
@@ -89,7 +90,7 @@
 
 
 class GroupHost:
-    """Shell around the replicas of one node."""
+    """Performs the I/O of the replicas of one node."""
 
     def __init__(
         self,
@@ -128,7 +129,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Load the stored groups and begin to tick."""
+        """Load the stored groups and start ticking and writing."""
         for stored in self._storage.load():
             self._add(stored)
         self._transport.one_way_handlers[CONSENSUS_METHOD] = self._receive_batch
@@ -144,7 +145,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def bootstrap(self, group_id: int, membership: wire.GroupMembership) -> None:
-        """Create a first replica of a new group, or do nothing if it exists."""
+        """Create an initial replica of a new group; do nothing if it exists."""
         if group_id in self.groups:
             return
         snapshot = wire.Snapshot(index=1, term=1, membership=membership)
@@ -170,7 +171,7 @@
     # --- proposals -----------------------------------------------------------------------
 
     def ready_group(self, group_id: int) -> HostedGroup:
-        """Return the group if this node leads it and knows its past; raise ``NotLeader``."""
+        """Return a group led here that has a commit in this term; else raise ``NotLeader``."""
         group = self.groups.get(group_id)
         if group is None:
             raise NotLeader("")
@@ -182,7 +183,7 @@
     async def propose(self, group_id: int, data: bytes, timeout_s: float) -> object:
         """Commit a command and return the result of applying it.
 
-        Raises ``NotLeader``, ``NotCommitted`` (proven without effect) or ``CommitUnknown``.
+        Raises ``NotLeader``, ``NotCommitted`` (definitely without effect) or ``CommitUnknown``.
         """
         group = self.ready_group(group_id)
         term = group.replica.term
@@ -200,14 +201,14 @@
             group.waiters.pop(index, None)
 
     def propose_membership(self, group_id: int, membership: wire.GroupMembership) -> bool:
-        """Start a membership change; ``False``: not now."""
+        """Start a membership change; ``False`` if none is possible at present."""
         group = self.groups[group_id]
         index, effects = group.replica.propose_membership(membership)
         self._perform(group, effects)
         return index > 0
 
     def transfer_all_leadership(self) -> None:
-        """Ask another voter to lead each group that this node leads; one at home if one is well."""
+        """Transfer the leadership of all led groups, preferably to voters in their home regions."""
         for group_id, group in self.groups.items():
             is_home = self._election_order_of(group_id).is_home
             home = [node for node in group.replica.membership.voters if is_home(node)]
@@ -215,7 +216,7 @@
                 self.transfer_leadership(group_id, group.replica.membership.voters)
 
     def transfer_leadership(self, group_id: int, among: Collection[str]) -> bool:
-        """Request one of some voters to lead a group; ``False``: none of them replies."""
+        """Ask one of the given voters to lead a group; ``False`` if none of them replies."""
         group = self.groups[group_id]
         effects = group.replica.transfer_leadership(among)
         self._perform(group, effects)
@@ -256,7 +257,7 @@
                 self._perform(group, group.replica.receive(message))
 
     def _join_as_learner(self, message: wire.ConsensusMessage) -> HostedGroup | None:
-        """A leader writes to a group that this node does not hold yet: start empty."""
+        """Start an empty replica if a leader replicates a group that this node lacks."""
         leader_writes = (wire.CONSENSUS_KIND_APPEND_REQUEST, wire.CONSENSUS_KIND_SNAPSHOT)
         if message.kind not in leader_writes:
             return None
@@ -345,7 +346,7 @@
             self._report_persisted(writes)
 
     async def _commit_with_retries(self, writes: list[GroupWrite]) -> None:
-        """Commit; a disk that is full or fails is tried again, and nothing counts meanwhile."""
+        """Commit, and retry while the disk is full or fails; nothing is acknowledged meanwhile."""
         failures = 0
         while True:
             try:
@@ -369,6 +370,6 @@
 
 
 def stagger_limit(limit: int, node_id: str) -> int:
-    """A node's stagger above a limit, from 0 to two fifths of it, by its identity."""
+    """Raise a limit by 0 to 2/5 of it, depending on the node's identity."""
     step = xxhash.xxh3_64_intdigest(node_id.encode()) % COMPACT_STAGGER_STEPS
     return limit + limit * step // (2 * COMPACT_STAGGER_STEPS)
