--- a/tests/defects.py
+++ b/tests/defects.py
@@ -74,7 +74,7 @@
 def _leaving_is_ignored() -> Iterator[None]:
     with (
         mock.patch.object(RunnerMonitor, "confirm", _always),
-        mock.patch.object(Runner, "takes_work", lambda _self, _now: True),
+        mock.patch.object(Runner, "accepts_work", lambda _self, _now: True),
     ):
         yield
 
@@ -110,7 +110,7 @@
     ),
     "a broken stream counts as not started": Defect(
         7,
-        _replace(AttemptSender, "_broken", AttemptSender._not_started),
+        _replace(AttemptSender, "_settle_broken", AttemptSender._settle_not_started),
         scenario=scenarios.connection_breaks_for_long,
     ),
     "leaving is ignored": Defect(
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -8,19 +8,19 @@
 from bendshed.model.service_document import Route, RouteKind
 from bendshed.retries.decisions import (
     MAX_NOT_RUN_ATTEMPTS,
-    MIN_DISPATCH_LEFT_S,
+    MIN_DISPATCH_TIME_LEFT_S,
     GiveUp,
     GiveUpReason,
-    RequestSecondRun,
+    RequestQuota,
     TryRunner,
     decide_after_broken_answer,
     decide_next_attempt,
     may_choose_runner,
     refusal_of,
-    unless_maybe_run,
+    refusal_or_outcome_unknown,
 )
 from bendshed.retries.history import AttemptHistory
-from bendshed.retries.own_interface import MAX_SAVED_RETRIES, RetryBudget
+from bendshed.retries.retry_budget import MAX_SAVED_RETRIES, RetryBudget
 
 NOW_S, DEADLINE_S = 100.0, 101.0
 REPEATABLE = Route("r", "h", "/", RouteKind.IDEMPOTENT, 5_000, 200, 1, (), max_attempts=2)
@@ -43,7 +43,7 @@
     for number in range(num_not_run):
         history.record_choice(f"full-{number}")
         history.record_dispatch()
-        history.record_proof_of_not_run()
+        history.record_not_run()
     for _ in range(num_admitted - 1):
         history.record_admitted_run()
     return history
@@ -62,7 +62,7 @@
 
     def test_each_further_run_is_requested_of_the_quota(self) -> None:
         lost = after(num_lost=1)
-        self.assertEqual(decide_next_attempt(lost, REPEATABLE, NOW_S), RequestSecondRun())
+        self.assertEqual(decide_next_attempt(lost, REPEATABLE, NOW_S), RequestQuota())
         lost.record_admitted_run()
         self.assertEqual(decide_next_attempt(lost, REPEATABLE, NOW_S), TryRunner())
 
@@ -72,11 +72,11 @@
         self.assertIs(decision.reason, GiveUpReason.NOT_REPEATABLE)
 
     def test_nothing_is_dispatched_shortly_before_the_deadline(self) -> None:
-        too_late_s = DEADLINE_S - MIN_DISPATCH_LEFT_S / 2
+        too_late_s = DEADLINE_S - MIN_DISPATCH_TIME_LEFT_S / 2
         decision = decide_next_attempt(after(), REPEATABLE, too_late_s)
         assert isinstance(decision, GiveUp)
         self.assertIs(decision.reason, GiveUpReason.NO_TIME_LEFT)
-        in_time_s = DEADLINE_S - 2 * MIN_DISPATCH_LEFT_S
+        in_time_s = DEADLINE_S - 2 * MIN_DISPATCH_TIME_LEFT_S
         self.assertEqual(decide_next_attempt(after(), REPEATABLE, in_time_s), TryRunner())
 
     def test_attempts_that_ran_nothing_are_bounded(self) -> None:
@@ -104,7 +104,7 @@
         history.record_unreachable("dark")
         self.assertEqual(history.failed, ["lost-0", "dark"])
         self.assertEqual(history.tried, {"lost-0", "full-0", "dark"})
-        self.assertEqual((history.num_maybe_run, history.num_not_run), (1, 2))
+        self.assertEqual((history.num_possible_runs, history.num_not_run), (1, 2))
 
 
 class RefusalTest(unittest.TestCase):
@@ -133,12 +133,12 @@
 
     def test_a_leaders_refusal_keeps_its_time_only_if_nothing_ran(self) -> None:
         refusal = Refusal(ErrorKind.NO_ROOM, "later", 0.3)
-        self.assertEqual(unless_maybe_run(refusal, after()), refusal)
+        self.assertEqual(refusal_or_outcome_unknown(refusal, after()), refusal)
         unknown = Refusal(ErrorKind.OUTCOME_UNKNOWN, "later")
-        self.assertEqual(unless_maybe_run(refusal, after(num_lost=1)), unknown)
+        self.assertEqual(refusal_or_outcome_unknown(refusal, after(num_lost=1)), unknown)
 
 
-class OwnInterfaceTest(unittest.TestCase):
+class RetryBudgetTest(unittest.TestCase):
     def test_retries_add_a_bounded_share_to_the_load(self) -> None:
         budget = RetryBudget()
         num_saved = sum(budget.take() for _ in range(1_000))
