--- a/src/bendshed/consensus/raft.py
+++ b/src/bendshed/consensus/raft.py
@@ -1,7 +1,7 @@
-"""One replica of one group as a pure state machine (Raft, Ongaro 2014).
+"""One replica of one group as a deterministic state machine (Raft, Ongaro 2014).
 
-Events go in through the public methods; each returns a list of effects. Nothing here waits,
-reads a clock or touches a disk. Follows the thesis: pre-vote (9.6), leader stickiness (4.2.3),
+Events arrive through the public methods; each returns a list of effects. Nothing here waits,
+reads a clock or accesses a disk. Follows the thesis: pre-vote (9.6), leader stickiness (4.2.3),
 leadership transfer (3.10), single-server membership changes (4.1), and parallel writes to the
 leader's own disk (10.2.1).
 """
@@ -32,9 +32,9 @@
 
 HEARTBEAT_TICKS = 3
 MAX_APPEND_ENTRIES = 128
-"""Entries in one append message."""
+"""Maximum number of entries in one append message."""
 MAX_IN_FLIGHT_ENTRIES = 1024
-"""Entries sent to a follower and not yet acknowledged."""
+"""Maximum number of entries sent to a follower and not yet acknowledged."""
 
 
 class RaftReplica:
@@ -42,16 +42,16 @@
 
     Invariants: at most one leader per term; a committed entry is in the log of every later
     leader; ``applied_index <= commit_index <= last_index``; a vote or an acknowledgement leaves
-    only after what it speaks of is durable.
+    only after the state that it refers to is durable.
 
     Attributes:
         term, voted_for: hard state.
-        role, leader_id: current role; the leader of this term, empty when unknown.
+        role, leader_id: current role; the leader of this term, empty if unknown.
         membership: the latest membership in the log, committed or not.
         persisted_index: last entry of this replica known to be durable.
-        followers: what the leader knows of the others.
+        followers: the leader's replication state of the other replicas.
         log: entries since the last snapshot.
-        lost_nodes: identities whose disks are proven to be lost for good.
+        lost_nodes: identities whose disks are proven to be permanently lost.
 
     """
 
@@ -84,7 +84,7 @@
             self._timer.start(node_id, self.membership.voters)
         self._effects: list[Effect] = []
 
-    # --- state for the shells ------------------------------------------------------------
+    # --- state for the host --------------------------------------------------------------
 
     @property
     def last_index(self) -> int:
@@ -93,7 +93,7 @@
 
     @property
     def snapshot_index(self) -> int:
-        """Index up to which the log was compacted."""
+        """Last index that the snapshot covers."""
         return self.log.snapshot.index
 
     @property
@@ -103,12 +103,12 @@
 
     @property
     def is_ready_leader(self) -> bool:
-        """Leader that knows all earlier terms' entries to be settled."""
+        """Whether this leader has committed in its term, and with that all earlier entries."""
         return self.role is Role.LEADER and self.has_committed_in_term
 
     @property
     def has_majority(self) -> bool:
-        """Leader, as long as an election's quorum of replicas replied lately."""
+        """Whether this is a leader to which an election quorum has replied recently."""
         return self.role is Role.LEADER and self._has_majority()
 
     @property
@@ -118,19 +118,19 @@
 
     @property
     def is_membership_committed(self) -> bool:
-        """Whether no membership change is uncommitted."""
+        """Whether the log contains no uncommitted membership change."""
         pending = self.log.between(self.commit_index + 1, self.last_index)
         return not any(entry.kind == wire.ENTRY_KIND_MEMBERSHIP for entry in pending)
 
     @property
     def is_transferring_leadership(self) -> bool:
-        """Whether this leader waits for another voter to take over."""
+        """Whether this leader is waiting for another voter to take over."""
         return bool(self._transfer_target)
 
     # --- events --------------------------------------------------------------------------
 
     def tick(self) -> list[Effect]:
-        """One unit of time has passed."""
+        """Advance the time by one tick."""
         if self.role is Role.LEADER:
             self._tick_leader()
         else:
@@ -140,7 +140,7 @@
         return self._take_effects()
 
     def propose(self, data: bytes) -> tuple[int, list[Effect]]:
-        """Append a command; returns its index, 0 when this replica is not the leader."""
+        """Append a command and return its index; 0 if this replica accepts no proposals now."""
         if self.role is not Role.LEADER or self._transfer_target:
             return 0, []
         index = self._append_entry(wire.ENTRY_KIND_COMMAND, data)
@@ -148,7 +148,7 @@
         return index, self._take_effects()
 
     def propose_membership(self, membership: wire.GroupMembership) -> tuple[int, list[Effect]]:
-        """Append a membership that differs from the present one by a single replica."""
+        """Append a membership that differs from the current one by at most one voter."""
         if not self.is_ready_leader or not self.is_membership_committed:
             return 0, []
         changed = set(membership.voters) ^ set(self.membership.voters)
@@ -160,7 +160,7 @@
         return index, self._take_effects()
 
     def persisted(self, last_index: int, entry_term: int) -> list[Effect]:
-        """The log is durable up to the entry ``last_index`` of ``entry_term``."""
+        """Handle that the log is durable up to the entry ``last_index`` of ``entry_term``."""
         if self.log.term_at(last_index) == entry_term:
             self.persisted_index = max(self.persisted_index, last_index)
         if self.role is Role.LEADER:
@@ -168,7 +168,7 @@
         return self._take_effects()
 
     def transfer_leadership(self, among: Collection[str]) -> list[Effect]:
-        """Ask the most advanced of some voters to take over; do nothing without one."""
+        """Ask the most advanced of the given voters to take over; no effect if none replies."""
         if self.role is not Role.LEADER:
             return []
         voters = [node for node in self.membership.voters if node in among]
@@ -180,7 +180,7 @@
         return self._take_effects()
 
     def compact(self, index: int, state: bytes) -> list[Effect]:
-        """Replace the log up to ``index`` (applied) by a snapshot of the state."""
+        """Replace the log up to ``index``, which must be applied, by a snapshot of the state."""
         term = self.log.term_at(index)
         if term is None or index <= self.snapshot_index or index > self.applied_index:
             return []
@@ -192,7 +192,7 @@
         return self._take_effects()
 
     def receive(self, message: wire.ConsensusMessage) -> list[Effect]:
-        """Handle a message of a peer."""
+        """Handle a message from a peer."""
         if self._is_disruptive(message):
             return []
         if message.term > self.term and not message.pre_vote:
@@ -217,7 +217,7 @@
     # --- elections -----------------------------------------------------------------------
 
     def _is_disruptive(self, message: wire.ConsensusMessage) -> bool:
-        """A vote request while a leader sends heartbeats; a removed replica must not disturb."""
+        """Whether a vote request, e.g. of a removed replica, comes while a leader is active."""
         if message.kind != wire.CONSENSUS_KIND_VOTE_REQUEST or message.transfer:
             return False
         if self.role is Role.LEADER:
@@ -490,7 +490,7 @@
         reply.previous_index = self.commit_index
         self._send(reply)
 
-    # --- small pieces --------------------------------------------------------------------
+    # --- helpers -------------------------------------------------------------------------
 
     def _record_leader_contact(self, leader_id: str) -> None:
         self._timer.record_heartbeat()
--- a/src/bendshed/consensus/raft_types.py
+++ b/src/bendshed/consensus/raft_types.py
@@ -1,4 +1,4 @@
-"""Values of the Raft state machine: roles, effects, the log."""
+"""Types of the Raft state machine: roles, effects and the log."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send to ``message.receiver``; ``after_persist``: only once earlier writes are durable."""
+    """Send to ``message.receiver``; with ``after_persist`` only once earlier writes are durable."""
 
     message: wire.ConsensusMessage
     after_persist: bool
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Make this write durable, then report ``persisted``."""
+    """Make this write durable, then call ``persisted``."""
 
     write: GroupWrite
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Restore:
-    """Replace the state machine by this snapshot."""
+    """Replace the state of the state machine by this snapshot."""
 
     snapshot: wire.Snapshot
 
@@ -69,7 +69,7 @@
         self.num_bytes = sum(len(entry.data) for entry in self.entries)
 
     def extend(self, entries: list[wire.LogEntry]) -> None:
-        """Append entries; ``num_bytes`` counts the data of all that are held."""
+        """Append entries; ``num_bytes`` is the data size of all held entries."""
         self.entries.extend(entries)
         self.num_bytes += sum(len(entry.data) for entry in entries)
 
@@ -84,7 +84,7 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Term of the entry, ``None`` if it was compacted or does not exist."""
+        """Term of an entry; ``None`` if it was compacted or does not exist."""
         if index == self.snapshot.index:
             return self.snapshot.term
         offset = index - self.snapshot.index - 1
@@ -104,27 +104,27 @@
         del self.entries[offset:]
 
     def compact(self, snapshot: wire.Snapshot) -> None:
-        """Replace the entries that the snapshot covers."""
+        """Replace the entries that the snapshot covers by the snapshot."""
         self.entries = self.between(snapshot.index + 1, self.last_index)
         self.num_bytes = sum(len(entry.data) for entry in self.entries)
         self.snapshot = snapshot
 
     def membership_at(self, index: int) -> wire.GroupMembership:
-        """The membership that holds at an entry, committed or not."""
+        """Membership in effect at an entry, committed or not."""
         for entry in reversed(self.between(self.snapshot.index + 1, index)):
             if entry.kind == wire.ENTRY_KIND_MEMBERSHIP:
                 return wire.GroupMembership.FromString(entry.data)
         return self.snapshot.membership
 
     def first_difference(self, entries: list[wire.LogEntry]) -> int | None:
-        """Index of the first of ``entries`` that this log lacks or has at another term."""
+        """Index of the first of ``entries`` that this log lacks or holds with another term."""
         for entry in entries:
             if self.term_at(entry.index) != entry.term:
                 return entry.index
         return None
 
     def conflict_hint(self, previous_index: int, commit_index: int) -> int:
-        """Last index that may match a leader's log: skip the whole conflicting term."""
+        """Last index that may match the leader's log; skips the whole conflicting term."""
         index = min(previous_index, self.last_index + 1)
         term = self.term_at(index)
         while term is not None and index > commit_index and self.term_at(index) == term:
