--- a/src/bendshed/consensus/replica_choice.py
+++ b/src/bendshed/consensus/replica_choice.py
@@ -1,4 +1,4 @@
-"""Which nodes hold replicas: at home first, spread over zones, by rendezvous rank. Pure."""
+"""Chooses replica nodes: home region first, spread over zones, by rendezvous rank. No I/O."""
 
 from collections import Counter
 from collections.abc import Collection, Mapping, Sequence
@@ -17,14 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class VoterTopology:
-    """What makes one set of voters better than another.
+    """Zones of the nodes, and the cost of placing voters in them.
 
-    A zone may be lost whole, so none should hold more voters than the group can lose. Beyond that
-    voters are at home, where their leader waits for no distant disk, and evenly over zones.
+    A whole zone may fail, so none should hold more voters than the group can lose. Beyond that,
+    voters should be in the home region, where the leader need not wait for a remote disk, and
+    evenly spread over zones.
 
     Attributes:
-        zone_of: zone of each known node; an unknown one counts as a separate zone at home.
-        home_zones: zones of the group's region; ``None``: all are.
+        zone_of: zone of each known node; an unknown node counts as a separate zone of the home
+            region.
+        home_zones: zones of the group's home region; ``None``: all zones.
 
     """
 
@@ -32,16 +34,16 @@
     home_zones: Collection[str] | None = None
 
     def is_home(self, node: str) -> bool:
-        """Whether a node is located in the group's region."""
+        """Whether a node is located in the group's home region."""
         if self.home_zones is None or node not in self.zone_of:
             return True
         return self.zone_of[node] in self.home_zones
 
     def placement_cost(self, voters: Collection[str]) -> tuple[int, int, int]:
-        """How badly voters are spread; less is better.
+        """Cost of a set of voters; lower is better.
 
-        First the voters that a zone holds beyond those that may be lost, then those away from
-        home, then how unevenly zones are filled.
+        First the number of voters that zones hold beyond the tolerated losses, then the number
+        outside the home region, then how unevenly the zones are filled.
         """
         by_zone = Counter(self.zone_of.get(node, node) for node in voters)
         num_tolerated_losses = (len(voters) - 1) // 2
@@ -50,7 +52,7 @@
         return surplus, num_outside_home, sum(count * count for count in by_zone.values())
 
     def choose_removal(self, voters: Sequence[str], removable: Sequence[str]) -> str:
-        """Voter whose removal leaves the best set; of equals the one that joined last."""
+        """Voter whose removal leaves the lowest cost; among equals the one that joined last."""
         newest_first = reversed(removable)
         return min(
             newest_first, key=lambda node: self.placement_cost([v for v in voters if v != node])
@@ -63,13 +65,13 @@
     num_voters: int,
     home_zones: Collection[str] | None = None,
 ) -> list[str]:
-    """Voters of a new group.
+    """Choose the voters of a new group.
 
     Args:
-        group_id: decides between equals.
-        nodes: that can hold replicas.
-        num_voters: wanted voters.
-        home_zones: zones of the group's region; ``None``: all are.
+        group_id: breaks ties.
+        nodes: nodes that can hold replicas.
+        num_voters: desired number of voters.
+        home_zones: zones of the group's home region; ``None``: all zones.
 
     """
     topology = VoterTopology({node.node_id: node.zone for node in nodes}, home_zones)
@@ -91,7 +93,7 @@
 def _placement_key(
     node: str, topology: VoterTopology, by_zone: "Counter[str]", num_tolerated_losses: int
 ) -> tuple[bool, bool, int]:
-    """The next voter has the least: its zone has room, it is at home, its zone holds few."""
+    """Sort key of the next voter: room in its zone, home region, fewest voters in its zone."""
     num_there = by_zone[topology.zone_of[node]]
     return num_there >= max(1, num_tolerated_losses), not topology.is_home(node), num_there
 
@@ -103,18 +105,17 @@
     voters: Collection[str],
     to_replace: Collection[str] = (),
 ) -> list[str]:
-    """Nodes that may take a replica, best first; of equals by rank.
+    """Rank the nodes that may receive a replica, best first; ties by rendezvous rank.
 
-    Both moments count: while the newcomer votes beside all present voters, and when the to_replace
-    ones
-    are gone.
+    The cost counts both while the new node votes beside all current voters and once the voters to
+    replace are removed.
 
     Args:
-        group_id: decides the rank.
+        group_id: determines the rendezvous rank.
         places: zones of all nodes.
-        available: nodes that hold no replica and may.
-        voters: present voters, the to_replace ones too.
-        to_replace: voters that are to go.
+        available: nodes without a replica that may receive one.
+        voters: current voters, including those to replace.
+        to_replace: voters that will be removed.
 
     """
     kept = [node for node in voters if node not in to_replace]
--- a/src/bendshed/consensus/replica_placement.py
+++ b/src/bendshed/consensus/replica_placement.py
@@ -1,4 +1,4 @@
-"""Places the groups at the installation's beginning and replaces lost replicas later."""
+"""Places the groups of a new installation and later replaces lost replicas."""
 
 import asyncio
 
@@ -24,16 +24,16 @@
 PLACEMENT_KEY = "placement"
 CHECK_INTERVAL_S = 1.0
 UNRESPONSIVE_TICKS = 10
-"""A member without a reply to the leader for so many ticks may be missing_too_long; heartbeats go
-every 3."""
+"""A member without a reply to the leader for this many ticks may have failed; heartbeats are sent
+every 3 ticks."""
 MAX_LEARNER_LAG = 100
-"""A learner that lacks fewer entries becomes a voter."""
+"""A learner that lacks at most this many entries may become a voter."""
 
 log = PartLog("placement")
 
 
 class ReplicaPlacement:
-    """Runs on disk nodes. The store is needed for the very first placement only."""
+    """Runs on disk nodes. The store is needed for the initial placement only."""
 
     def __init__(
         self,
@@ -52,11 +52,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to place and to repair."""
+        """Start placing and repairing groups."""
         self._task = start_loop(self._run(), "placement")
 
     async def stop(self) -> None:
-        """End."""
+        """Stop."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -73,7 +73,7 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
             self._repair()
 
-    # --- first placement -----------------------------------------------------------------
+    # --- initial placement ---------------------------------------------------------------
 
     async def _bootstrap(self) -> None:
         stored = await self._store.get(PLACEMENT_KEY)
@@ -89,7 +89,7 @@
         log.say("took part in the first placement", groups=len(self._host.groups))
 
     async def _create_placement(self) -> None:
-        """The first disk node by rendezvous writes the placement, once enough are there."""
+        """Write the placement on the node of highest rendezvous rank, once enough are live."""
         nodes = list(self._live_disk_nodes().values())
         if len(nodes) < self._settings.bootstrap_disk_nodes:
             return
@@ -147,7 +147,7 @@
             silent=missing_too_long & unresponsive,
             unresponsive=unresponsive,
             retiring=missing_too_long
-            - unresponsive,  # a node that stops votes until its calls are over
+            - unresponsive,  # a stopping node votes until its calls have ended
             caught_up=replica.followers.caught_up(
                 membership.learners, replica.last_index, MAX_LEARNER_LAG
             ),
@@ -157,7 +157,7 @@
         )
 
     def _missing_too_long(self, live: dict[str, DiskNode]) -> set[str]:
-        """Replicas that have not been live for the time after which they are replaced."""
+        """Members that have not been live for at least ``replace_after_s``."""
         now_s = asyncio.get_running_loop().time()
         members = {
             node
--- a/src/bendshed/consensus/retirement.py
+++ b/src/bendshed/consensus/retirement.py
@@ -1,4 +1,4 @@
-"""Reports to operators how far the emptying of a replica machine is, over all groups."""
+"""Reports to operators whether a retiring replica machine is empty, over all groups."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,23 +12,23 @@
 from bendshed.wire import turns_pb2 as wire
 
 EMPTIED_METHOD = "replica.emptied"
-"""Request of the first group's leader to another's: whether a machine is emptied there."""
+"""Request of the first group's leader to another group's: whether a machine is emptied there."""
 REPORTING_GROUP = 0
-"""Its leader writes the status."""
+"""The leader of this group reports the status."""
 CHECK_INTERVAL_S = 0.1
 
 log = PartLog("supervisor")
 
 RequestEmptied = Callable[[int, str], Awaitable[bool]]
-"""Requests it of another group's leader; ``False`` also where it does not answer."""
+"""Asks another group's leader whether a machine is emptied; ``False`` also without an answer."""
 
 
 class EmptiedTracker:
-    """Whether groups that this process leads hold nothing on a machine that others lack.
+    """Tracks whether led groups still depend on the copy of the log on a removed machine.
 
-    What a removed machine may have held alone was committed before its removal. So the index that
-    is committed when it is first seen outside the settled membership is all that the voters must
-    hold; that they lag behind newer commits, as distant ones always do, does not matter.
+    Entries that only the removed machine may hold were committed before its removal. So the voters
+    need to hold only what is committed when the machine is first absent from the committed
+    membership; lagging behind newer commits, as remote voters always do, does not matter.
     """
 
     def __init__(self, host: GroupHost) -> None:
@@ -36,7 +36,7 @@
         self._required_indexes: dict[tuple[int, str], tuple[int, int]] = {}
 
     def is_emptied(self, group_id: int, node_id: str) -> bool:
-        """Whether a machine may go as far as a group is concerned; ``False`` if not led here."""
+        """Whether a group no longer needs a machine; ``False`` if the group is not led here."""
         group = self._host.groups.get(group_id)
         if group is None or not group.replica.is_ready_leader:
             return False
@@ -52,7 +52,7 @@
         return self._do_voters_hold(group, self._required_index(group, node_id))
 
     def _required_index(self, group: HostedGroup, node_id: str) -> int:
-        """Index that all voters must hold; a new term of this leader begins again."""
+        """Index that all voters must hold; reset in a new term of this leader."""
         replica = group.replica
         current = (replica.term, replica.commit_index)
         term, index = self._required_indexes.setdefault((replica.group_id, node_id), current)
@@ -87,7 +87,7 @@
         self._reported: dict[str, bool] = {}
 
     async def run(self) -> None:
-        """Report, again and again."""
+        """Report status changes until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             group = self._host.groups.get(REPORTING_GROUP)
@@ -102,7 +102,7 @@
                 await self._report(name)
 
     async def answer(self, payload: bytes) -> bytes:
-        """Reply to the first group's leader how far a group led here is."""
+        """Tell the first group's leader whether a group led here has emptied a machine."""
         request = wire.EmptiedAsk.FromString(payload)
         group = self._host.groups.get(request.group)
         if group is None or not group.replica.is_ready_leader:
@@ -126,7 +126,7 @@
         log.say("retirement reported", name=name, complete=complete)
 
     async def _is_emptied(self, node_id: str) -> bool:
-        """Whether every group has let the machine go."""
+        """Whether no group needs the machine any more."""
         if not self._emptied_tracker.is_emptied(REPORTING_GROUP, node_id):
             return False
         for group_id in self._groups.other_ids(REPORTING_GROUP):
