--- a/src/bendshed/consensus/sqlite_storage.py
+++ b/src/bendshed/consensus/sqlite_storage.py
@@ -1,10 +1,10 @@
-"""Durable group logs in one SQLite file, one transaction per group commit.
+"""Durable logs of all groups in one SQLite file, one transaction per commit.
 
-The write-ahead log would map a shared-memory file; with exclusive locking set first SQLite
+The write-ahead log would map a shared-memory file; because exclusive locking is set first, SQLite
 keeps that index in private memory instead. ``synchronous=FULL`` makes each commit durable.
-Every record carries a checksum: a bad record at the end of a log is a torn tail and is cut; a bad
-one in the middle raises ``StorageCorrupt``. Then the file is set aside and the node starts empty
-under a new identity (``quarantine``), so that what it forgot cannot count in any vote.
+Every record carries a checksum: a bad record at the end of a log is a torn write and is truncated;
+a bad one before the end raises ``StorageCorrupt``. The file is then quarantined and the node starts
+empty under a new identity (``quarantine``), so that the lost state cannot affect any vote.
 """
 
 import asyncio
@@ -37,8 +37,8 @@
 """
 
 LEGACY_TABLE = "groups"
-"""Until December 2026 a group's hard state and snapshot were one row, so that each vote wrote the
-whole snapshot again."""
+"""Until December 2026 a group's hard state and snapshot shared one row, so each vote rewrote the
+whole snapshot."""
 MIGRATION = """
 INSERT OR IGNORE INTO hard_states SELECT group_id, term, voted_for FROM groups;
 INSERT OR IGNORE INTO snapshots SELECT group_id, snapshot, checksum FROM groups;
@@ -91,11 +91,11 @@
         return self._node_id
 
     def check(self) -> None:
-        """Read all groups in advance for the next ``load``; raise like it."""
+        """Read all groups in advance for the next ``load``, and raise the same errors."""
         self._preloaded = self.load()
 
     def load(self) -> list[StoredGroup]:
-        """Read all groups; see the module for what happens to bad records."""
+        """Read all groups; the module docstring describes the handling of bad records."""
         preloaded, self._preloaded = self._preloaded, None
         if preloaded is not None:
             return preloaded
@@ -129,7 +129,7 @@
         return Snapshot.FromString(content)
 
     def _load_entries(self, group_id: int) -> list[LogEntry]:
-        """Read a log row by row, so that it is held once; a bad record may only be the last."""
+        """Read a log row by row, so that memory holds it once; only the last record may be bad."""
         rows = self._database.execute(
             "SELECT entry_index, entry, checksum FROM entries WHERE group_id=? "
             "ORDER BY entry_index",
@@ -198,7 +198,7 @@
         )
 
     def is_bootstrapped(self) -> bool:
-        """Whether this folder has taken part in the first placement."""
+        """Whether this folder has taken part in the initial placement."""
         return self._writer.submit(self._read_bootstrapped).result()
 
     def _read_bootstrapped(self) -> bool:
@@ -206,7 +206,7 @@
         return bool(row[0])
 
     def mark_bootstrapped(self) -> None:
-        """Remember that the first placement was carried out here."""
+        """Record that the initial placement was carried out here."""
         self._writer.submit(self._database.execute, "UPDATE identity SET bootstrapped=1").result()
 
     def close(self) -> None:
@@ -216,7 +216,7 @@
 
 
 def quarantine(folder: Path) -> Path:
-    """Set a corrupt file aside; the next ``SqliteLogStorage`` is a new, empty identity."""
+    """Rename a corrupt file; the next ``SqliteLogStorage`` starts empty with a new identity."""
     path = folder / "log.sqlite"
     number = 1
     while (quarantined := folder / f"log.sqlite.corrupt-{number}").exists():
@@ -228,11 +228,11 @@
 
 
 def open_or_replace(folder: Path) -> SqliteLogStorage:
-    """Open a folder's log; a corrupt one is set aside and replaced by an empty one."""
+    """Open a folder's log; a corrupt one is quarantined and replaced by an empty one."""
     try:
         storage = SqliteLogStorage(folder)
     except sqlite3.OperationalError:
-        raise  # a full or failing disk says nothing of its content
+        raise  # a full or failing disk does not imply corrupt content
     except sqlite3.DatabaseError as error:
         return _replace_corrupt(folder, error)
     try:
--- a/src/bendshed/consensus/stall.py
+++ b/src/bendshed/consensus/stall.py
@@ -1,20 +1,20 @@
-"""Whether this machine's disk or loop delays the groups that it leads. Pure."""
+"""Detects whether a slow disk or event loop delays the groups that this machine leads. No I/O."""
 
 from collections import deque
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 SYNC_STALL_S = 0.6
-"""A commit under way for so long is no slow one: disks of today's sites take 2 to 5 ms a sync. The
-others commit without it meanwhile; but what is acknowledged then is on one disk fewer."""
+"""A commit that takes this long counts as a stall; disks of current sites take 2 to 5 ms per sync.
+The other replicas commit meanwhile, but what is acknowledged then is on one disk fewer."""
 MAX_MEAN_TICK_DELAY_S = 0.1
-"""Mean lateness of ticks (25 ms apart) from which on a loop is late: answers wait as long."""
+"""Mean delay of ticks (25 ms apart) that counts as a stalled loop; answers are delayed as much."""
 TICK_WINDOW = 40
-"""Ticks over which the mean is taken: a second of a loop that is on time."""
+"""Number of ticks over which the mean is taken: one second of an undelayed loop."""
 
 
 class Stall(StrEnum):
-    """What is slow."""
+    """Cause of a stall."""
 
     DISK = "the disk"
     LOOP = "the loop"
@@ -22,10 +22,10 @@
 
 @dataclass(slots=True)
 class StallDetector:
-    """Measures one process.
+    """Detects stalls of one process.
 
     Attributes:
-        sync_started_s: when the commit under way began; ``None``: none is.
+        sync_started_s: start time of the commit in progress; ``None`` if there is none.
 
     """
 
@@ -33,19 +33,19 @@
     _tick_delays_s: deque[float] = field(default_factory=lambda: deque(maxlen=TICK_WINDOW))
 
     def begin_sync(self, now_s: float) -> None:
-        """A commit to the disk begins."""
+        """Record the start of a commit to the disk."""
         self.sync_started_s = now_s
 
     def end_sync(self) -> None:
-        """It has ended."""
+        """Record the end of the commit."""
         self.sync_started_s = None
 
     def record_tick(self, delay_s: float) -> None:
-        """A tick came so much later than it was due."""
+        """Record by how much a tick was late."""
         self._tick_delays_s.append(delay_s)
 
     def detect(self, now_s: float) -> Stall | None:
-        """What stalls now; ``None``: nothing."""
+        """Return the present stall; ``None`` if there is none."""
         if self.sync_started_s is not None and now_s - self.sync_started_s >= SYNC_STALL_S:
             return Stall.DISK
         is_window_full = len(self._tick_delays_s) == TICK_WINDOW
