--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -1,4 +1,4 @@
-"""Replaces lost replicas, moves badly placed ones, empties retiring machines."""
+"""Replaces lost replicas, moves badly placed ones and empties retiring machines."""
 
 import asyncio
 from dataclasses import replace
@@ -22,15 +22,15 @@
 
 CHECK_INTERVAL_S = 0.1
 UNRESPONSIVE_S = 0.2
-"""A member that was silent for this long is asked who it is, and no live voter leaves."""
+"""A member without a reply for this long is asked for its identity; no live voter is removed."""
 SILENT_S = 1.0
-"""A member that was silent for this long is replaced when a machine is free."""
+"""A member without a reply for this long is replaced when a machine is available."""
 MAX_LEARNER_LAG = 100
 HOME_CATCH_UP_S = 0.5
-"""A voter at home must hold what was committed this long ago to be handed the lead."""
+"""A voter in the home region must hold what was committed this long ago to become the leader."""
 
 STALL_TRANSFER_INTERVAL_S = 5.0
-"""A machine that stalls gives its groups away at most this often: others may be no better."""
+"""Minimum time between transfers by a stalled machine, since the others may be no faster."""
 
 log = PartLog("supervisor")
 
@@ -40,7 +40,7 @@
 
 
 class ReplicaSupervisor:
-    """Runs on every replica machine; only a group's leader changes the group.
+    """Runs on every replica machine; only the leader of a group changes its membership.
 
     Attributes:
         local_node: this process's announcement.
@@ -86,7 +86,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin."""
+        """Start all background tasks."""
         self._directory.own_node = self.local_node
         self._directory.put(self.local_node)
         self._transport.one_way_handlers[HELLO_METHOD] = self._receive_hello
@@ -102,16 +102,16 @@
         ]
 
     async def stop(self) -> None:
-        """End."""
+        """Stop all background tasks."""
         self._introductions.stop()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    # --- who is who ----------------------------------------------------------------------
+    # --- identities ----------------------------------------------------------------------
 
     def _send_hello(self, sender: str) -> None:
-        """A peer wrote to an identity that this machine no longer has: send it the current one."""
+        """Send the current identity to a peer that addressed a former one of this machine."""
         address = self._directory.resolve(sender)
         if address is not None:
             self._transport.send(
@@ -122,11 +122,11 @@
         self._directory.put(from_wire(wire.ReplicaHello.FromString(payload)))
 
     def _nodes_to_ask(self) -> set[str]:
-        """Identities whose word this machine needs.
+        """Identities that this machine should ask for a reply.
 
-        A leader needs that of members that are silent, and while one is or is missing, that of
-        machines which may take its place. Without a leader all machines are asked, since a voter
-        may be listed under another identity.
+        A leader asks unresponsive members and, while there is one or a voter is missing, the
+        machines that may replace it. A voter without a leader asks all machines, since a voter may
+        be listed under another identity.
         """
         nodes_to_ask: set[str] = set()
         for group in self._host.groups.values():
@@ -148,14 +148,14 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
             self._transfer_if_stalled()
             for group_id, group in list(self._host.groups.items()):
-                # Announcements alone prove nothing: two voters that each read an older one of the
-                # other would both lead.
+                # Announcements alone prove nothing: two voters that each read an outdated one of
+                # the other would both become leaders.
                 group.replica.lost_nodes = frozenset(self._directory.proven_lost)
                 if group.replica.is_ready_leader:
                     self._supervise_group(group_id, group)
 
     def _transfer_if_stalled(self) -> None:
-        """Hand leadership over while this machine's disk or loop stalls."""
+        """Transfer leadership while this machine's disk or event loop is stalled."""
         now_s = asyncio.get_running_loop().time()
         stall = self._host.stall_detector.detect(now_s)
         led = self._host.led_groups()
@@ -170,7 +170,7 @@
         self._host.transfer_all_leadership()
 
     def _supervise_group(self, group_id: int, group: HostedGroup) -> None:
-        """Hand over where another should lead, else change the members if need be."""
+        """Transfer leadership if another voter should lead, else plan a membership change."""
         voters = group.replica.membership.voters
         retiring = self._directory.retiring_ids()
         staying = [node for node in voters if node not in retiring]
@@ -184,7 +184,7 @@
     def _transfer_to_home_region(
         self, group_id: int, group: HostedGroup, staying: list[str]
     ) -> None:
-        """Away from home, hand over to a voter there that has kept up for ``HOME_CATCH_UP_S``."""
+        """Transfer leadership to a home voter that has kept up for ``HOME_CATCH_UP_S``."""
         topology = self._topology(group_id)
         if topology.is_home(self.local_node.node_id):
             self._outside_home_since.pop(group_id, None)
@@ -210,7 +210,7 @@
         return VoterTopology(zone_of, self._groups.home_zones(group_id))
 
     def _change_membership(self, group_id: int, group: HostedGroup) -> None:
-        """Take the next step, if any; the plan is made again only when its inputs changed."""
+        """Propose the next membership change, if any; plan only when the inputs have changed."""
         replica = group.replica
         inputs = self._plan_inputs(group_id, group)
         plan_key = (tuple(replica.membership.voters), tuple(replica.membership.learners), inputs)
@@ -220,7 +220,7 @@
         available, voters = inputs.candidates, replica.membership.voters
         ranked = rank_candidates(group_id, topology, available, voters, to_replace)
         healthy = [node for node in voters if node not in to_replace and node not in inputs.wiped]
-        # While a machine is being taken in, no other is needed, and so none is waited for.
+        # While a learner catches up no other machine is needed, so none is waited for.
         is_voter_missing = len(healthy) < inputs.num_voters and not replica.membership.learners
         candidates = self._candidates.sort_responsive_first(group_id, ranked, is_voter_missing)
         if candidates is None and not inputs.wiped:
@@ -245,7 +245,7 @@
             )
 
     def _plan_inputs(self, group_id: int, group: HostedGroup) -> PlanInputs:
-        """What the plan rests on; candidates are not ranked yet."""
+        """Inputs of the membership plan, with unranked candidates."""
         replica = group.replica
         membership = replica.membership
         members = [*membership.voters, *membership.learners]
@@ -272,7 +272,7 @@
     def _available_nodes(
         self, topology: VoterTopology, members: list[str], retiring: set[str]
     ) -> list[str]:
-        """Machines that may be taken in."""
+        """Machines that may be added."""
         return [
             node
             for node in topology.zone_of
@@ -282,7 +282,7 @@
         ]
 
     def num_healthy_voters(self, group_id: int = 0) -> int:
-        """Voters that answered lately and hold all that is committed; 0 at a follower."""
+        """Number of recently replying voters that hold all committed entries; 0 at a follower."""
         group = self._host.groups.get(group_id)
         if group is None or not group.replica.is_ready_leader:
             return 0
