--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -1,4 +1,4 @@
-"""Losses of power of a whole site, after which nothing was served: one test a fault."""
+"""Power losses of a whole site after which no request was served: one test per fault."""
 
 import logging
 import unittest
@@ -29,13 +29,13 @@
 
 
 class SavedFrontsTest(PowerLossCase):
-    """Fronts wait for a store to greet them, and no store that kept its disk knows them.
+    """Stores must save fronts that they learned of from other stores.
 
-    Seen: no request is served for as long as the platform's store is silent, though a leader stands
-    within half a second. How: all fronts follow one store; it loses its disk as all lose power,
-    while the platform's store is down. Cause: the other stores knew the fronts by that store's word
-    and had not saved them, since only a change of the catalog was saved. Proof: their files name no
-    front, their memory named all.
+    All fronts follow one store, which loses its disk when all machines lose power while the
+    platform's store is down. No request was served while the platform's store did not answer,
+    although a leader was elected within half a second: the fronts waited for the hello of a store,
+    but the other stores had learned of them from the lost store and had not saved them, since only
+    catalog changes were saved. Their files named no front, although their memory had named all.
     """
 
     seed = 1213
@@ -48,13 +48,14 @@
 
 
 class TwoVotersTest(PowerLossCase):
-    """One of two voters waits for an identity that is gone, and is not told.
-
-    Seen: no leader and no request served until the platform's store answers. How: one of three
-    stores is retired; later all lose power, one of the two its disk too, and the platform's store
-    refuses that one. Cause: the emptied store knows nobody, so it cannot tell the voter that writes
-    to its former identity that this is lost; the voter reads the registry itself, which does not
-    name the new identity. Proof: the survivor is a pre-candidate that knows of no lost identity.
+    """One of two voters must learn from the other machine that the other voter's disk is lost.
+
+    One of three stores is retired; later all lose power, one of the remaining two also loses its
+    disk, and the platform's store refuses requests of that one. There was no leader and no request
+    was served until the platform's store answered: the wiped store knew no peers, so it could not
+    tell the voter that sent to its former identity that this identity was lost, and the registry,
+    which the voter reads itself, did not list the new identity. The survivor stayed a pre-candidate
+    that knew of no lost identity.
     """
 
     def setUp(self) -> None:
@@ -69,13 +70,13 @@
 
 
 class ReturningSuccessorTest(PowerLossCase):
-    """A successor that was away for a while is left alone long after it is back.
+    """An answer must end the backoff of a successor that was unreachable for a while.
 
-    Seen: no leader after a loss of power of all in which one disk was lost. How: a store is
-    replaced; its successor is cut off for some seconds and in reach again for the time to catch up;
-    then another loses its disk as all lose power. Cause: a machine that was taken in and stayed
-    silent is left alone for 3 s, 6 s and so on, whether it answers meanwhile or not, so the removed
-    store is still a voter. Proof: the voters at the loss of power are the first three.
+    A store is replaced; its successor is cut off for some seconds and then reachable for long
+    enough to catch up; then all lose power and another store loses its disk. There was no leader
+    afterwards: a machine that had been added and did not answer was not added again for 3 s, 6 s
+    and so on, even if it answered meanwhile, so the removed store was still a voter. The voters at
+    the power loss were the first three stores.
     """
 
     OUTAGE_S = 6.6
@@ -90,14 +91,14 @@
 
 
 class OlderAnnouncementTest(PowerLossCase):
-    """A store that is alive is taken for one whose disk is lost.
-
-    Seen: no leader and no request served, also once the registry answers rightly. How: a store
-    loses its disk and becomes a voter again under its new identity; later all lose power, another
-    its disk, and a survivor reads the first one's older announcement after its start. Cause: which
-    of two identities of a machine is the lost one was told by the order in which they came, and
-    what had been known of that was not on the disk. Proof: the survivor holds the live voter's
-    identity among the lost ones, has no address for it, and has no quorum.
+    """Wiped identities must survive a restart, or a live store counts as lost.
+
+    A store loses its disk and becomes a voter again under a new identity; later all lose power,
+    another store loses its disk, and a survivor reads the first store's older announcement after
+    its start. There was no leader and no request was served, even once the registry answered
+    correctly again: the order of arrival decided which of a machine's two identities counted as
+    lost, and earlier knowledge of this was not on the disk. The survivor held the live voter's
+    identity among the lost ones, had no address for it, and had no quorum.
     """
 
     def test_wiped_identities_survive_a_restart(self) -> None:
@@ -110,13 +111,13 @@
 
 
 class UnknownFormerIdentityTest(PowerLossCase):
-    """A store that is alive is taken for lost by one that came later.
+    """A machine's direct reply must correct which of its identities counts as lost.
 
-    Seen: as above. How: as above, and the survivor joined after the first disk was lost, so it
-    never knew the older identity and could not remember that it is the lost one. Cause: nothing
-    that a machine itself says sets the order right, since an identity that counts as lost never
-    came back. Proof: the survivor's list names the older identity, though the machine answers under
-    the newer one.
+    As in ``OlderAnnouncementTest``, but the survivor joined after the first disk was lost, so it
+    never knew the older identity and could not have stored that it is the lost one. The result was
+    the same: nothing that a machine replied corrected the order of its identities, since one that
+    counted as lost was never reinstated. The survivor's directory listed the older identity,
+    although the machine answered under the newer one.
     """
 
     def test_direct_reply_decides_which_identity_is_current(self) -> None:
@@ -130,13 +131,12 @@
 
 
 class RemovedMachinesTest(PowerLossCase):
-    """A successor waits behind machines that were removed earlier.
+    """A live successor must be added before machines that were removed earlier.
 
-    Seen: no leader, and no request served, although one store after the other was replaced, each
-    once the successor of the last had its time to catch up. Cause: announcements of removed
-    machines stay in the registry, and a leader that knows of no failure takes one in after the
-    other, for a second each, before the only one that is there. Proof: voters are machines that
-    were removed.
+    One store after another is replaced, each once the previous successor has had time to catch up.
+    There was no leader and no request was served: announcements of removed machines stay in the
+    registry, and a leader that knew of no failure added them one after another, for a second each,
+    before the only live one. The voters were machines that had been removed.
     """
 
     NUM_REPLACED = 7
@@ -152,13 +152,13 @@
 
 
 class RebalanceDuringLossTest(PowerLossCase):
-    """A live voter leaves for a better placed machine while another voter is already gone.
+    """No live voter may be exchanged for a better placed machine while another has failed.
 
-    Seen: no leader after a loss of power of all, though only the newest store lost its disk. How:
-    two voters stand in one zone; the one in another is replaced by a machine of a third. Cause: for
-    a second the removed voter counts as sound, and the newcomer's zone is the better one, so one of
-    the two is removed, which lives. Proof: the voters are one that lives, one that was removed, and
-    the newcomer; the store that left holds the log and has no vote.
+    Two voters are in one zone; the voter in another zone is replaced by a machine of a third zone.
+    There was no leader after all lost power, although only the newest store lost its disk: for a
+    second the removed voter counted as healthy and the new machine's zone was better, so one of the
+    two live voters was removed. The voters were one live store, the removed one and the new one,
+    while the store that had left held the log without a vote.
     """
 
     LOSS_DELAY_S = 0.6
@@ -175,12 +175,12 @@
 
 
 class NewVoterLosesDiskTest(unittest.TestCase):
-    """A successor loses its disk in the moment in which it and the removed voter both vote.
+    """A successor must not vote together with the removed voter that it replaces.
 
-    Seen: no leader after a loss of power of all in which the newest store alone lost its disk, at
-    some moments after its start. How: a store is replaced, and the successor loses its disk as all
-    lose power. Cause: it was made a voter beside the removed one, and three of four are a majority,
-    of which two are left. Proof: the voters are the first three and the successor.
+    A store is replaced, and the successor loses its disk when all lose power. There was no leader
+    afterwards for some delays between its start and the power loss: the successor had become a
+    voter beside the removed one, so a majority was three of four, of which only two were left. The
+    voters were the first three stores and the successor.
     """
 
     seed = 1
@@ -205,10 +205,10 @@
 
 
 def _number(machine: SimMachine) -> int:
-    """Stores that came later have higher ones; those of the start are numbered below them."""
+    """Number of a store; later stores have higher numbers than the initial ones."""
     return int(machine.name.rpartition("-")[2])
 
 
 def _fronts_of(machine: SimMachine) -> int:
-    """Fronts that follow a store."""
+    """Number of fronts that follow a store."""
     return len(machine.replica.demand.fronts_at_s) if machine.replica is not None else 0
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -1,11 +1,9 @@
-"""A leader ran out of memory when a follower that had stood still came back.
+"""Regression test: a leader must not resend the same entries for each rejection of a follower.
 
-Seen: a store that led ended by itself, memory over its limit of 320 MB, in the moment in which
-another store woke after 3.8 s. Leaders use some 55 MB there.
-
-Cause: the connections of that time had been replaced, so the first of the messages that waited for
-the follower were lost. It rejected each of the hundreds that followed, and the leader answered each
-rejection with the same entries.
+A leading store exceeded its memory limit of 320 MB, where leaders use about 55 MB, when a follower
+resumed after a pause of 3.8 s. The connections had been replaced meanwhile, so the first of the
+messages queued for the follower were lost. It rejected each of the hundreds that followed, and the
+leader answered each rejection with the same entries.
 """
 
 import random
@@ -24,7 +22,7 @@
 
 
 class Group:
-    """Three replicas; what is sent to those that stand still waits."""
+    """Three replicas; messages to a paused replica are held back."""
 
     def __init__(self) -> None:
         membership = wire.GroupMembership(voters=VOTERS)
@@ -62,7 +60,7 @@
         self.deliver()
 
     def resume(self, node: str, num_lost: int) -> None:
-        """What waits arrives, but for the first messages."""
+        """Deliver the messages held back for a replica, except for the first ones."""
         for message in self.held_messages.pop(node)[num_lost:]:
             self.perform(node, self.replicas[node].receive(message))
         self.deliver()
@@ -79,10 +77,10 @@
             for replica in self.group.replicas.values():
                 if replica.is_ready_leader:
                     return replica
-        raise AssertionError("nobody leads")
+        raise AssertionError("no replica became leader")
 
     def pause_follower(self) -> str:
-        """A follower stands still while entries are committed."""
+        """Pause a follower while entries are committed."""
         follower = next(node for node in VOTERS if node != self.leader.node_id)
         self.group.held_messages[follower] = []
         for number in range(NUM_ENTRIES):
--- a/tests/test_silent_groups.py
+++ b/tests/test_silent_groups.py
@@ -1,10 +1,10 @@
-"""A consensus group on real sockets whose connections all fall silent at once.
+"""A consensus group on real sockets whose connections all stall at once must commit again.
 
-Seen: twelve seconds after the return of power nothing was served at a site; no log was kept. How it
-may come about: the connections between stores fall silent, and nothing but one-way messages goes
-between them. Cause: the leader's heartbeats and the others' votes went on into dead connections, so
-no leader committed anything any more. Proof: proxies between three replicas that go on reading and
-pass nothing on. That the site's connections were silent is not proven.
+A site served no request 12 s after power had returned, and no log of it exists. A possible cause:
+the connections between stores stall while only one-way messages are sent over them, so heartbeats
+and votes continue into dead connections and no leader can commit. The proxies between the three
+replicas reproduce this: they keep reading but forward nothing. It is not proven that the site's
+connections had stalled.
 """
 
 import asyncio
@@ -22,15 +22,15 @@
 GROUP = 0
 METHOD = "say"
 REQUEST_TIMEOUT_S = 30.0
-"""Ends a request that hangs; a busy machine may take its time for one that is answered."""
+"""Bound for a request that hangs; generous, since a busy machine may answer slowly."""
 TICK_S = 0.025
 ATTEMPT_TIMEOUT_S = 0.1
 NUM_ATTEMPTS = 120
-"""Tries of a commit, one after the other: 12 s, the time within which service has to be back."""
+"""Sequential commit attempts: 12 s, the time within which the service must have recovered."""
 
 
 class EchoState:
-    """Gives each command back."""
+    """State machine that returns each command as its result."""
 
     def apply(self, data: bytes) -> object:
         return data
@@ -80,7 +80,7 @@
             await proxy.stop()
 
     async def can_commit(self) -> bool:
-        """Whether any replica can_commit a command."""
+        """Whether any replica commits a command."""
         for number in range(NUM_ATTEMPTS):
             try:
                 await self.hosts[number % len(self.hosts)].propose(GROUP, b"x", ATTEMPT_TIMEOUT_S)
@@ -93,14 +93,14 @@
         return False
 
     async def wait_for_role_change(self) -> None:
-        """Wait until a replica takes another role, or as long as a try takes."""
+        """Wait until a replica changes its role, at most for the timeout of one attempt."""
         self.role_changed.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
                 await self.role_changed.wait()
 
     async def open_all_connections(self) -> None:
-        """Open each connection that any replica may use; those opened later are not silent."""
+        """Open every connection that a replica may use; connections opened later do not stall."""
 
         async def answer(payload: bytes) -> bytes:
             return payload
