--- a/tests/patterns/test_configuration_after_power_loss.py
+++ b/tests/patterns/test_configuration_after_power_loss.py
@@ -1,8 +1,8 @@
-"""Load pattern: all machines lost power, and callers wait at nodes that know no configuration yet.
+"""Load pattern: after a power loss callers wait at nodes that have no configuration yet.
 
-Grounds for the figures: replica machines greet nodes that start, so a node knows whom to ask 12 to
-19 ms after it has started; it had the configuration 125 ms (p50) after that, since it slept for 50
-to 200 ms whenever nobody was known. The whole way is one round trip and some ms of reading.
+Replica machines send a hello to starting nodes, so a node knows a replica to ask 12 to 19 ms after
+its start. Formerly it had the configuration only 125 ms (p50) later, since it slept for 50 to
+200 ms whenever it knew no replica. The fetch itself takes one round trip and a few ms of reading.
 
 """
 
@@ -11,7 +11,7 @@
 from bendshed.rehearsal.site.sim_world import SimMachine, SiteWorld
 
 MAX_FETCH_S = 0.02
-"""From the first replica machine known to the configuration in force: a round trip of some ms."""
+"""From the first known replica machine to the configuration in force: a round trip of a few ms."""
 STEP_S = 0.001
 SEEDS = range(1, 9)
 
--- a/tests/test_compaction.py
+++ b/tests/test_compaction.py
@@ -1,4 +1,4 @@
-"""The turn log under compaction: newcomers are filled by snapshots, and nothing is lost."""
+"""Turn log compaction: new replicas are filled by snapshots, and no entry is lost."""
 
 import unittest
 from unittest import mock
--- a/tests/test_disk_stall.py
+++ b/tests/test_disk_stall.py
@@ -1,4 +1,4 @@
-"""A disk that answers nothing for seconds costs no commit while a majority of disks is well."""
+"""A disk that stalls for seconds delays no commit while a majority of disks works."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 STALL_S = 4.0
 PROGRAM_S = 1.5
-"""Two turns and a call take half a second here; the rest is a bound on what a stall may cost."""
+"""Two turns and a call take half a second here; the rest bounds the delay caused by a stall."""
 
 
 class DiskStallTest(unittest.TestCase):
--- a/tests/test_group_client.py
+++ b/tests/test_group_client.py
@@ -1,4 +1,4 @@
-"""Reaching a group's leader that stands far: its bound, and what its silence proves."""
+"""Requests to a remote group leader: their timeout, and what a missing answer implies."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 
 class SilentTransport:
-    """Nobody answers; remembers how long each request was given."""
+    """Transport that never answers and records the timeout of each request."""
 
     def __init__(self) -> None:
         self.timeouts_s: list[float] = []
@@ -43,7 +43,7 @@
         self.client.leaders[GROUP] = "far"
 
     def request_timeout(self, timeout_s: float, most_s: float) -> float:
-        """How long the request was given."""
+        """Send a request to the leader and return the timeout that it was given."""
         request = self.client.request_leader(GROUP, "m", b"", timeout_s, most_s)
         self.assertIsNone(self.loop.run_until_complete(request))
         return self.transport.timeouts_s[-1]
--- a/tests/test_introductions.py
+++ b/tests/test_introductions.py
@@ -1,4 +1,4 @@
-"""Replica machines that ask each other who they are."""
+"""Replica machines that exchange their identities."""
 
 import asyncio
 import unittest
@@ -35,7 +35,7 @@
         )
 
     async def ask_once(self) -> None:
-        """Let it ask, and take the replies."""
+        """Run one round of requests and handle the replies."""
         with mock.patch.object(introductions, "REQUEST_INTERVAL_S", 0.0):
             running = asyncio.create_task(self.introductions.run())
             for _ in range(LOOP_ITERATIONS):
--- a/tests/test_membership_plan.py
+++ b/tests/test_membership_plan.py
@@ -1,4 +1,4 @@
-"""Which replica joins or leaves next."""
+"""The planned membership change: which replica joins or leaves next."""
 
 import random
 import unittest
@@ -80,7 +80,7 @@
         self.assertEqual(self.plan(members("abc"), wiped=["a", "b"]), ("ac", ""))
 
     def test_repeated_steps_reach_the_wanted_voters(self) -> None:
-        """From random beginnings, repeated steps reach three sound voters and stop."""
+        """From random memberships, repeated steps reach three healthy voters and then stop."""
         rng = random.Random(7)
         for _ in range(300):
             nodes = list("abcdef")
--- a/tests/test_quorum.py
+++ b/tests/test_quorum.py
@@ -1,4 +1,4 @@
-"""Elections and commits when voters are known to be lost for good."""
+"""Elections and commits when voters are known to be permanently lost."""
 
 import itertools
 import unittest
@@ -13,7 +13,7 @@
 
 class QuorumTest(unittest.TestCase):
     def test_a_quorum_of_survivors_meets_every_majority_and_every_other_quorum(self) -> None:
-        """Else a committed entry could be missed, or two could lead in one term."""
+        """Otherwise a committed entry could be missed, or one term could have two leaders."""
         for num_voters in range(1, 8):
             voters = range(num_voters)
             majorities = list(itertools.combinations(voters, num_voters // 2 + 1))
@@ -45,7 +45,7 @@
 
 
 class LastVoterTest(unittest.TestCase):
-    """A site of three stores: one is emptied without a successor, then others lose their disks."""
+    """Three stores: one is emptied without a successor, then others lose their disks."""
 
     def setUp(self) -> None:
         self.world = SiteWorld.started(1)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -61,7 +61,7 @@
         storage.close()
 
     def test_a_vote_does_not_write_the_snapshot_again(self) -> None:
-        """A vote must be durable within milliseconds, however much the group holds."""
+        """A vote must be durable within milliseconds, whatever the size of the group's state."""
         storage = SqliteLogStorage(self.folder)
         snapshot = GroupSnapshot(index=5, term=1, state=b"s" * 4_000_000)
         asyncio.run(storage.commit([GroupWrite(1, term=1, voted_for="a", snapshot=snapshot)]))
@@ -71,7 +71,7 @@
         storage.close()
 
     def written_bytes(self) -> int:
-        """What the kernel was asked to write by this process so far."""
+        """Bytes that this process has passed to write system calls so far."""
         lines = Path("/proc/self/io").read_text().splitlines()
         return int(next(line for line in lines if line.startswith("wchar")).split()[1])
 
@@ -88,7 +88,7 @@
         database.execute("INSERT INTO groups VALUES (4, 3, 'n', ?, ?)", (snapshot, checksum))
         database.commit()
         database.close()
-        for _ in range(2):  # the second time from the present layout
+        for _ in range(2):  # the second iteration reads the migrated schema
             storage = SqliteLogStorage(self.folder)
             (group,) = storage.load()
             self.assertEqual((group.group_id, group.term, group.voted_for), (4, 3, "n"))
--- a/tests/test_voter_placement.py
+++ b/tests/test_voter_placement.py
@@ -1,4 +1,4 @@
-"""Voters bear the loss of a zone: at the founding, while they change, and after a rebalance."""
+"""Voters tolerate the loss of a zone: initially, during changes and after a rebalance."""
 
 import random
 import unittest
@@ -29,7 +29,7 @@
 
 
 def tolerates_any_zone_loss(zone_of: Mapping[str, str], voters: Collection[str]) -> bool:
-    """Whether a majority is left whichever zone is lost."""
+    """Whether a majority remains after the loss of any one zone."""
     return max(voters_per_zone(zone_of, voters)) <= len(voters) - (len(voters) // 2 + 1)
 
 
@@ -41,7 +41,7 @@
     silent: Collection[str] = (),
     retiring: Collection[str] = (),
 ) -> Iterator[GroupMembership]:
-    """Memberships until the plan has nothing more to do; learners catch up at once."""
+    """Yield each membership until the plan is complete; learners catch up at once."""
     topology = VoterTopology(zone_of, home)
     current = GroupMembership(voters=voters)
     for _ in range(60):
@@ -63,7 +63,7 @@
             return
         current = wanted
         yield current
-    raise AssertionError("the plan does not end")
+    raise AssertionError("the plan does not terminate")
 
 
 class InitialPlacementTest(unittest.TestCase):
