--- a/src/bendshed/consensus/raft.py
+++ b/src/bendshed/consensus/raft.py
@@ -119,7 +119,7 @@
     @property
     def is_membership_committed(self) -> bool:
         """Whether the log contains no uncommitted membership change."""
-        pending = self.log.between(self.commit_index + 1, self.last_index)
+        pending = self.log.entries_between(self.commit_index + 1, self.last_index)
         return not any(entry.kind == wire.ENTRY_KIND_MEMBERSHIP for entry in pending)
 
     @property
@@ -367,7 +367,11 @@
             return
         in_flight = previous - progress.match_index
         last = min(self.log.last_index, previous + MAX_APPEND_ENTRIES)
-        entries = [] if in_flight > MAX_IN_FLIGHT_ENTRIES else self.log.between(previous + 1, last)
+        entries = (
+            []
+            if in_flight > MAX_IN_FLIGHT_ENTRIES
+            else self.log.entries_between(previous + 1, last)
+        )
         if not entries and not heartbeat:
             return
         message = self._new_message(wire.CONSENSUS_KIND_APPEND_REQUEST, node)
@@ -468,7 +472,7 @@
         if index <= self.commit_index:
             return
         self.commit_index = index
-        entries = self.log.between(self.applied_index + 1, index)
+        entries = self.log.entries_between(self.applied_index + 1, index)
         self.applied_index = index
         self._effects.append(Apply(entries))
 
--- a/src/bendshed/consensus/raft_types.py
+++ b/src/bendshed/consensus/raft_types.py
@@ -92,7 +92,7 @@
             return self.entries[offset].term
         return None
 
-    def between(self, first: int, last: int) -> list[wire.LogEntry]:
+    def entries_between(self, first: int, last: int) -> list[wire.LogEntry]:
         """Entries with ``first <= index <= last``."""
         base = self.snapshot.index + 1
         return self.entries[max(0, first - base) : max(0, last - base + 1)]
@@ -105,13 +105,13 @@
 
     def compact(self, snapshot: wire.Snapshot) -> None:
         """Replace the entries that the snapshot covers by the snapshot."""
-        self.entries = self.between(snapshot.index + 1, self.last_index)
+        self.entries = self.entries_between(snapshot.index + 1, self.last_index)
         self.num_bytes = sum(len(entry.data) for entry in self.entries)
         self.snapshot = snapshot
 
     def membership_at(self, index: int) -> wire.GroupMembership:
         """Membership in effect at an entry, committed or not."""
-        for entry in reversed(self.between(self.snapshot.index + 1, index)):
+        for entry in reversed(self.entries_between(self.snapshot.index + 1, index)):
             if entry.kind == wire.ENTRY_KIND_MEMBERSHIP:
                 return wire.GroupMembership.FromString(entry.data)
         return self.snapshot.membership
