--- a/src/bendshed/consensus/host.py
+++ b/src/bendshed/consensus/host.py
@@ -123,8 +123,8 @@
         self._writes: list[GroupWrite] = []
         self._messages_after_writes: list[wire.ConsensusMessage] = []
         self._is_committing = False
-        self._work = asyncio.Event()
-        self._durable = asyncio.Event()
+        self._writer_wakeup = asyncio.Event()
+        self._commit_done = asyncio.Event()
         self._outbox: dict[str, list[wire.ConsensusMessage]] = {}
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -150,13 +150,13 @@
             return
         snapshot = wire.Snapshot(index=1, term=1, membership=membership)
         self._writes.append(GroupWrite(group_id, term=1, voted_for="", snapshot=snapshot))
-        self._work.set()
+        self._writer_wakeup.set()
         self._add(StoredGroup(group_id, 1, "", snapshot, []))
 
     async def flush(self) -> None:
         """Wait until everything written so far is durable."""
         while self._writes or self._is_committing:
-            await self._durable.wait()
+            await self._commit_done.wait()
 
     def _add(self, stored: StoredGroup) -> HostedGroup:
         state = self._new_state(stored.group_id)
@@ -211,8 +211,8 @@
         """Transfer the leadership of all led groups, preferably to voters in their home regions."""
         for group_id, group in self.groups.items():
             is_home = self._election_order_of(group_id).is_home
-            home = [node for node in group.replica.membership.voters if is_home(node)]
-            if not self.transfer_leadership(group_id, home):
+            home_voters = [node for node in group.replica.membership.voters if is_home(node)]
+            if not self.transfer_leadership(group_id, home_voters):
                 self.transfer_leadership(group_id, group.replica.membership.voters)
 
     def transfer_leadership(self, group_id: int, among: Collection[str]) -> bool:
@@ -273,7 +273,7 @@
                     self._send(message, after_persist)
                 case raft.Persist(write):
                     self._writes.append(write)
-                    self._work.set()
+                    self._writer_wakeup.set()
                 case raft.Apply(entries):
                     self._apply(group, entries)
                 case raft.Restore(snapshot):
@@ -293,7 +293,7 @@
     def _send(self, message: wire.ConsensusMessage, after_persist: bool) -> None:
         if after_persist and (self._writes or self._is_committing):
             self._messages_after_writes.append(message)
-            self._work.set()
+            self._writer_wakeup.set()
             return
         if not self._outbox:
             asyncio.get_running_loop().call_soon(self._flush_outbox)
@@ -329,8 +329,8 @@
 
     async def _write_forever(self) -> None:
         while True:
-            await self._work.wait()
-            self._work.clear()
+            await self._writer_wakeup.wait()
+            self._writer_wakeup.clear()
             writes, self._writes = self._writes, []
             messages, self._messages_after_writes = self._messages_after_writes, []
             if writes:
@@ -339,8 +339,8 @@
                 await self._commit_with_retries(writes)
                 self.stall_detector.end_sync()
                 self._is_committing = False
-                self._durable.set()
-                self._durable = asyncio.Event()
+                self._commit_done.set()
+                self._commit_done = asyncio.Event()
             for message in messages:
                 self._send(message, after_persist=False)
             self._report_persisted(writes)
