--- a/src/bendshed/consensus/followers.py
+++ b/src/bendshed/consensus/followers.py
@@ -102,10 +102,10 @@
 
     def most_advanced(self, voters: Iterable[str], ticks: int) -> str | None:
         """Recently replying follower that holds the most of the log; ``None`` if none replied."""
-        alive = [node for node in self.recently_replied(voters, ticks) if node != self.node_id]
-        if not alive:
+        responsive = [node for node in self.recently_replied(voters, ticks) if node != self.node_id]
+        if not responsive:
             return None
-        return max(sorted(alive), key=lambda node: self._progress[node].match_index)
+        return max(sorted(responsive), key=lambda node: self._progress[node].match_index)
 
     def quorum_index(self, voters: Collection[str], own_index: int, quorum: int) -> int:
         """Highest index that is durable on a quorum of voters; 0 if there are too few voters."""
--- a/src/bendshed/consensus/group_client.py
+++ b/src/bendshed/consensus/group_client.py
@@ -137,7 +137,7 @@
         target = self._choose_target(group_id)
         address = self._resolve(target) if target else None
         if address is None:
-            self._forget(group_id, target)
+            self._forget_leader(group_id, target)
             return None
         expected_round_trip_s = self._expected_round_trip_s(address)
         request_timeout_s = min(
@@ -150,7 +150,7 @@
                 MIN_CONCLUSIVE_ROUND_TRIPS * expected_round_trip_s, MIN_CONCLUSIVE_TIMEOUT_S
             ):
                 return None
-            self._forget(group_id, target)
+            self._forget_leader(group_id, target)
             if error.is_silent:
                 self._backoff_until_s[target] = (
                     asyncio.get_running_loop().time() + SILENT_NODE_BACKOFF_S
@@ -174,9 +174,9 @@
         if hint and not self._is_backed_off(hint):
             self.leaders[group_id] = hint
         else:
-            self._forget(group_id, hinted_by)
+            self._forget_leader(group_id, hinted_by)
 
-    def _forget(self, group_id: int, node_id: str) -> None:
+    def _forget_leader(self, group_id: int, node_id: str) -> None:
         if self.leaders.get(group_id) == node_id:
             del self.leaders[group_id]
 
--- a/src/bendshed/consensus/introductions.py
+++ b/src/bendshed/consensus/introductions.py
@@ -58,9 +58,9 @@
         """Send requests until cancelled."""
         while True:
             await asyncio.sleep(REQUEST_INTERVAL_S)
-            missed = self._nodes_to_ask()
+            silent_nodes = self._nodes_to_ask()
             for node in list(self._directory.by_name.values()):
-                if node.node_id in missed and node != self._directory.own_node:
+                if node.node_id in silent_nodes and node != self._directory.own_node:
                     self._start_request(node)
 
     def _start_request(self, node: ReplicaNode) -> None:
