--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -35,7 +35,7 @@
 log = PartLog("supervisor")
 
 
-async def _request_nobody(_group_id: int, _node_id: str) -> bool:
+async def _no_emptied_answer(_group_id: int, _node_id: str) -> bool:
     return False
 
 
@@ -58,7 +58,7 @@
         tick_s: float,
         num_voters: int,
         groups: TurnGroups = ONE_GROUP,
-        request_emptied: RequestEmptied = _request_nobody,
+        request_emptied: RequestEmptied = _no_emptied_answer,
     ) -> None:
         self.local_node = local_node
         self._host = host
@@ -173,16 +173,16 @@
         """Transfer leadership if another voter should lead, else plan a membership change."""
         voters = group.replica.membership.voters
         retiring = self._directory.retiring_ids()
-        staying = [node for node in voters if node not in retiring]
-        if self.local_node.node_id in retiring and staying:
-            self._host.transfer_leadership(group_id, staying)
+        remaining = [node for node in voters if node not in retiring]
+        if self.local_node.node_id in retiring and remaining:
+            self._host.transfer_leadership(group_id, remaining)
             return
-        self._transfer_to_home_region(group_id, group, staying)
+        self._transfer_to_home_region(group_id, group, remaining)
         if group.replica.is_membership_committed:
             self._change_membership(group_id, group)
 
     def _transfer_to_home_region(
-        self, group_id: int, group: HostedGroup, staying: list[str]
+        self, group_id: int, group: HostedGroup, remaining: list[str]
     ) -> None:
         """Transfer leadership to a home voter that has kept up for ``HOME_CATCH_UP_S``."""
         topology = self._topology(group_id)
@@ -195,8 +195,8 @@
         if term == replica.term and now_s < since_s + HOME_CATCH_UP_S:
             return
         self._outside_home_since[group_id] = current
-        home = [node for node in staying if topology.is_home(node)]
-        ready = [node for node in home if replica.followers[node].match_index >= index]
+        home_voters = [node for node in remaining if topology.is_home(node)]
+        ready = [node for node in home_voters if replica.followers[node].match_index >= index]
         if term == replica.term and ready:
             log.say(
                 "handing leadership over: leader outside the home region",
@@ -225,19 +225,21 @@
         candidates = self._candidates.sort_responsive_first(group_id, ranked, is_voter_missing)
         if candidates is None and not inputs.wiped:
             return
-        wanted = plan_membership(replica.membership, replace(inputs, candidates=candidates or []))
-        if wanted is None:
+        new_membership = plan_membership(
+            replica.membership, replace(inputs, candidates=candidates or [])
+        )
+        if new_membership is None:
             self._idle_plan_keys[group_id] = plan_key
             return
         for node in set(replica.membership.learners) & set(inputs.silent):
             self._candidates.record_failure(node)
-        if self._host.propose_membership(group_id, wanted):
+        if self._host.propose_membership(group_id, new_membership):
             log.say(
                 "membership change proposed",
                 group=group_id,
-                voters=list(wanted.voters),
-                learners=list(wanted.learners),
-                zones=[inputs.topology.zone_of.get(node, "") for node in wanted.voters],
+                voters=list(new_membership.voters),
+                learners=list(new_membership.learners),
+                zones=[inputs.topology.zone_of.get(node, "") for node in new_membership.voters],
                 wiped=sorted(inputs.wiped),
                 silent=sorted(inputs.silent),
                 retiring=sorted(inputs.retiring),
