--- a/src/bendshed/consensus/replica_placement.py
+++ b/src/bendshed/consensus/replica_placement.py
@@ -1,4 +1,4 @@
-"""Places the groups at the installation's beginning and replaces lost replicas later."""
+"""Places the groups of a new installation and later replaces lost replicas."""
 
 import asyncio
 
@@ -23,16 +23,17 @@
 
 PLACEMENT_KEY = "placement"
 CHECK_INTERVAL_S = 1.0
-UNHEARD_TICKS = 10
-"""A member without a reply to the leader for so many ticks may be gone; heartbeats go every 3."""
+UNRESPONSIVE_TICKS = 10
+"""A member without a reply to the leader for this many ticks may have failed; heartbeats are sent
+every 3 ticks."""
 MAX_LEARNER_LAG = 100
-"""A learner that lacks fewer entries becomes a voter."""
+"""A learner that lacks at most this many entries may become a voter."""
 
 log = PartLog("placement")
 
 
 class ReplicaPlacement:
-    """Runs on disk nodes. The store is needed for the very first placement only."""
+    """Runs on disk nodes. The store is needed for the initial placement only."""
 
     def __init__(
         self,
@@ -51,11 +52,11 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to place and to repair."""
+        """Start placing and repairing groups."""
         self._task = start_loop(self._run(), "placement")
 
     async def stop(self) -> None:
-        """End."""
+        """Stop."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -72,7 +73,7 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
             self._repair()
 
-    # --- first placement -----------------------------------------------------------------
+    # --- initial placement ---------------------------------------------------------------
 
     async def _bootstrap(self) -> None:
         stored = await self._store.get(PLACEMENT_KEY)
@@ -88,7 +89,7 @@
         log.say("took part in the first placement", groups=len(self._host.groups))
 
     async def _create_placement(self) -> None:
-        """The first disk node by rendezvous writes the placement, once enough are there."""
+        """Write the placement on the node of highest rendezvous rank, once enough are live."""
         nodes = list(self._live_disk_nodes().values())
         if len(nodes) < self._settings.bootstrap_disk_nodes:
             return
@@ -117,41 +118,46 @@
 
     def _repair(self) -> None:
         live = self._live_disk_nodes()
-        gone = self._long_missing(live)
+        missing_too_long = self._missing_too_long(live)
         for group_id, group in self._host.groups.items():
             replica = group.replica
-            if replica.role is not Role.LEADER or not replica.membership_settled:
+            if replica.role is not Role.LEADER or not replica.is_membership_committed:
                 continue
-            inputs = self._plan_inputs(group_id, replica, live, gone)
+            inputs = self._plan_inputs(group_id, replica, live, missing_too_long)
             wanted = plan_membership(replica.membership, inputs)
             if wanted is not None and self._host.propose_membership(group_id, wanted):
                 log.say("membership change proposed", group=group_id, voters=list(wanted.voters))
 
     def _plan_inputs(
-        self, group_id: int, replica: RaftReplica, live: dict[str, DiskNode], gone: set[str]
+        self,
+        group_id: int,
+        replica: RaftReplica,
+        live: dict[str, DiskNode],
+        missing_too_long: set[str],
     ) -> PlanInputs:
         membership = replica.membership
         members = [*membership.voters, *membership.learners]
         topology = VoterTopology({node_id: node.zone for node_id, node in live.items()})
-        free = [node for node in live if node not in members]
+        available = [node for node in live if node not in members]
         voters = list(membership.voters)
-        unheard = replica.followers.silent(members, UNHEARD_TICKS)
+        unresponsive = replica.followers.silent(members, UNRESPONSIVE_TICKS)
         return PlanInputs(
-            me=self._host.node_id,
+            leader_id=self._host.node_id,
             wiped=(),
-            silent=gone & unheard,
-            unheard=unheard,
-            retiring=gone - unheard,  # a node that stops votes until its calls are over
+            silent=missing_too_long & unresponsive,
+            unresponsive=unresponsive,
+            retiring=missing_too_long
+            - unresponsive,  # a stopping node votes until its calls have ended
             caught_up=replica.followers.caught_up(
                 membership.learners, replica.last_index, MAX_LEARNER_LAG
             ),
-            candidates=rank_candidates(group_id, topology, free, voters, gone),
-            count=self._settings.replicas,
+            candidates=rank_candidates(group_id, topology, available, voters, missing_too_long),
+            num_voters=self._settings.replicas,
             topology=topology,
         )
 
-    def _long_missing(self, live: dict[str, DiskNode]) -> set[str]:
-        """Replicas that have not been live for the time after which they are replaced."""
+    def _missing_too_long(self, live: dict[str, DiskNode]) -> set[str]:
+        """Members that have not been live for at least ``replace_after_s``."""
         now_s = asyncio.get_running_loop().time()
         members = {
             node
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -1,11 +1,9 @@
-"""A leader ran out of memory when a follower that had stood still came back.
+"""Regression test: a leader must not resend the same entries for each rejection of a follower.
 
-Seen: a store that led ended by itself, memory over its limit of 320 MB, in the moment in which
-another store woke after 3.8 s. Leaders use some 55 MB there.
-
-Cause: the connections of that time had been replaced, so the first of the messages that waited for
-the follower were lost. It rejected each of the hundreds that followed, and the leader answered each
-rejection with the same entries.
+A leading store exceeded its memory limit of 320 MB, where leaders use about 55 MB, when a follower
+resumed after a pause of 3.8 s. The connections had been replaced meanwhile, so the first of the
+messages queued for the follower were lost. It rejected each of the hundreds that followed, and the
+leader answered each rejection with the same entries.
 """
 
 import random
@@ -24,7 +22,7 @@
 
 
 class Group:
-    """Three replicas; what is sent to those that stand still waits."""
+    """Three replicas; messages to a paused replica are held back."""
 
     def __init__(self) -> None:
         membership = wire.GroupMembership(voters=VOTERS)
@@ -33,7 +31,7 @@
             snapshot = wire.Snapshot(index=1, term=1, membership=membership)
             stored = StoredGroup(0, 1, "", snapshot, [])
             self.replicas[node] = RaftReplica(node, stored, random.Random(number))
-        self.waiting: dict[str, list[wire.ConsensusMessage]] = {}
+        self.held_messages: dict[str, list[wire.ConsensusMessage]] = {}
         self.num_entries_to: dict[str, int] = dict.fromkeys(VOTERS, 0)
         self._queue: deque[wire.ConsensusMessage] = deque()
 
@@ -50,20 +48,20 @@
     def deliver(self) -> None:
         while self._queue:
             message = self._queue.popleft()
-            if message.receiver in self.waiting:
-                self.waiting[message.receiver].append(message)
+            if message.receiver in self.held_messages:
+                self.held_messages[message.receiver].append(message)
             else:
                 self.perform(message.receiver, self.replicas[message.receiver].receive(message))
 
     def tick(self) -> None:
         for node, replica in self.replicas.items():
-            if node not in self.waiting:
+            if node not in self.held_messages:
                 self.perform(node, replica.tick())
         self.deliver()
 
-    def wake(self, node: str, num_lost: int) -> None:
-        """What waits arrives, but for the first messages."""
-        for message in self.waiting.pop(node)[num_lost:]:
+    def resume(self, node: str, num_lost: int) -> None:
+        """Deliver the messages held back for a replica, except for the first ones."""
+        for message in self.held_messages.pop(node)[num_lost:]:
             self.perform(node, self.replicas[node].receive(message))
         self.deliver()
 
@@ -79,12 +77,12 @@
             for replica in self.group.replicas.values():
                 if replica.is_ready_leader:
                     return replica
-        raise AssertionError("nobody leads")
+        raise AssertionError("no replica became leader")
 
-    def stand_still(self) -> str:
-        """A follower stands still while entries are committed."""
+    def pause_follower(self) -> str:
+        """Pause a follower while entries are committed."""
         follower = next(node for node in VOTERS if node != self.leader.node_id)
-        self.group.waiting[follower] = []
+        self.group.held_messages[follower] = []
         for number in range(NUM_ENTRIES):
             _, effects = self.leader.propose(b"%d" % number)
             self.group.perform(self.leader.node_id, effects)
@@ -93,22 +91,22 @@
         self.assertEqual(self.leader.commit_index, self.leader.last_index)
         return follower
 
-    def is_whole(self, follower: str) -> bool:
+    def has_whole_log(self, follower: str) -> bool:
         return self.group.replicas[follower].last_index == self.leader.last_index
 
-    def test_many_rejections_bring_the_same_entries_once(self) -> None:
-        follower = self.stand_still()
+    def test_many_rejections_resend_the_same_entries_once(self) -> None:
+        follower = self.pause_follower()
         self.group.num_entries_to[follower] = 0
-        self.group.wake(follower, NUM_LOST)
+        self.group.resume(follower, NUM_LOST)
         self.assertLessEqual(self.group.num_entries_to[follower], 2 * NUM_ENTRIES)
-        self.assertTrue(self.is_whole(follower))
+        self.assertTrue(self.has_whole_log(follower))
 
     def test_entries_that_are_lost_again_are_sent_again(self) -> None:
-        follower = self.stand_still()
-        self.group.wake(follower, len(self.group.waiting[follower]))
-        self.group.waiting[follower] = []
+        follower = self.pause_follower()
+        self.group.resume(follower, len(self.group.held_messages[follower]))
+        self.group.held_messages[follower] = []
         self.group.tick()
-        self.group.wake(follower, len(self.group.waiting[follower]))
+        self.group.resume(follower, len(self.group.held_messages[follower]))
         for _ in range(MAX_TICKS):
             self.group.tick()
-        self.assertTrue(self.is_whole(follower))
+        self.assertTrue(self.has_whole_log(follower))
