--- a/src/bendshed/gateway/services.py
+++ b/src/bendshed/gateway/services.py
@@ -64,7 +64,7 @@
         callers = ServiceCallerProtocol(lambda: node.configuration.document, node.ports.rng)
         self._forwarding = ForwardingApplication(self.forwarder, callers)
         node.configuration.on_change.append(self._on_configuration)
-        node.monitor.on_list.append(self._on_machines)
+        node.monitor.on_machine_list.append(self._on_machines)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request, or the server's start and stop."""
--- a/src/bendshed/node.py
+++ b/src/bendshed/node.py
@@ -131,7 +131,7 @@
             self.scheduler,
             self.engine_of,
             self.monitor.confirm,
-            self.monitor.engine_said_leaving,
+            self.monitor.note_engine_leaving,
             ports.transport,
             ports.clock,
             rng,
--- a/src/bendshed/routing/monitor.py
+++ b/src/bendshed/routing/monitor.py
@@ -30,9 +30,9 @@
 
 LIST_METHOD = "machines.list"
 PEER_TIMEOUT_S = 2.0
-LIST_PEERS = 2
+NUM_LIST_PEERS = 2
 """Peers among which one is drawn to request the machine list from."""
-FRESH_S = 2.0
+MAX_REPORT_AGE_S = 2.0
 """A load report this old does not show whether the engine is leaving."""
 ENGINE_ERRORS = (EngineBroken, EngineNotStarted, NotSupported)
 
@@ -43,7 +43,7 @@
     """Background work around the runner table of one node.
 
     Attributes:
-        on_list: called with each machine list.
+        on_machine_list: called with each machine list.
 
     """
 
@@ -75,7 +75,7 @@
         self._settings = settings
         self._list_interval_s = list_interval_s
         self._rng = rng
-        self.on_list: list[Callable[[list[Machine]], None]] = []
+        self.on_machine_list: list[Callable[[list[Machine]], None]] = []
         self._machines: list[Machine] = []
         self._digest = 0
         self._poll_position = 0
@@ -110,7 +110,7 @@
     async def _refresh_list(self) -> None:
         if self._is_reader():
             try:
-                self._take_list(await self._machine_list.read())
+                self._apply_list(await self._machine_list.read())
             except StoreUnavailable:
                 log.say("machine list unavailable")
                 await self._request_from_peer()
@@ -118,39 +118,39 @@
             await self._request_from_peer()
 
     async def _request_from_peer(self) -> None:
-        me = self._membership.swim.me.node_id
-        others = [node for node in self._membership.zone_readers() if node != me]
-        peers = others[:LIST_PEERS]
+        own_id = self._membership.swim.me.node_id
+        others = [node for node in self._membership.zone_readers() if node != own_id]
+        peers = others[:NUM_LIST_PEERS]
         address = self._membership.view.address(self._rng.choice(peers)) if peers else None
         if address is None:
             return
-        question = peer_pb2.MachineListRequest(have_digest=self._digest).SerializeToString()
+        request = peer_pb2.MachineListRequest(have_digest=self._digest).SerializeToString()
         try:
-            payload = await self._transport.request(address, LIST_METHOD, question, PEER_TIMEOUT_S)
+            payload = await self._transport.request(address, LIST_METHOD, request, PEER_TIMEOUT_S)
         except PeerUnreachable:
             return
         reply = peer_pb2.MachineListReply.FromString(payload)
         if reply.machines:
-            self._take_list([Machine(**row) for row in orjson.loads(reply.machines)])
+            self._apply_list([Machine(**row) for row in orjson.loads(reply.machines)])
 
-    def _take_list(self, machines: list[Machine]) -> None:
+    def _apply_list(self, machines: list[Machine]) -> None:
         self._machines = machines
         self._digest = xxhash.xxh3_64_intdigest(_encode(machines))
         for notice in self._table.update_list(machines):
             log.say("back end is leaving", runner=notice.runner_id)
             self._membership.notice_runner(notice)
-        for take in self.on_list:
-            take(machines)
+        for callback in self.on_machine_list:
+            callback(machines)
         self._scheduler.schedule()
 
     async def _on_list_request(self, payload: bytes) -> bytes:
-        have = peer_pb2.MachineListRequest.FromString(payload).have_digest
+        have_digest = peer_pb2.MachineListRequest.FromString(payload).have_digest
         reply = peer_pb2.MachineListReply(digest=self._digest)
-        if have != self._digest and self._machines:
+        if have_digest != self._digest and self._machines:
             reply.machines = _encode(self._machines)
         return reply.SerializeToString()
 
-    def engine_said_leaving(self, runner_id: str) -> None:
+    def note_engine_leaving(self, runner_id: str) -> None:
         """An engine refused work because it leaves: notify all nodes."""
         notice = self._table.mark_leaving(runner_id)
         if notice is not None:
@@ -159,13 +159,13 @@
     # --- load ----------------------------------------------------------------------------
 
     async def _poll_loads(self) -> None:
-        names = [name for name, runner in self._table.runners.items() if not runner.leaving]
-        if not names:
+        runner_ids = [name for name, runner in self._table.runners.items() if not runner.leaving]
+        if not runner_ids:
             return
-        count = min(len(names), self._settings.load_polls_per_interval)
-        first = self._poll_position % len(names)
-        self._poll_position = first + count
-        chosen = (names + names)[first : first + count]
+        count = min(len(runner_ids), self._settings.load_polls_per_interval)
+        start_position = self._poll_position % len(runner_ids)
+        self._poll_position = start_position + count
+        chosen = (runner_ids + runner_ids)[start_position : start_position + count]
         await asyncio.gather(*(self._poll_load(name) for name in chosen))
         self._scheduler.schedule()
 
@@ -179,7 +179,7 @@
             return
         self._table.apply_report(runner_id, report, asyncio.get_running_loop().time())
         if report.leaving:
-            self.engine_said_leaving(runner_id)
+            self.note_engine_leaving(runner_id)
 
     async def confirm(self, runner_id: str) -> bool:
         """Whether new work may be sent to a runner now.
@@ -191,10 +191,10 @@
         runner = self._table.runners.get(runner_id)
         if runner is None:
             return False
-        if not self._membership.is_current and now_s - runner.report_at_s > FRESH_S:
+        if not self._membership.is_current and now_s - runner.report_at_s > MAX_REPORT_AGE_S:
             await self._poll_load(runner_id)
             now_s = asyncio.get_running_loop().time()
-            if now_s - runner.report_at_s > FRESH_S:
+            if now_s - runner.report_at_s > MAX_REPORT_AGE_S:
                 return False
         return runner.accepts_work(now_s)
 
@@ -204,9 +204,9 @@
         live = sorted(member.node_id for member in self._membership.view.live())
         if live != self._ring_nodes:
             self._ring_nodes, self._ring = live, HashRing(live)
-        me = self._membership.swim.me.node_id
+        own_id = self._membership.swim.me.node_id
         for runner_id in list(self._table.runners):
-            if self._ring.owner(runner_id) == me:
+            if self._ring.owner(runner_id) == own_id:
                 await self._reconcile_runner(runner_id)
                 await self._send_order(runner_id)
 
@@ -228,26 +228,26 @@
         if engine is None:
             return
         try:
-            for program_id in await self._gone(await engine.held_programs()):
+            for program_id in await self._find_gone(await engine.held_programs()):
                 await engine.release(program_id)
         except ENGINE_ERRORS:
             return
 
-    async def _gone(self, program_ids: list[str]) -> list[str]:
+    async def _find_gone(self, program_ids: list[str]) -> list[str]:
         """Which programs their groups' leaders call gone; no answer means not gone."""
         by_group: dict[int, list[str]] = {}
         for program_id in program_ids:
             group = group_of(program_id, self._client.group_count)
             by_group.setdefault(group, []).append(program_id)
-        gone: list[str] = []
-        for group, names in by_group.items():
-            gone += await self._request_gone(group, names)
-        return gone
+        gone_ids: list[str] = []
+        for group, ids_of_group in by_group.items():
+            gone_ids += await self._request_gone_programs(group, ids_of_group)
+        return gone_ids
 
-    async def _request_gone(self, group_id: int, names: list[str]) -> list[str]:
-        question = programs_pb2.AliveRequest(group_id=group_id, program_ids=names)
+    async def _request_gone_programs(self, group_id: int, program_ids: list[str]) -> list[str]:
+        request = programs_pb2.AliveRequest(group_id=group_id, program_ids=program_ids)
         answer = await self._client.request_leader(
-            group_id, ALIVE_METHOD, question.SerializeToString(), PEER_TIMEOUT_S
+            group_id, ALIVE_METHOD, request.SerializeToString(), PEER_TIMEOUT_S
         )
         if answer is None:
             return []
--- a/tests/defects.py
+++ b/tests/defects.py
@@ -99,7 +99,9 @@
         _replace(state.GroupStateMachine, "_worst_case_tokens", lambda *_: 1),
         scenario=scenarios.programs_reach_their_budgets,
     ),
-    "no reconciliation with the engines": Defect(4, _replace(RunnerMonitor, "_gone", _no_programs)),
+    "no reconciliation with the engines": Defect(
+        4, _replace(RunnerMonitor, "_find_gone", _no_programs)
+    ),
     "a resumed stream is sent twice": Defect(
         5,
         _replace(AttemptSender, "_forward", _forward_all),
