--- a/src/bendshed/dispatch/call_steps.py
+++ b/src/bendshed/dispatch/call_steps.py
@@ -79,7 +79,7 @@
     async def submit(self, run: CallRun) -> wire.CallResult:
         """Submit the call; it is granted at once if its turn has come and a runner is free."""
         request = run.request
-        runner = self._scheduler.try_now(self._waiting_call(run, ""))
+        runner = self._scheduler.choose_now(self._waiting_call(run, ""))
         return await self._group.submit(request, runner, run.known_call, run.known_digest)
 
     def _waiting_call(self, run: CallRun, last_runner: str) -> WaitingCall:
@@ -96,7 +96,7 @@
             arrived_s=loop.time(),
             last_runner=last_runner
             or self._scheduler.table.last_runner.get(request.program_id, ""),
-            avoid=frozenset(run.failed_runners),
+            failed_runners=frozenset(run.failed_runners),
             chosen=loop.create_future(),
         )
 
--- a/src/bendshed/routing/scheduler.py
+++ b/src/bendshed/routing/scheduler.py
@@ -16,7 +16,7 @@
 """Calls that may wait on one node; more are refused at once."""
 AGING_S_PER_PRIORITY = 10.0
 """A call that has waited this long counts as one priority more urgent."""
-RECHECK_S = 0.25
+RECHECK_INTERVAL_S = 0.25
 KV_MOVE_COST_REQUESTS = 3.0
 """Leaving the runner that holds the cache must save at least this many queued requests."""
 
@@ -29,7 +29,7 @@
         priority: 0 most urgent.
         attained_tokens: tokens that its program has been served already.
         history_tokens: tokens that a runner without the cache must compute again.
-        avoid: runners where an attempt of this call failed.
+        failed_runners: runners where an attempt of this call failed.
         chosen: resolved with the runner id.
 
     """
@@ -41,7 +41,7 @@
     history_tokens: int
     arrived_s: float
     last_runner: str
-    avoid: frozenset[str]
+    failed_runners: frozenset[str]
     chosen: "asyncio.Future[str]" = field(repr=False)
 
     def urgency(self, now_s: float) -> tuple[float, int, float]:
@@ -65,16 +65,18 @@
 
     def choose(self, call: WaitingCall, candidates: list[Runner]) -> Runner | None:
         """Prefer the runner that holds the cache; ``None``: it is worth waiting for."""
-        home = next((r for r in candidates if r.machine.machine_id == call.last_runner), None)
+        cache_holder = next(
+            (r for r in candidates if r.machine.machine_id == call.last_runner), None
+        )
         free = [runner for runner in candidates if runner.has_free_slot()]
-        if home is not None and home.has_free_slot():
-            return home
+        if cache_holder is not None and cache_holder.has_free_slot():
+            return cache_holder
         if not free:
             return None
-        pair = self._rng.sample(free, min(2, len(free)))
-        best = min(pair, key=lambda runner: runner.expected_load / runner.slots)
-        if home is not None and call.history_tokens > 0:
-            queued = home.expected_load - home.slots + 1
+        sampled = self._rng.sample(free, min(2, len(free)))
+        best = min(sampled, key=lambda runner: runner.expected_load / runner.slots)
+        if cache_holder is not None and call.history_tokens > 0:
+            queued = cache_holder.expected_load - cache_holder.slots + 1
             if queued < KV_MOVE_COST_REQUESTS:
                 return None  # worth waiting for the cache
         return best
@@ -91,7 +93,7 @@
         self.waiting: list[WaitingCall] = []
         self._policy = policy
 
-    def try_now(self, call: WaitingCall) -> str:
+    def choose_now(self, call: WaitingCall) -> str:
         """Runner id if one can take the call at once and no call waits; else empty."""
         now_s = asyncio.get_running_loop().time()
         if self.waiting:
@@ -113,15 +115,15 @@
     async def acquire(self, call: WaitingCall, timeout_s: float) -> str:
         """Wait for a runner; empty when none came in time."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout_s
+        deadline_s = loop.time() + timeout_s
         self.waiting.append(call)
         try:
             while not call.chosen.done():
                 self.schedule()
-                left_s = until - loop.time()
+                left_s = deadline_s - loop.time()
                 if call.chosen.done() or left_s <= 0:
                     break
-                await asyncio.wait([call.chosen], timeout=min(left_s, RECHECK_S))
+                await asyncio.wait([call.chosen], timeout=min(left_s, RECHECK_INTERVAL_S))
             return call.chosen.result() if call.chosen.done() else ""
         finally:
             if call in self.waiting:
@@ -131,8 +133,8 @@
         """Give every waiting call that can run now its runner, most urgent first."""
         now_s = asyncio.get_running_loop().time()
         # 1. Most urgent first.
-        ordered = sorted(self.waiting, key=lambda call: call.urgency(now_s))
-        for call in ordered:
+        by_urgency = sorted(self.waiting, key=lambda call: call.urgency(now_s))
+        for call in by_urgency:
             # 2. Runners that take work, serve the model and have not failed this call.
             candidates = self._candidates(call, now_s)
             # 3. The policy picks one of them, or lets the call wait.
@@ -158,10 +160,10 @@
         ]
 
     def _candidates(self, call: WaitingCall, now_s: float) -> list[Runner]:
-        fitting = [
+        serving = [
             runner
             for runner in self.table.runners.values()
             if runner.machine.model == call.model and runner.accepts_work(now_s)
         ]
-        untried = [r for r in fitting if r.machine.machine_id not in call.avoid]
-        return untried or fitting
+        untried = [r for r in serving if r.machine.machine_id not in call.failed_runners]
+        return untried or serving
