--- a/tests/test_peer_loads.py
+++ b/tests/test_peer_loads.py
@@ -35,17 +35,17 @@
         loads.apply_report("x", 6, [], 0.3)
         self.assertEqual(loads.load_of("a", 0.3), LoadSummary(3, 30))
 
-    def test_an_old_report_counts_no_more(self) -> None:
+    def test_an_expired_report_is_ignored(self) -> None:
         loads = PeerLoads()
         loads.apply_report("x", 5, [("a", LoadSummary(2, 20))], 0.0)
         self.assertEqual(loads.load_of("a", REPORT_VALID_S), NO_LOAD)
 
-    def test_a_report_is_bounded(self) -> None:
+    def test_the_turns_of_a_report_are_capped(self) -> None:
         loads = PeerLoads()
         loads.apply_report("x", 5, [("a", LoadSummary(10_000, 20))], 0.0)
         self.assertEqual(loads.load_of("a", 0.0).num_running, MAX_REPORTED_TURNS)
 
-    def test_a_placement_avoids_what_others_have_filled(self) -> None:
+    def test_a_placement_avoids_runners_filled_by_other_leaders(self) -> None:
         for full, free in (("a", "b"), ("b", "a")):
             load = ClusterLoad(random.Random(1))
             load.peer_loads.apply_report("x", 1, [(full, LoadSummary(4, 0))], 0.0)
@@ -54,7 +54,7 @@
             assert isinstance(placed, Placed)
             self.assertEqual(placed.runner_id, free)
 
-    def test_leaders_of_two_regions_know_each_others_turns(self) -> None:
+    def test_leaders_of_two_regions_receive_each_others_loads(self) -> None:
         world = SiteWorld.started(1, TWO_REGIONS)
         self.addCleanup(world.close)
         for runner in world.runners.values():
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -24,8 +24,8 @@
 
 NOW_S, DEADLINE_S = 100.0, 101.0
 REPEATABLE = Route("r", "h", "/", RouteKind.IDEMPOTENT, 5_000, 200, 1, (), max_attempts=2)
-ONCE = Route("r", "h", "/", RouteKind.NON_IDEMPOTENT, 5_000, 200, 1, (), max_attempts=2)
-RAN = {
+NON_REPEATABLE = Route("r", "h", "/", RouteKind.NON_IDEMPOTENT, 5_000, 200, 1, (), max_attempts=2)
+RAN_REASONS = {
     GiveUpReason.NOT_REPEATABLE,
     GiveUpReason.ANSWER_BROKEN,
     GiveUpReason.NO_QUOTA,
@@ -33,10 +33,12 @@
 }
 
 
-def after(num_lost: int = 0, num_not_run: int = 0, num_admitted: int = 1) -> AttemptHistory:
+def make_history(
+    num_unanswered: int = 0, num_not_run: int = 0, num_admitted: int = 1
+) -> AttemptHistory:
     """Attempts that got no answer, and attempts that were proved not to run."""
     history = AttemptHistory(DEADLINE_S)
-    for number in range(num_lost):
+    for number in range(num_unanswered):
         history.record_choice(f"lost-{number}")
         history.record_dispatch()
         history.record_no_answer(f"lost-{number}")
@@ -50,56 +52,60 @@
 
 
 class NextAttemptTest(unittest.TestCase):
-    def test_a_request_that_did_not_run_goes_out_again_on_any_route(self) -> None:
-        for route, num_not_run in itertools.product((ONCE, REPEATABLE), range(4)):
-            decision = decide_next_attempt(after(num_not_run=num_not_run), route, NOW_S)
+    def test_a_request_that_did_not_run_is_retried_on_any_route(self) -> None:
+        for route, num_not_run in itertools.product((NON_REPEATABLE, REPEATABLE), range(4)):
+            decision = decide_next_attempt(make_history(num_not_run=num_not_run), route, NOW_S)
             self.assertEqual(decision, TryRunner())
 
-    def test_one_that_may_have_run_ends_where_the_route_allows_no_repeat(self) -> None:
-        decision = decide_next_attempt(after(num_lost=1), ONCE, NOW_S)
+    def test_a_request_that_may_have_run_ends_on_a_route_without_repeats(self) -> None:
+        decision = decide_next_attempt(make_history(num_unanswered=1), NON_REPEATABLE, NOW_S)
         assert isinstance(decision, GiveUp)
         self.assertIs(decision.reason, GiveUpReason.NOT_REPEATABLE)
 
-    def test_each_further_run_is_requested_of_the_quota(self) -> None:
-        lost = after(num_lost=1)
-        self.assertEqual(decide_next_attempt(lost, REPEATABLE, NOW_S), RequestQuota())
-        lost.record_admitted_run()
-        self.assertEqual(decide_next_attempt(lost, REPEATABLE, NOW_S), TryRunner())
+    def test_each_further_run_needs_quota(self) -> None:
+        unanswered = make_history(num_unanswered=1)
+        self.assertEqual(decide_next_attempt(unanswered, REPEATABLE, NOW_S), RequestQuota())
+        unanswered.record_admitted_run()
+        self.assertEqual(decide_next_attempt(unanswered, REPEATABLE, NOW_S), TryRunner())
 
     def test_runs_are_bounded_by_the_route(self) -> None:
-        decision = decide_next_attempt(after(num_lost=2, num_admitted=2), REPEATABLE, NOW_S)
+        decision = decide_next_attempt(
+            make_history(num_unanswered=2, num_admitted=2), REPEATABLE, NOW_S
+        )
         assert isinstance(decision, GiveUp)
         self.assertIs(decision.reason, GiveUpReason.NOT_REPEATABLE)
 
     def test_nothing_is_dispatched_shortly_before_the_deadline(self) -> None:
         too_late_s = DEADLINE_S - MIN_DISPATCH_TIME_LEFT_S / 2
-        decision = decide_next_attempt(after(), REPEATABLE, too_late_s)
+        decision = decide_next_attempt(make_history(), REPEATABLE, too_late_s)
         assert isinstance(decision, GiveUp)
         self.assertIs(decision.reason, GiveUpReason.NO_TIME_LEFT)
         in_time_s = DEADLINE_S - 2 * MIN_DISPATCH_TIME_LEFT_S
-        self.assertEqual(decide_next_attempt(after(), REPEATABLE, in_time_s), TryRunner())
+        self.assertEqual(decide_next_attempt(make_history(), REPEATABLE, in_time_s), TryRunner())
 
-    def test_attempts_that_ran_nothing_are_bounded(self) -> None:
-        self.assertTrue(may_choose_runner(after(num_not_run=MAX_NOT_RUN_ATTEMPTS - 1)))
-        self.assertFalse(may_choose_runner(after(num_not_run=MAX_NOT_RUN_ATTEMPTS)))
+    def test_attempts_that_did_not_run_are_bounded(self) -> None:
+        self.assertTrue(may_choose_runner(make_history(num_not_run=MAX_NOT_RUN_ATTEMPTS - 1)))
+        self.assertFalse(may_choose_runner(make_history(num_not_run=MAX_NOT_RUN_ATTEMPTS)))
 
-    def test_a_broken_answer_is_replaced_only_by_a_run_that_is_allowed(self) -> None:
-        self.assertEqual(decide_after_broken_answer(after(1), REPEATABLE, "cut"), TryRunner())
-        for history, route in ((after(1), ONCE), (after(2), REPEATABLE)):
+    def test_a_broken_answer_is_retried_only_if_a_further_run_is_allowed(self) -> None:
+        self.assertEqual(
+            decide_after_broken_answer(make_history(1), REPEATABLE, "cut"), TryRunner()
+        )
+        for history, route in ((make_history(1), NON_REPEATABLE), (make_history(2), REPEATABLE)):
             decision = decide_after_broken_answer(history, route, "cut")
             assert isinstance(decision, GiveUp)
             self.assertIs(decision.reason, GiveUpReason.ANSWER_BROKEN)
 
 
 class HistoryTest(unittest.TestCase):
-    def test_a_runner_whose_permit_ended_may_be_chosen_again(self) -> None:
+    def test_a_runner_whose_permit_expired_may_be_chosen_again(self) -> None:
         history = AttemptHistory(DEADLINE_S)
         history.record_choice("cold")
         history.record_expired_permit("cold")
         self.assertEqual((history.tried, history.num_not_run, history.failed), (set(), 1, []))
 
     def test_only_runners_without_an_answer_count_as_failed(self) -> None:
-        history = after(num_lost=1, num_not_run=1)
+        history = make_history(num_unanswered=1, num_not_run=1)
         history.record_choice("dark")
         history.record_unreachable("dark")
         self.assertEqual(history.failed, ["lost-0", "dark"])
@@ -108,13 +114,13 @@
 
 
 class RefusalTest(unittest.TestCase):
-    def test_not_run_is_said_only_where_it_is_certain(self) -> None:
+    def test_not_run_is_reported_only_if_certain(self) -> None:
         rng = random.Random(7)
         for _ in range(1_000):
-            history = after(rng.randint(0, 2), rng.randint(0, 3))
+            history = make_history(rng.randint(0, 2), rng.randint(0, 3))
             for reason in GiveUpReason:
                 ran = refusal_of(GiveUp(reason, "d"), history).answer.ran
-                if reason in RAN:
+                if reason in RAN_REASONS:
                     self.assertIs(ran, WasRun.YES)
                 else:
                     self.assertIs(ran, WasRun.UNKNOWN if history.may_have_run else WasRun.NO)
@@ -128,14 +134,16 @@
             (GiveUpReason.NO_PERMIT, 1): ErrorKind.NO_RUNNER,
         }
         for (reason, num_not_run), kind in kinds.items():
-            refusal = refusal_of(GiveUp(reason, "d"), after(num_not_run=num_not_run))
+            refusal = refusal_of(GiveUp(reason, "d"), make_history(num_not_run=num_not_run))
             self.assertEqual(refusal, Refusal(kind, "d"))
 
-    def test_a_leaders_refusal_keeps_its_time_only_if_nothing_ran(self) -> None:
+    def test_a_leaders_refusal_keeps_its_retry_time_only_if_nothing_ran(self) -> None:
         refusal = Refusal(ErrorKind.NO_ROOM, "later", 0.3)
-        self.assertEqual(refusal_or_outcome_unknown(refusal, after()), refusal)
+        self.assertEqual(refusal_or_outcome_unknown(refusal, make_history()), refusal)
         unknown = Refusal(ErrorKind.OUTCOME_UNKNOWN, "later")
-        self.assertEqual(refusal_or_outcome_unknown(refusal, after(num_lost=1)), unknown)
+        self.assertEqual(
+            refusal_or_outcome_unknown(refusal, make_history(num_unanswered=1)), unknown
+        )
 
 
 class RetryBudgetTest(unittest.TestCase):
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -76,16 +76,16 @@
     def eligible(self, now_s: float = 0.0) -> list[str]:
         return [record.listed.runner_id for record in self.table.eligible("s", now_s, None)]
 
-    def test_a_draining_runner_gets_nothing_new(self) -> None:
+    def test_a_draining_runner_gets_no_new_requests(self) -> None:
         self.table.put(runner("a", state=RunnerState.DRAINING))
         self.assertEqual(self.eligible(), ["b"])
 
-    def test_a_gone_runner_gets_nothing_new(self) -> None:
+    def test_a_removed_runner_gets_no_new_requests(self) -> None:
         self.table.remove("a", 0.0, trusted=True)
         self.table.remove("b", 0.0, trusted=True)
         self.assertEqual(self.eligible(), [])
 
-    def test_runners_that_vanish_while_the_store_fails_are_a_last_resort(self) -> None:
+    def test_runners_unlisted_while_the_store_fails_are_a_last_resort(self) -> None:
         self.table.remove("a", 0.0, trusted=False)
         self.assertEqual(self.eligible(), ["b"])
         self.table.remove("b", 0.0, trusted=False)
@@ -95,7 +95,7 @@
         self.table.remove("b", 0.0, trusted=True)
         self.assertEqual(self.eligible(UNLISTED_GRACE_S + 1), [])
 
-    def test_a_runner_that_does_not_come_back_with_the_store_is_gone(self) -> None:
+    def test_a_runner_not_listed_after_the_store_returns_is_removed(self) -> None:
         """Entries that lapsed with the store are back 2 s after its return, or gone."""
         self.table.remove("a", 10.0, trusted=False)
         self.table.remove("b", 10.0, trusted=False)
@@ -110,7 +110,7 @@
         self.assertEqual(self.eligible(), ["b"])
 
 
-class PlacementTest(unittest.TestCase):
+class NodeChoiceTest(unittest.TestCase):
     def setUp(self) -> None:
         self.records = [RunnerRecord(runner(name)) for name in "abcd"]
         self.rng = random.Random(1)
@@ -131,15 +131,15 @@
         return choice.record.listed.runner_id if choice is not None else ""
 
     def test_a_session_stays_until_its_runner_is_loaded(self) -> None:
-        home = self.choose("session")
-        self.assertEqual({self.choose("session") for _ in range(20)}, {home})
-        record = next(r for r in self.records if r.listed.runner_id == home)
+        first_chosen = self.choose("session")
+        self.assertEqual({self.choose("session") for _ in range(20)}, {first_chosen})
+        record = next(r for r in self.records if r.listed.runner_id == first_chosen)
         record.in_flight = SESSION_MAX_EXTRA_REQUESTS
-        self.assertEqual(self.choose("session"), home)
+        self.assertEqual(self.choose("session"), first_chosen)
         record.in_flight = SESSION_MAX_EXTRA_REQUESTS + 1
-        self.assertNotEqual(self.choose("session"), home)
+        self.assertNotEqual(self.choose("session"), first_chosen)
 
-    def test_the_least_loaded_runner_of_the_own_zone(self) -> None:
+    def test_the_least_loaded_runner_of_the_own_zone_is_chosen(self) -> None:
         self.records[2].listed = runner("c", zone="mine")
         self.assertEqual(self.choose(zone="mine"), "c")
         self.records[2].in_flight = 1
@@ -152,23 +152,25 @@
         self.records[2].in_flight = 2
         self.assertNotEqual(self.choose(connected="c"), "c")
 
-    def test_a_thing_stays_at_one_runner_among_those_with_an_idle_connection(self) -> None:
-        homes = {self.choose(affinity_key=str(number), connected="bcd") for number in range(60)}
-        self.assertEqual(homes, set("bcd"))
-        home = self.choose(affinity_key="7", connected="bcd")
-        self.assertEqual({self.choose(affinity_key="7", connected="bcd") for _ in range(9)}, {home})
-        record = next(r for r in self.records if r.listed.runner_id == home)
+    def test_an_affinity_key_stays_at_one_runner_with_an_idle_connection(self) -> None:
+        chosen = {self.choose(affinity_key=str(number), connected="bcd") for number in range(60)}
+        self.assertEqual(chosen, set("bcd"))
+        first_chosen = self.choose(affinity_key="7", connected="bcd")
+        self.assertEqual(
+            {self.choose(affinity_key="7", connected="bcd") for _ in range(9)}, {first_chosen}
+        )
+        record = next(r for r in self.records if r.listed.runner_id == first_chosen)
         record.in_flight = AFFINITY_MAX_EXTRA_REQUESTS + 1
-        self.assertNotEqual(self.choose(affinity_key="7", connected="bcd"), home)
+        self.assertNotEqual(self.choose(affinity_key="7", connected="bcd"), first_chosen)
 
-    def test_a_thing_opens_no_connection_where_one_rests(self) -> None:
+    def test_an_affinity_key_opens_no_connection_while_one_is_idle(self) -> None:
         self.assertEqual(
             {self.choose(affinity_key=str(n), connected="c") for n in range(20)}, {"c"}
         )
         by_node = self.choose(node="n")
         self.assertEqual(self.choose(affinity_key="7", node="n"), by_node)
 
-    def test_switched_off_a_thing_has_one_runner_for_all_nodes(self) -> None:
+    def test_without_thing_affinity_a_key_has_one_runner_for_all_nodes(self) -> None:
         policy = Policy(thing_affinity=False)
         chosen = {
             self.choose("thing", affinity_key="thing", policy=policy, connected=one, node=one)
@@ -176,13 +178,13 @@
         }
         self.assertEqual(len(chosen), 1)
 
-    def test_a_node_opens_to_the_same_runner_and_all_nodes_to_all_runners(self) -> None:
+    def test_a_node_prefers_one_runner_and_all_nodes_together_use_all(self) -> None:
         first = [self.choose(node=f"node-{number}") for number in range(400)]
         self.assertEqual(first, [self.choose(node=f"node-{number}") for number in range(400)])
         for name in "abcd":
             self.assertAlmostEqual(first.count(name) / 400, 0.25, delta=0.06)
 
-    def test_a_slow_runner_is_left_and_comes_back(self) -> None:
+    def test_a_slow_runner_is_avoided_until_its_slowness_decays(self) -> None:
         for record in self.records:
             record.health.note_pace(1.0, 0.0)
         self.records[2].health.note_pace(20.0, 0.0)
@@ -194,7 +196,7 @@
         self.assertEqual(self.choose(tried="abc"), "d")
         self.assertEqual(self.choose(tried="abcd"), "")
 
-    def test_a_sick_runner_is_avoided_while_others_are_sound(self) -> None:
+    def test_a_failing_runner_is_avoided_while_others_are_healthy(self) -> None:
         for record in self.records[:3]:
             for _ in range(FAILURES_TO_AVOID):
                 record.note_broken(0.0)
@@ -203,10 +205,10 @@
         self.assertNotEqual(self.choose(), "")
 
 
-class EventTest(unittest.TestCase):
+class EventSplitterTest(unittest.TestCase):
     STREAM = b"id: 1\ndata: one\n\n: note\n\nid: 2\r\ndata: two\r\ndata: more\r\n\r\nid: 3\ndata: x"
 
-    def test_whole_events_only(self) -> None:
+    def test_only_complete_events_are_returned(self) -> None:
         splitter = EventSplitter()
         events = splitter.feed(self.STREAM)
         self.assertEqual([event.event_id for event in events], [1, None, 2])
@@ -215,7 +217,7 @@
 
     @settings(max_examples=100)
     @given(st.lists(st.integers(0, len(STREAM)), max_size=6))
-    def test_however_the_bytes_arrive(self, cuts: list[int]) -> None:
+    def test_events_do_not_depend_on_how_the_bytes_are_split(self, cuts: list[int]) -> None:
         whole = EventSplitter().feed(self.STREAM)
         splitter, events, last = EventSplitter(), [], 0
         for cut in [*sorted(cuts), len(self.STREAM)]:
