--- a/src/bendshed/placement/__init__.py
+++ b/src/bendshed/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Decides which runners are eligible for a request, and which of them it goes to. Pure."""
+"""Decides which runners are eligible for a request and which of them gets it. Pure."""
--- a/src/bendshed/placement/allowed_regions.py
+++ b/src/bendshed/placement/allowed_regions.py
@@ -1,4 +1,4 @@
-"""Regions in which a request may run: those of its route and of its tenant. Pure."""
+"""Intersects the regions that a request's route and its tenant allow. Pure."""
 
 from bendshed.model.places import Places
 from bendshed.model.principal import Principal
@@ -6,9 +6,10 @@
 
 
 def allowed_regions(route: Route, principal: Principal) -> frozenset[str] | None:
-    """Regions that route and tenant both allow.
+    """Regions that both the route and the tenant allow.
 
-    ``None``: neither names any, so anywhere; empty: they contradict each other, so nowhere.
+    ``None``: neither restricts the regions, so any is allowed; empty: the restrictions have no
+    region in common, so the request cannot run.
     """
     tenant = principal.tenant.allowed_regions if principal.tenant is not None else ()
     named = [frozenset(regions) for regions in (route.allowed_regions, tenant) if regions]
@@ -18,7 +19,7 @@
 
 
 def describe_regions(route: Route, principal: Principal) -> str:
-    """What route and tenant allow, for the error of a rejected request."""
+    """Describe the restrictions of route and tenant, for the error of a rejected request."""
     tenant = principal.tenant.allowed_regions if principal.tenant is not None else ()
     of_route = ", ".join(route.allowed_regions) or "any"
     of_tenant = ", ".join(tenant) or "any"
@@ -26,7 +27,7 @@
 
 
 def unknown_regions(document: ServiceDocument, places: Places) -> dict[str, list[str]]:
-    """Regions without a declared zone, by the route or tenant that names them."""
+    """Allowed regions without a declared zone, by the route or tenant that lists them."""
     known = set(places.regions)
     named = {f"route {route.name}": route.allowed_regions for route in document.routes}
     named.update({f"tenant {one.name}": one.allowed_regions for one in document.tenants})
--- a/src/bendshed/placement/cluster_load.py
+++ b/src/bendshed/placement/cluster_load.py
@@ -1,12 +1,14 @@
-"""Chooses the runner of a turn by the load of all nodes. Pure but for the random source.
+"""Chooses the runner of a turn by the load of all nodes. Pure except for the random source.
 
-Runs at the leader of the turn log, which takes part in every turn's begin and end: so it has the
-turns of all nodes at each runner without further messages, and nodes do not all choose the same
-idle runner from counts of the same age. Nothing of this is replicated: a new leader starts without
-load and has it after the length of one turn; until then a placement may cost time, no more.
+Runs at the leader of the turn log, which handles the begin and end of every turn. It therefore has
+the turns of all nodes at each runner without further messages, and nodes do not all choose the same
+idle runner from equally old counts. This state is not replicated: a new leader starts without load
+and has rebuilt it after the length of one turn. Until then a placement may cost time, but nothing
+else.
 
-`ClusterLoad.place` chooses the least cost of `placement/placement_cost.py`, from the counts of
-`placement/running_turns.py`, within the bounds of `placement/spill.py` on work between regions.
+`ClusterLoad.place` chooses the lowest cost by `placement/placement_cost.py`, from the counts of
+`placement/running_turns.py`, within the limits of `placement/spill.py` on redirection between
+regions.
 """
 
 import random
@@ -26,11 +28,11 @@
 from bendshed.placement.turn_demand import EndedTurn, TurnDemand
 
 MAX_CANDIDATES = 64
-"""Runners whose costs one placement compares: bounds its processor time (227 to 296 microseconds
-for 24 runners). Of a larger pool it compares a sample of this size, and those that hold the prompt
-or have a connection."""
+"""Runners whose costs one placement compares. Bounds its processor time (227 to 296 microseconds
+for 24 runners). Of a larger pool it compares a random sample of this size, and the runners that
+have the prompt cached or an idle connection."""
 EQUAL_COST_MARGIN_MS = 1.0
-"""Costs that exceed the least by no more than this, in milliseconds, count as equal: the zone and
+"""Costs that exceed the lowest by no more than this, in milliseconds, count as equal. The zone and
 the chain's rank decide between them, so that a chain does not move for differences below noise."""
 
 
@@ -39,9 +41,9 @@
 
     LEAST_COST = "least_cost"
     SAME_ZONE = "same_zone"
-    """The only one of the requesting node's zone among equal costs."""
+    """The only runner in the requesting node's zone among those of equal cost."""
     CHAIN_RANK = "chain_rank"
-    """First in the chain's rank of the runners that are equal by cost and zone."""
+    """First in the chain's rank among the runners that are equal by cost and zone."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,11 +51,11 @@
     """The runner where a turn was placed.
 
     Attributes:
-        cost_ms: what the turn is expected to lose there.
-        num_running: turns of this leader there, without this one.
-        cached_tokens: of the prompt, expected in the runner's cache.
+        cost_ms: time that the turn is expected to lose there.
+        num_running: turns that this leader has running there, without this one.
+        cached_tokens: tokens of the prompt that the runner is expected to have cached.
         distance: between the requesting node and the runner.
-        reason: what decided.
+        reason: what decided the choice.
 
     """
 
@@ -67,21 +69,21 @@
 
 @dataclass(frozen=True, slots=True)
 class NotPlaced:
-    """A turn that no runner of its service is eligible for."""
+    """No runner of the turn's service is eligible."""
 
 
 Candidates = Mapping[str, ServiceRunner]
-"""By runner id."""
+"""Runners by id."""
 
 
 class ClusterLoad:
-    """Places turns, and counts them until they end.
+    """Places turns and counts them until they end.
 
     Invariant: a turn counts at one runner from its placement until its end or its deadline.
 
     Attributes:
         peer_loads: load at runners that leaders of other groups placed there.
-        distance: costs of runners that are far from the requesting node.
+        distance: costs of the distance between the requesting node and a runner.
 
     """
 
@@ -94,16 +96,16 @@
 
     @property
     def num_running(self) -> int:
-        """Turns that run."""
+        """Running turns."""
         return self._running.num_running
 
     @property
     def num_redirected(self) -> int:
-        """Of them, those that run outside the requesting node's region."""
+        """Running turns outside the requesting node's region."""
         return self._spill.num_redirected
 
     def own_loads(self) -> list[tuple[str, LoadSummary]]:
-        """Load that this leader placed at runners, for the leaders of other groups."""
+        """Load that this leader placed at runners, for reports to leaders of other groups."""
         return self._running.load_summaries()
 
     # --- placement -------------------------------------------------------------------------
@@ -120,10 +122,10 @@
 
         Args:
             demand: the turn.
-            runners: the eligible ones of its service.
-            capacity_tokens: memory of each; 0: unknown.
+            runners: eligible runners of its service.
+            capacity_tokens: memory of each runner; 0: unknown.
             now_s: steady time.
-            cold: ids of the cold ones among them; they come after warm ones that have room.
+            cold: ids of the cold runners among them; warm ones that have room come first.
 
         """
         self._running.end_expired(now_s)
@@ -148,7 +150,10 @@
     def _candidates(
         self, demand: TurnDemand, runners: Sequence[ServiceRunner]
     ) -> Sequence[ServiceRunner]:
-        """All of a small pool; of a large one a sample, the connected, those with the prompt."""
+        """All runners of a small pool; of a large one the preferred ones and a sample.
+
+        A runner is preferred if it has an idle connection or part of the prompt cached.
+        """
         if len(runners) <= MAX_CANDIDATES:
             return runners
         preferred = [
@@ -198,7 +203,8 @@
         costs: dict[str, float],
         now_s: float,
     ) -> dict[str, float]:
-        """Costs of the requesting node's region, unless the turn may be redirected: then of all."""
+        """Costs within the requesting node's region, or all if the turn may or must be
+        redirected."""
         remote_ids = {
             n for n, r in candidates.items() if paths[r.zone].kind is Distance.OTHER_REGION
         }
@@ -218,21 +224,21 @@
         if placed.distance is Distance.OTHER_REGION:
             self._spill.begin(demand.turn_id, demand.transferred_bytes, now_s)
 
-    # --- what follows a placement ----------------------------------------------------------
+    # --- after a placement -----------------------------------------------------------------
 
     def end(self, ended: EndedTurn, now_s: float) -> None:
-        """Stop counting a turn, answered or not, and take what its node saw of runners."""
+        """Stop counting a turn, answered or not, and record what its node observed of runners."""
         self._running.end(ended, now_s)
 
     def retain_only(self, listed: Collection[str]) -> None:
-        """Forget runners that are not listed any more, with their turns."""
+        """Forget runners that are no longer listed, with their turns."""
         self._running.retain_only(listed)
 
 
 def _choose_least_cost(
     costs: Mapping[str, float], candidates: Candidates, demand: TurnDemand
 ) -> tuple[str, PlacementReason]:
-    """The least cost; between equals the node's own zone first, then the chain's rank."""
+    """Choose the least cost; among equals the node's own zone first, then the chain's rank."""
     max_equal_ms = min(costs.values()) + EQUAL_COST_MARGIN_MS
     equal = [runner_id for runner_id, cost in costs.items() if cost <= max_equal_ms]
     in_zone = [runner_id for runner_id in equal if candidates[runner_id].zone == demand.zone]
--- a/src/bendshed/placement/cold_runners.py
+++ b/src/bendshed/placement/cold_runners.py
@@ -1,10 +1,10 @@
-"""Decides which runners are cold, as one node knows it. Pure.
+"""Tracks which runners are cold, as known to one node. Pure.
 
 For some time after its start a runner serves a bounded rate only (``Service.cold_per_s``). It is
-cold again after its zone was closed or lost, and whenever its entry says so. A node knows for how
-long a runner was cold when it received the entry, and ages that on its own steady clock. Unknown
-age counts as cold: a cold runner that is taken for warm exceeds the bound, while a warm one that is
-taken for cold costs one request to the leader (`admission/cold_permits.py`).
+cold again after its zone was closed or lost, and whenever its entry says so. An entry carries the
+remaining cold time as of its receipt, which the node counts down on its own steady clock. A runner
+of unknown age counts as cold: treating a cold runner as warm exceeds the bound, while treating a
+warm one as cold costs one request to the leader (`admission/cold_permits.py`).
 """
 
 from collections import OrderedDict
@@ -15,20 +15,20 @@
 from bendshed.model.service_document import Service
 
 MAX_VANISHED = 1_000
-"""Runners remembered that vanished from the list, whose entries count as a start if they come back;
-bounds memory."""
+"""Runners remembered after they vanished from the list; bounds memory. One that is listed again
+counts as just started."""
 
 
 @dataclass(frozen=True, slots=True)
 class ColdRateLimit:
-    """The bound on requests to a cold runner.
+    """Bound on the rate of requests to a cold runner.
 
     Within any second all nodes together may dispatch its service's rate times ``factor`` plus
     ``slack`` requests to it.
 
     Attributes:
-        factor: factor on the rate of the configuration; at least 1 in practice.
-        slack: requests on top.
+        factor: multiplies the configured rate; at least 1 in practice.
+        slack: requests allowed in addition.
 
     """
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Entry:
-    """A runner's latest entry, and the steady time of its receipt."""
+    """A runner's latest entry, and the steady time at which it was received."""
 
     service: str
     zone: str
@@ -51,13 +51,13 @@
 
 @dataclass(slots=True)
 class ColdRunners:
-    """Cold runners of one process; times are of its own steady clock.
+    """Cold runners as known to one process; times are of its own steady clock.
 
     Invariant: a runner is cold for at least as long as its newest entry says, counted from its
     receipt.
 
     Attributes:
-        services: bounds and times of cold starts, by service.
+        services: by name; give the rate bounds and the durations of cold starts.
         cold_until_s: steady time until which each runner is cold; expired ones stay until
             ``pop_warm``.
 
@@ -70,9 +70,10 @@
     _persisted_ids: set[str] = field(default_factory=set)
 
     def note_listed(self, runner: ServiceRunner, now_s: float) -> float:
-        """Take a runner's new entry; return for how long the runner is cold, in seconds.
+        """Record a runner's new entry; return for how long the runner is cold, in seconds.
 
-        If the entry had vanished, the runner may have been gone too, so it counts as just started.
+        If the entry had vanished, the runner may have stopped meanwhile, so it counts as just
+        started.
         """
         left_s = runner.cold_left_ms / 1000
         if runner.runner_id in self._vanished:
@@ -81,16 +82,16 @@
         return self._note(runner, left_s, now_s)
 
     def note_confirmed(self, runner: ServiceRunner, now_s: float) -> float:
-        """Take an entry that is known already; it replaces one that was read from disk."""
+        """Record an entry that is known already; it replaces one that was read from disk."""
         if runner.runner_id not in self._persisted_ids:
             return self.cold_left_ms(runner.runner_id, now_s) / 1000
         return self.note_listed(runner, now_s)
 
     def note_persisted(self, runner: ServiceRunner, now_s: float) -> float:
-        """Take an entry that an earlier incarnation of this process persisted.
+        """Record an entry that an earlier incarnation of this process persisted.
 
-        Its age is unknown, so the time that was left then counts in full from now on, until the
-        entry is received again.
+        Its age is unknown, so the cold time left at that moment counts in full from now on, until
+        the entry is received again.
         """
         left_s = self._note(runner, runner.cold_left_ms / 1000, now_s)
         self._persisted_ids.add(runner.runner_id)
@@ -106,7 +107,7 @@
         return left_s
 
     def note_vanished(self, runner_id: str) -> None:
-        """A runner is not listed any more; until it is listed again its latest entry counts."""
+        """Record that a runner is unlisted; its latest entry counts until it is listed again."""
         if runner_id not in self._entries:
             return
         self._vanished[runner_id] = None
@@ -116,10 +117,10 @@
             self.cold_until_s.pop(forgotten, None)
 
     def note_reopened(self, zone: str, at_s: float) -> list[str]:
-        """A zone was opened again: its runners count as started then, unless their entry is newer.
+        """Record a reopened zone: its runners count as started then, unless their entry is newer.
 
         Returns:
-            Ids of the runners that became cold by this.
+            Ids of the runners that become cold, or stay cold for longer.
 
         """
         reopened = []
@@ -136,27 +137,27 @@
         return reopened
 
     def is_cold(self, runner_id: str, now_s: float) -> bool:
-        """Whether a runner's rate is bounded now; never if its service has no bound."""
+        """Whether a runner's rate is bounded now; ``False`` if its service has no bound."""
         until_s = self.cold_until_s.get(runner_id)
         return until_s is not None and now_s < until_s and self.rate_of(runner_id) > 0
 
     def rate_of(self, runner_id: str) -> float:
-        """Requests a second that a runner serves while it is cold; 0: no bound, or unknown."""
+        """Requests per second that a runner serves while it is cold; 0: no bound, or unknown."""
         entry = self._entries.get(runner_id)
         service = self.services.get(entry.service) if entry is not None else None
         return service.cold_per_s if service is not None else 0.0
 
     def cold_left_ms(self, runner_id: str, now_s: float) -> int:
-        """Time for which a runner is still cold, in milliseconds; 0: warm, as far as known."""
+        """Remaining cold time of a runner, in milliseconds; 0: warm, as far as known."""
         return max(0, round(1000 * (self.cold_until_s.get(runner_id, now_s) - now_s)))
 
     def num_cold(self, now_s: float) -> int:
-        """Cold runners that are listed, of services with a bound."""
+        """Number of listed cold runners of services with a bound."""
         listed = [runner_id for runner_id in self.cold_until_s if runner_id not in self._vanished]
         return sum(1 for runner_id in listed if self.is_cold(runner_id, now_s))
 
     def pop_warm(self, now_s: float) -> list[str]:
-        """Forget runners that are not cold any more, and return their ids."""
+        """Forget runners that are no longer cold, and return their ids."""
         warm = [runner_id for runner_id, until_s in self.cold_until_s.items() if until_s <= now_s]
         for runner_id in warm:
             del self.cold_until_s[runner_id]
--- a/src/bendshed/placement/distance.py
+++ b/src/bendshed/placement/distance.py
@@ -1,8 +1,8 @@
-"""What a turn loses by the distance between its node and its runner. Pure.
+"""Computes what a turn loses by the distance between its node and its runner. Pure.
 
-The unit is milliseconds of the turn, as everywhere in `placement/`. A path costs its round trip,
-since the first event comes that much later; a new connection costs one round trip more; bytes cost
-what operators set.
+Costs are in milliseconds of the turn, as everywhere in `placement/`. A path costs its round trip,
+since the first event arrives that much later; a new connection costs one more round trip; bytes
+cost what operators configure.
 """
 
 from collections.abc import Mapping
@@ -19,14 +19,14 @@
     Distance.OTHER_REGION: 60.0,
 }
 """Round trips, in milliseconds, assumed until one of the kind was measured, some seconds after a
-leader's start: zones of a region were measured 1 to 3 ms apart, regions 60 ms."""
+leader's start. Measured were 1 to 3 ms between zones of a region and 60 ms between regions."""
 NEW_CONNECTION_COST_MS = 30.0
-"""Cost, in milliseconds, of a new connection beside its round trip: the handshake occupies a slot,
-and operators pay for connections. At 60 ms bursts gathered on few runners, and a day's score of
-worth served lay at 0.60 to 0.73 in the burst."""
+"""Cost, in milliseconds, of a new connection in addition to its round trip: the handshake occupies
+a slot, and operators pay for connections. At 60 ms, bursts gathered on few runners, and a day's
+score of worth served was 0.60 to 0.73 in the burst."""
 ANSWER_TOKEN_BYTES = 8
-"""Bytes of an answer for each token: four of text and four of the events' frames. Assumed, not
-measured; used only with prices of bytes and the link's rate, which are unset by default."""
+"""Estimated bytes of an answer per token: four of text and four of event framing. Used only if the
+cost of bytes or the link's rate is configured; both are unset by default."""
 BYTES_PER_KB = 1000.0
 
 NonNegative = Annotated[float, Meta(ge=0)]
@@ -34,13 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkSettings:
-    """What no node can measure: the settings' section ``placement``.
+    """Properties of links that no node can measure: the settings' section ``placement``.
 
     Attributes:
-        zone_ms_per_kb: a kilobyte that leaves its zone is worth this much of a turn's time; 0:
-            bytes cost nothing there.
-        region_ms_per_kb: the same, on top, for a kilobyte that leaves its region.
-        region_mbit_per_s: what the link between two regions carries; 0: not known.
+        zone_ms_per_kb: cost of a kilobyte that leaves its zone, in milliseconds of a turn; 0: none.
+        region_ms_per_kb: additional cost of a kilobyte that leaves its region.
+        region_mbit_per_s: rate of the link between two regions; 0: unknown.
 
     """
 
@@ -58,7 +57,7 @@
     """Costs by the distance between a node and a runner.
 
     Attributes:
-        measured_round_trip_ms: round trips by kind; kinds that were not measured are assumed.
+        measured_round_trip_ms: round trips by kind; for others ``DEFAULT_ROUND_TRIP_MS`` holds.
 
     """
 
@@ -75,8 +74,8 @@
 
         Args:
             kind: distance between the node and the runner.
-            is_connected: the node has an idle connection there; else one is opened first.
-            num_bytes: that the turn moves, there and back.
+            is_connected: whether the node has an idle connection there; else one is opened first.
+            num_bytes: bytes that the turn transfers in both directions.
 
         """
         round_trip_ms = self._round_trip_ms(kind)
@@ -84,13 +83,13 @@
         return cost_ms if is_connected else cost_ms + NEW_CONNECTION_COST_MS + round_trip_ms
 
     def _round_trip_ms(self, kind: Distance) -> float:
-        """0 within a zone: every choice has that in common."""
+        """Round trip; 0 within a zone, since all candidates have that part in common."""
         if kind is Distance.SAME_ZONE:
             return 0.0
         return self.measured_round_trip_ms.get(kind, DEFAULT_ROUND_TRIP_MS[kind])
 
     def _ms_per_kb(self, kind: Distance) -> float:
-        """Of a kilobyte."""
+        """Configured cost of a kilobyte."""
         if kind is Distance.SAME_ZONE:
             return 0.0
         is_other_region = kind is Distance.OTHER_REGION
@@ -99,11 +98,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PathCost:
-    """What a turn loses by the path to runners of one zone.
+    """What a turn loses by the path to runners of one zone, in milliseconds.
 
     Attributes:
-        connected_ms: over an idle connection.
-        new_connection_ms: over one that is opened first.
+        connected_ms: cost over an idle connection.
+        new_connection_ms: cost over a connection that is opened first.
 
     """
 
@@ -113,7 +112,7 @@
 
 
 class TurnPaths(dict[str, PathCost]):
-    """Costs of one turn by the runner's zone, each computed once: many runners share a zone."""
+    """Path costs of one turn by the runner's zone, computed once for all runners of a zone."""
 
     def __init__(self, costs: DistanceCosts, zone: str, num_bytes: int) -> None:
         super().__init__()
@@ -122,7 +121,7 @@
         self._num_bytes = num_bytes
 
     def __missing__(self, zone: str) -> PathCost:
-        """Compute the costs of a zone at its first look-up."""
+        """Compute the costs of a zone at its first lookup."""
         kind = self._costs.places.distance(self._zone, zone)
         connected_ms = self._costs.cost_ms(kind, True, self._num_bytes)
         new_connection_ms = self._costs.cost_ms(kind, False, self._num_bytes)
--- a/src/bendshed/placement/eligibility.py
+++ b/src/bendshed/placement/eligibility.py
@@ -1,7 +1,7 @@
-"""Decides which runners a request may go to at all. Pure.
+"""Decides which runners are eligible for a request. Pure.
 
 A runner is eligible if it is listed, ready, in no closed zone and in a region that the request's
-route and tenant allow (`placement/allowed_regions.py`). The same rule holds for each path of a
+route and tenant allow (`placement/allowed_regions.py`). The same rule applies to every path of a
 request to a runner: the leader's placement, a node's own choice, a retry, a resumed stream. Cold
 runners are eligible, but need a permit (`admission/cold_permits.py`).
 """
@@ -16,16 +16,16 @@
 
 UNLISTED_GRACE_S = 2.5
 """Time, in seconds, for which a runner that vanished from an untrusted list is a last resort.
-Bridges a restart of the registry: a live runner lists itself again within 2 s of that, and its
-entry takes up to 0.5 s to arrive."""
+Bridges a restart of the registry: a live runner registers again within 2 s of it, and its entry
+takes up to 0.5 s to arrive."""
 
 
 class Located(Protocol):
-    """Something that is located in a zone."""
+    """An object that is located in a zone."""
 
     @property
     def zone(self) -> str:
-        """Its zone."""
+        """Name of the zone."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerFilter:
-    """The places where requests may run.
+    """Restricts requests to runners in open zones and allowed regions.
 
     Attributes:
-        zones: closed ones.
+        zones: closed zones.
         places: regions of all zones.
 
     """
@@ -56,11 +56,11 @@
     places: Places = field(default_factory=Places)
 
     def allows(self, runner: Located, regions: Collection[str] | None = None) -> bool:
-        """Whether a runner's place allows a request.
+        """Whether a request may run at a runner, by the runner's zone and region.
 
         Args:
-            runner: where it is located.
-            regions: that the request may run in; ``None``: anywhere; empty: nowhere, since route
+            runner: the runner or its location.
+            regions: regions in which the request may run; ``None``: any; empty: none, since route
                 and tenant contradict each other.
 
         """
@@ -69,14 +69,14 @@
         return self.places.is_within(runner.zone, regions)
 
     def allows_all(self, regions: Collection[str] | None) -> bool:
-        """Whether every place allows the request (the usual case), so no runner is checked."""
+        """Whether every zone and region is allowed (the usual case), so no runner is checked."""
         return regions is None and not self.zones.closed
 
 
 def eligible_runners(
     records: Iterable[RunnerRecord], runner_filter: RunnerFilter, regions: Collection[str] | None
 ) -> list[RunnerRecord]:
-    """The eligible runners of a service; if there are none, those that an untrusted list lost."""
+    """Eligible runners of a service; if none are, those that vanished from an untrusted list."""
     allowed = _allowed(_ready(records), runner_filter, regions)
     listed = [record for record in allowed if record.unlisted_at_s is None]
     return listed or allowed
@@ -87,7 +87,7 @@
 ) -> bool:
     """Whether runners are ready, but each is in a closed zone or a region that is not allowed.
 
-    A request is then refused at once: no wait for a runner would help.
+    A request is then refused at once, since waiting for a runner would not help.
     """
     if runner_filter.allows_all(regions):
         return False
--- a/src/bendshed/placement/groups.py
+++ b/src/bendshed/placement/groups.py
@@ -1,7 +1,7 @@
-"""Groups of the turn log: one whose home is each region, or one for all. Pure.
+"""Groups of the turn log: one for each region, or a single one for all. Pure.
 
 The number of groups follows from the regions that operators declare, so that all nodes agree on it
-without a message: each group's share of a program's budget depends on it.
+without a message. Each group's share of a program's budget depends on that number.
 """
 
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 
     Attributes:
         places: zones and regions.
-        homes: region of each group; a single group has none.
+        homes: home region of each group; empty for a single group.
 
     """
 
@@ -25,11 +25,11 @@
 
     @classmethod
     def from_places(cls, places: Places, is_regional: bool = True) -> "TurnGroups":
-        """One group for each declared region; one in all where at most one is declared.
+        """One group for each declared region; a single group if at most one is declared.
 
         Args:
-            places: as declared.
-            is_regional: ``False``: one group whatever is declared.
+            places: declared zones and regions.
+            is_regional: ``False``: a single group, whatever is declared.
 
         """
         regions = tuple(region for region in places.regions if region)
@@ -39,29 +39,29 @@
 
     @property
     def count(self) -> int:
-        """How many groups there are."""
+        """Number of groups."""
         return len(self.homes)
 
     @property
     def ids(self) -> range:
-        """All groups."""
+        """Ids of all groups."""
         return range(self.count)
 
     def other_ids(self, group_id: int) -> list[int]:
-        """All groups but one."""
+        """Ids of all groups but one."""
         return [number for number in self.ids if number != group_id]
 
     def home_group_of_zone(self, zone: str) -> int:
-        """The group that serves the callers of a zone; 0 where its region is no group's home."""
+        """The group that serves the callers of a zone; 0 if its region is no group's home."""
         region = self.places.region(zone)
         return self.homes.index(region) if region in self.homes else 0
 
     def home_group_of_tenant(self, tenant: str) -> int:
-        """Home group of a tenant: the one that holds its programs, turns and usage."""
+        """Home group of a tenant: the one that stores its programs, turns and usage."""
         return group_of(tenant, self.count)
 
     def home_zones(self, group_id: int) -> frozenset[str] | None:
-        """Zones of a group's home region; ``None``: it has none, as the only group."""
+        """Zones of a group's home region; ``None``: it is the only group and has no home region."""
         if self.count == 1:
             return None
         home = self.homes[group_id]
@@ -69,4 +69,4 @@
 
 
 ONE_GROUP = TurnGroups()
-"""An installation without regions."""
+"""Groups of an installation without regions."""
--- a/src/bendshed/placement/node_choice.py
+++ b/src/bendshed/placement/node_choice.py
@@ -1,8 +1,8 @@
-"""Chooses the runner of one request by one node's own counts. Pure but for the random source.
+"""Chooses the runner of one request by one node's own counts. Pure except for the random source.
 
-Turns run at the runner that the turn log's leader placed them at, by the load of all nodes
-(`placement/cluster_load.py`). This is for requests that are not turns, for turns that have no
-preferred runner, and for repeats.
+Turns run at the runner where the leader of the turn log placed them, by the load of all nodes
+(`placement/cluster_load.py`). This module serves requests that are not turns, turns without a
+preferred runner, and retries.
 """
 
 import math
@@ -20,27 +20,27 @@
 from bendshed.policy import EVERYTHING, Policy
 
 SESSION_MAX_EXTRA_REQUESTS = 3
-"""Requests of this node by which a session's runner may exceed the least loaded one; beyond it the
-session goes to the next in its rank, as a wait costs more than its prompt cache saves. Chosen, not
-measured."""
+"""Requests of this node by which a session's runner may exceed the least loaded one. Beyond that
+the session goes to the next runner in its rank, since waiting costs more than the prompt cache
+saves."""
 AFFINITY_MAX_EXTRA_REQUESTS = 1
-"""The same for the runner of an affinity key, where less can be saved. Chosen, not measured."""
+"""The same for the runner of an affinity key, where less can be saved."""
 NEW_CONNECTION_LOAD = 1.5
-"""Cost of a new connection, in requests of this node at a runner: a request rather waits behind one
-other at a connected runner than opens a connection, but not behind two."""
+"""Cost of a new connection, in requests of this node at a runner: a connected runner with one other
+request is preferred to a new connection, one with two is not."""
 
 SLOWNESS_THRESHOLD = 3.0
-"""Ratio to the pool's median work time from which on a runner counts as slow. Smaller ratios are
-chance: single requests of a route were measured to differ by a factor of e."""
+"""Ratio to the pool's median work time from which on a runner counts as slow. Smaller ratios occur
+by chance: measured times of single requests of a route differ by a factor of e."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeView:
-    """The node that chooses, and its time.
+    """The choosing node's state at the time of the choice.
 
     Attributes:
         node: its unique name; ranks runners of equal cost, so that nodes connect to different ones.
-        zone: its own, preferred between equals.
+        zone: its own zone, preferred among runners of equal cost.
         connected: ids of runners to which it has an idle connection.
         now_s: loop time.
         places: regions of all zones; runners of the node's own region come first.
@@ -62,17 +62,17 @@
     """Why a node chose a runner; the values of the log field ``chosen_by``."""
 
     SESSION = "session"
-    """It holds the session's prompt cache."""
+    """The runner holds the session's prompt cache."""
     SESSION_FALLBACK = "step_aside"
-    """The session's runner is loaded; this one is next in the session's rank."""
+    """The session's runner is loaded; this runner is the next one in the session's rank."""
     AFFINITY_KEY = "thing"
-    """It is the affinity key's among the connected ones."""
+    """The runner is first in the affinity key's rank among the connected ones."""
     CONNECTED = "connected"
-    """It has the least cost, and an idle connection."""
+    """The runner has the least cost, and an idle connection."""
     LEAST_LOADED = "least_loaded"
-    """It has the least cost, and no idle connection."""
+    """The runner has the least cost, and no idle connection."""
     ONLY_AVOIDED = "only_avoided"
-    """All runners that are left failed or were full lately."""
+    """All remaining runners failed or were full recently."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,9 +80,9 @@
     """The chosen runner and why, for the log.
 
     Attributes:
-        reason: by this node; or by the leader of the turn log: ``advised``: it placed the turn
+        reason: reason of this node, or of the turn log's leader: ``advised``: it placed the turn
             there; ``permitted``: no warm runner was left, and it chose a cold one.
-        leave: the leader's permit for this one dispatch, if the runner is cold.
+        permit: the leader's permit for this one dispatch, if the runner is cold.
 
     """
 
@@ -102,17 +102,18 @@
 ) -> Choice | None:
     """Choose a runner that was not tried yet; ``None``: there is none.
 
-    Runners that failed or were full lately come last, then those of other regions. Among the rest
-    the affinity key decides, else the session, else connections and load.
+    Runners that failed or were full recently are used only if no other is left, and other regions
+    only if the node's own has no free slot. Among the rest the affinity key decides, else the
+    session, else connections and load.
 
     Args:
-        usable: eligible runners that need no permit.
+        eligible: eligible runners that need no permit.
         tried: ids of runners that this request was sent to before.
         session: requests of one session share a prompt cache; empty: no session.
         view: the node that chooses.
-        rng: decides between equals where connections do not count.
-        policy: mechanisms that are on.
-        thing: affinity key: requests with the same one run faster at the same runner; empty: none.
+        rng: decides between equal runners where connections do not count.
+        policy: mechanisms that are enabled.
+        affinity_key: requests with the same key run faster at the same runner; empty: none.
 
     """
     untried = [record for record in eligible if record.listed.runner_id not in tried]
@@ -134,10 +135,10 @@
 
 
 def _prefer_own_region(pool: list[RunnerRecord], view: NodeView) -> list[RunnerRecord]:
-    """The runners of the node's region, while any of them has a free slot by this node's own count.
+    """Runners of the node's region while any has a free slot by this node's count; else all.
 
-    Elsewhere a request waits a round trip between regions (60 ms measured) for its first byte, and
-    its bytes load the link.
+    In another region a request waits a round trip between regions (60 ms measured) for its first
+    byte, and its bytes load the link.
     """
     in_own_region = [record for record in pool if view.is_in_own_region(record)]
     has_room = any(record.in_flight < max(1, record.listed.slots) for record in in_own_region)
@@ -156,10 +157,10 @@
 
 
 def _by_affinity_key(pool: list[RunnerRecord], key: str, view: NodeView) -> Choice:
-    """The key's first in rank among runners with an idle connection; without any, by connection.
+    """Choose the key's first in rank among runners with an idle connection; else by connection.
 
     A repeated key saves part of the work (half of 108 ms measured at one service), but most keys
-    are new: a connection for each runner that may have seen one costs more than that.
+    are new: a connection to each runner that may have served one costs more than that.
     """
     pool_pace = median_pace(record.health for record in pool)
     min_in_flight = min(record.in_flight for record in pool)
@@ -176,10 +177,10 @@
 
 
 def _by_connection(pool: list[RunnerRecord], view: NodeView) -> Choice:
-    """The least loaded, where a new connection counts as ``NEW_CONNECTION_LOAD`` requests.
+    """Choose the least loaded; a new connection counts as ``NEW_CONNECTION_LOAD`` requests.
 
-    Between equals of a zone each node has a fixed rank of its own, so that it opens few connections
-    and all nodes together use all runners alike (deterministic subsetting).
+    Among equal runners of a zone each node has a fixed rank of its own, so that it opens few
+    connections and all nodes together use all runners evenly (deterministic subsetting).
     """
     pool_pace = median_pace(record.health for record in pool)
 
--- a/src/bendshed/placement/peer_loads.py
+++ b/src/bendshed/placement/peer_loads.py
@@ -1,13 +1,13 @@
-"""Load that leaders of other groups placed at runners, as they reported it. Pure."""
+"""Tracks the load that leaders of other groups placed at runners, from their reports. Pure."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
 REPORT_VALID_S = 1.5
-"""Age, in seconds, at which a report stops counting: six missed reports, and some six lengths of a
-turn, so the turns that it counted have ended."""
+"""Age, in seconds, from which on a report is ignored: six missed reports. That is also about six
+turn lengths, so the turns that it counted have ended."""
 MAX_REPORTED_TURNS = 64
-"""Turns at one runner that one leader's report counts for at most; bounds the harm of a wrong
+"""Most turns at one runner that one leader's report can count for; bounds the harm of a wrong
 report. No runner has as many slots."""
 
 
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class _Report:
-    """A leader's latest report, with both its own time and the steady time of its arrival."""
+    """A leader's latest report, with the sender's time and the steady time of its arrival."""
 
     at_ms: int
     received_s: float
@@ -40,12 +40,12 @@
     def apply_report(
         self, sender: str, at_ms: int, loads: Iterable[tuple[str, LoadSummary]], now_s: float
     ) -> None:
-        """Take a leader's report, which replaces its last one; an older one changes nothing.
+        """Apply a leader's report, which replaces its previous one; an older one is ignored.
 
         Args:
             sender: one incarnation of a leader.
-            at_ms: of the sender's clock.
-            loads: by runner.
+            at_ms: time of the report on the sender's clock.
+            loads: load by runner.
             now_s: steady time.
 
         """
@@ -59,7 +59,7 @@
         self._reports[sender] = _Report(at_ms, now_s, bounded)
 
     def load_of(self, runner_id: str, now_s: float) -> LoadSummary:
-        """Load of all other leaders at a runner; forgets reports that stopped counting."""
+        """Load of all other leaders at a runner; drops expired reports."""
         if not self._reports:
             return NO_LOAD
         self._reports = {
--- a/src/bendshed/placement/placement_cost.py
+++ b/src/bendshed/placement/placement_cost.py
@@ -1,8 +1,8 @@
-"""What a turn loses at a runner, in milliseconds of the turn. Pure.
+"""Estimates what a turn loses at a runner, in milliseconds of the turn. Pure.
 
 Holds every weight of a placement. All terms have one unit, so that they can be added: waiting for a
-slot, reading prompt parts that the runner does not hold, slowing down the turns that run there,
-slowness, failures, memory, distance, a new connection, a cold cache.
+slot, prefill of prompt parts that the runner has not cached, delaying the turns that run there,
+slowness, failures, memory, distance, a new connection, a cold runner.
 """
 
 from dataclasses import dataclass
@@ -15,38 +15,39 @@
 from bendshed.placement.turn_demand import TurnDemand
 
 PREFILL_TOKENS_PER_MS = 80.0
-"""Prompt tokens that a runner reads in a millisecond; model engines were seen to read 65 to 163."""
+"""Prompt tokens that a runner prefills per millisecond; 65 to 163 were seen at model engines."""
 HISTORY_WEIGHT = 3.0
-"""Factor on the reading time of a program's own history (all parts but the first of several).
-Reading it again also stops the turns beside it, and no other program uses the result; the first
-part is shared. Keeps chains at their runner: over a full day of 171 fronts, at 1 they left it for
-three running turns, 10 million prompt tokens were read instead of 6, and 87.8% of the work was
-served instead of 94.6% (measured together with SLOWNESS_THRESHOLD)."""
+"""Factor on the prefill time of a program's own history (all parts but the first of several). Its
+prefill also stops the turns that run beside it, and no other program uses the result; the first
+part is shared. Keeps chains at their runner: over a full day of 171 fronts, with a factor of 1 they
+left it at three running turns, 10 million prompt tokens were prefilled instead of 6 million, and
+87.8% of the work was served instead of 94.6% (measured together with SLOWNESS_THRESHOLD)."""
 MIN_RUNNING_TURN_COST_MS = 4.0
-"""Least cost, in milliseconds, of one more running turn to the others at its runner. While a turn
-runs, about as many others begin there as run beside it, and each stops it while its prompt is read;
-so a running turn costs the mean reading time, and at least this."""
+"""Least cost, in milliseconds, of each turn that runs at the runner. While a turn runs, about as
+many others begin there as run beside it, and each stops it during its prefill. A running turn
+therefore costs the mean prefill time, and at least this."""
 COLD_RUNNER_COST_MS = 120.0
 """Added to a cold runner's cost, in milliseconds, so that warm runners with room come first.
 Warm runners with free slots differ by less: six running turns at 10 ms each, 30 ms for a
 connection, 24 ms for 650 tokens of history. Three turns of 250 ms that wait for one of six slots
-cost 125 ms: then the cold runner gets work. Its slowness is counted by its measured pace."""
+cost 125 ms, so the cold runner then gets work. The slowness of a cold runner is not included; its
+measured pace accounts for it."""
 FIRST_TURN_COLD_COST_MS = 60.0
-"""The same for a program's first turn: it has no history, so it reads only shared parts there, and
-these are cached by the time the runner is warm."""
+"""The same for a program's first turn: it has no history, so it prefills only shared parts there,
+which are cached by the time the runner is warm."""
 FAILED_TURN_COST_MS = 1_000.0
-"""Cost of a failed turn, in milliseconds: its client starts it again after up to 0.4 s. More than
-any wait for a slot, so a runner that fails gets work only when all do."""
+"""Cost of a failed turn, in milliseconds: its client starts it again after up to 0.4 s. Higher than
+any wait for a slot, so a failing runner gets work only when all runners fail."""
 MAX_MEMORY_SHARE = 0.8
-"""Share of a runner's memory that running turns may fill; beyond it the engine preempts the newest
+"""Share of a runner's memory that running turns may fill. Beyond it the engine preempts the newest
 turn, which costs the length of a turn."""
 STALL_TURN_LENGTHS = 4.0
-"""Mean turn lengths without any end, while turns run, from which on a runner counts as slow.
+"""A runner counts as slow if turns run there and none has ended for this many mean turn lengths.
 Counted from the latest end: counted from the oldest turn's begin, one stuck turn in 24 marked its
 runner as slow."""
 SLOWNESS_THRESHOLD = 2.5
 """Ratio to the pool's median time between events from which on a runner counts as slow. Smaller
-ratios are chance: in a burst, prompts read in between make a mean of three turns 1.5 times as
+ratios occur by chance: in a burst, prefills in between make a mean of three turns 1.5 times as
 long."""
 
 
@@ -55,8 +56,8 @@
     """Means over the runners of a service at the time of a placement.
 
     Attributes:
-        mean_turn_ms: length of a turn.
-        mean_prefill_ms: time in which a turn's prompt is read.
+        mean_turn_ms: mean length of a turn.
+        mean_prefill_ms: mean prefill time of a turn's prompt.
         event_gap_ms: median of the runners' times between events; 0: unknown.
         now_s: steady time of the placement.
 
@@ -82,11 +83,11 @@
 
     Args:
         demand: the turn.
-        runner: as listed.
-        load: turns that this leader placed there, and what they showed of the runner.
-        peer_load: what leaders of other groups placed there.
+        runner: its list entry.
+        load: turns that this leader placed there, and what was observed of the runner.
+        peer_load: load that leaders of other groups placed there.
         path: distance from the requesting node.
-        pool: means to compare with.
+        pool: means of the service's runners, to compare with.
 
     """
     num_running = len(load.turns) + peer_load.num_running
@@ -107,12 +108,12 @@
 
 
 def cold_cost_ms(demand: TurnDemand) -> float:
-    """What a turn loses at a cold runner on top."""
+    """Milliseconds that a turn loses in addition at a cold runner."""
     return COLD_RUNNER_COST_MS if demand.last_runner else FIRST_TURN_COLD_COST_MS
 
 
 def _slowness(load: RunnerLoad, pool: PoolTimes) -> float:
-    """How many times as long a turn takes there as at the median runner; at least 1."""
+    """Factor by which a turn takes longer there than at the median runner; at least 1."""
     pace_slowness = load.health.slowness_now(pool.event_gap_ms, pool.now_s, SLOWNESS_THRESHOLD)
     return max(
         pace_slowness, 1000 * load.stalled_s(pool.now_s) / (STALL_TURN_LENGTHS * pool.mean_turn_ms)
@@ -120,13 +121,13 @@
 
 
 def _waiting_ms(num_slots: int, num_running: int, mean_turn_ms: float) -> float:
-    """Until one of the slots is free; they become free evenly within the length of a turn."""
+    """Time until a slot is free; slots become free evenly within the length of a turn."""
     num_waiting = max(0, num_running + 1 - num_slots)
     return mean_turn_ms * num_waiting / num_slots
 
 
 def _prefill_ms(demand: TurnDemand, cache: PromptCache) -> float:
-    """Reading what the runner does not hold of the prompt; own history weighs more."""
+    """Weighted prefill time of the prompt tokens that are not cached; own history weighs more."""
     uncached = demand.prompt_tokens - cache.cached_tokens(demand.parts)
     uncached_own = min(uncached, demand.own_tokens)
     return (uncached - uncached_own + HISTORY_WEIGHT * uncached_own) / PREFILL_TOKENS_PER_MS
--- a/src/bendshed/placement/prompt_cache.py
+++ b/src/bendshed/placement/prompt_cache.py
@@ -1,8 +1,8 @@
 """Estimates which prompt parts a runner has cached, as an LRU of the prompts sent to it. Pure.
 
 A runner caches parts of prompts while its memory lasts and evicts the least recently used ones; a
-part helps only if every part before it is cached too. Its own events report this late and with
-gaps, so it is estimated from the prompts that were dispatched there.
+part is usable only if every part before it is cached too. The runner's own events report this late
+and with gaps, so the estimate uses the prompts that were dispatched there.
 """
 
 from collections import OrderedDict
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class PromptCache:
-    """The parts that one runner is expected to have cached.
+    """Parts that one runner is expected to have cached.
 
     Invariant: ``num_tokens`` is the sum of all parts and at most ``capacity_tokens``, unless one
     prompt alone is longer.
@@ -29,7 +29,7 @@
     _parts: "OrderedDict[str, int]" = field(default_factory=OrderedDict)
 
     def cached_tokens(self, parts: Sequence[PromptPart]) -> int:
-        """Tokens of a prompt that need not be read again."""
+        """Tokens of a prompt that need no prefill."""
         num_cached = 0
         for part in parts:
             cached = self._parts.get(part.part_id, 0)
@@ -39,7 +39,7 @@
         return num_cached
 
     def add_prompt(self, parts: Sequence[PromptPart]) -> None:
-        """Count a prompt that was dispatched there: its parts are the most recently used ones."""
+        """Record a prompt dispatched there: its parts become the most recently used ones."""
         for part in parts:
             cached = self._parts.pop(part.part_id, 0)
             self._parts[part.part_id] = max(cached, part.tokens)
--- a/src/bendshed/placement/runner_health.py
+++ b/src/bendshed/placement/runner_health.py
@@ -1,4 +1,4 @@
-"""Pace and failures of one runner lately, compared with the others of its service. Pure."""
+"""Recent pace and failures of one runner, compared with the others of its service. Pure."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,24 +6,24 @@
 from bendshed.median import median
 
 NEWEST_PACE_WEIGHT = 0.4
-"""Weight of the newest pace in a runner's mean: two or three requests show a change."""
+"""Weight of the newest pace in a runner's mean: a change shows after two or three requests."""
 HEALTH_HALF_LIFE_S = 1.5
-"""Time, in seconds, in which slowness or failures lose half of their weight unless they are seen
-again: a runner that was slow or failing gets work again and can show that it recovered."""
+"""Time, in seconds, in which slowness or failures lose half of their weight unless they are
+observed again, so that a slow or failing runner gets work again and can show that it recovered."""
 NEWEST_ATTEMPT_WEIGHT = 0.4
-"""Weight of the newest attempt in a runner's share of failures."""
+"""Weight of the newest attempt in a runner's share of failed attempts."""
 
 
 @dataclass(slots=True)
 class RunnerHealth:
-    """What requests saw of one runner.
+    """Pace and failures of one runner, as observed by requests.
 
-    A pace is time by unit of work; whoever keeps the record chooses the unit.
+    A pace is time per unit of work; the owner of the record defines the unit.
 
     Attributes:
-        pace: the mean, the latest ones weighing most; 0: unknown.
+        pace: exponentially weighted mean; 0: unknown.
         pace_at_s: steady time of the latest report.
-        failure_share: share of attempts that failed, the latest ones weighing most.
+        failure_share: exponentially weighted share of attempts that failed.
         failure_at_s: steady time of the latest attempt's report.
 
     """
@@ -34,13 +34,13 @@
     failure_at_s: float = 0.0
 
     def note_pace(self, pace: float, now_s: float) -> None:
-        """A request ended that had this pace."""
+        """Record the pace of a request that ended."""
         known_pace = self.pace or pace
         self.pace = known_pace + NEWEST_PACE_WEIGHT * (pace - known_pace)
         self.pace_at_s = now_s
 
     def note_attempt(self, failed: bool, now_s: float) -> None:
-        """An attempt ended."""
+        """Record an attempt that ended."""
         previous = self.failure_share_now(now_s)
         self.failure_share = previous + NEWEST_ATTEMPT_WEIGHT * (float(failed) - previous)
         self.failure_at_s = now_s
@@ -52,12 +52,12 @@
         return self.failure_share * _decay(now_s - self.failure_at_s)
 
     def slowness_now(self, pool_pace: float, now_s: float, threshold: float) -> float:
-        """How many times as long work is expected to take there as at the others; at least 1.
+        """Factor by which work is expected to take longer than at the others; at least 1.
 
         Args:
             pool_pace: ``median_pace`` of the service's runners; 0: unknown.
             now_s: steady time.
-            threshold: a smaller ratio is chance.
+            threshold: smaller ratios occur by chance and count as 1.
 
         """
         if not self.pace or not pool_pace:
@@ -73,5 +73,5 @@
 
 
 def median_pace(healths: Iterable[RunnerHealth]) -> float:
-    """Median over runners whose pace is known_pace; 0: none is."""
+    """Median over runners whose pace is known; 0: none is."""
     return median(health.pace for health in healths if health.pace)
--- a/src/bendshed/placement/runner_load.py
+++ b/src/bendshed/placement/runner_load.py
@@ -1,4 +1,4 @@
-"""What the leader of the turn log knows of one runner. Pure."""
+"""What the leader of the turn log records about one runner. Pure."""
 
 from dataclasses import dataclass, field
 
@@ -11,7 +11,7 @@
     """A turn at a runner.
 
     Attributes:
-        tokens: of its prompt and its longest answer.
+        tokens: tokens of its prompt and its longest answer.
         began_s: steady time of its placement.
 
     """
@@ -23,13 +23,13 @@
 
 @dataclass(slots=True)
 class RunnerLoad:
-    """What is known of one runner.
+    """Running turns, estimated cache and observed health of one runner.
 
     Attributes:
-        cache: the prompts that it holds, inferred from the turns placed there.
+        cache: prompts that it has cached, inferred from the turns placed there.
         health: pace and failures, as nodes reported them.
-        turns: running there, by turn id, the oldest first.
-        num_tokens: prompts and longest answers of these.
+        turns: running turns by id, the oldest first.
+        num_tokens: tokens of the prompts and longest answers of these turns.
         ended_s: steady time at which the latest turn ended here.
 
     """
@@ -41,7 +41,7 @@
     ended_s: float = float("-inf")
 
     def stalled_s(self, now_s: float) -> float:
-        """For how long turns have run here and none has ended; 0: none runs."""
+        """Time for which turns have run here without any ending; 0: none runs."""
         for turn in self.turns.values():
             return now_s - max(turn.began_s, self.ended_s)
         return 0.0
--- a/src/bendshed/placement/running_turns.py
+++ b/src/bendshed/placement/running_turns.py
@@ -1,8 +1,8 @@
-"""Running turns by runner, and what they showed of it: load, prompt cache, health. Pure.
+"""Running turns by runner, and the load, prompt cache and health derived from them. Pure.
 
-Owns the counts that a placement is decided from. A turn counts at one runner from its placement
-until its end or its deadline; nothing is replicated, so a new leader starts with no turns and has
-all of them after the length of one turn.
+Owns the counts on which placements are based. A turn counts at one runner from its placement until
+its end or its deadline. Nothing is replicated, so a new leader starts without turns and has all of
+them after the length of one turn.
 """
 
 import heapq
@@ -17,13 +17,14 @@
 from bendshed.placement.turn_demand import EndedTurn, TurnDemand
 
 INITIAL_MEAN_TURN_MS = 250.0
-"""Mean length of a turn, in milliseconds, until the first one has ended."""
+"""Mean length of a turn, in milliseconds, that is assumed until the first one has ended."""
 NEWEST_TURN_WEIGHT = 0.05
-"""Weight of the newest turn in the mean length and reading time: about 20 turns show a change."""
+"""Weight of the newest turn in the mean length and prefill time: a change shows after about 20
+turns."""
 MAX_CHAINS = 20_000
 """Chains remembered as placed by this leader; bounds their memory to about 2 MB."""
 DEFAULT_CAPACITY_TOKENS = 50_000
-"""Memory of a runner, in tokens, where the configuration gives none."""
+"""Memory of a runner, in tokens, if the configuration gives none."""
 
 
 class RunningTurns:
@@ -34,8 +35,8 @@
 
     Attributes:
         mean_turn_ms: mean length of a turn.
-        mean_prefill_ms: mean time in which a turn's prompt is read.
-        spill: bounds the turns that run outside their region.
+        mean_prefill_ms: mean prefill time of a turn's prompt.
+        spill: limits the turns that run outside their region.
 
     """
 
@@ -50,15 +51,15 @@
 
     @property
     def num_running(self) -> int:
-        """Turns that run."""
+        """Number of running turns."""
         return len(self._runner_by_turn)
 
     def load_of(self, runner_id: str) -> RunnerLoad:
-        """What is known of a runner that ``add_runners`` was called with."""
+        """Record of a runner that was passed to ``add_runners``."""
         return self._loads[runner_id]
 
     def load_summaries(self) -> list[tuple[str, LoadSummary]]:
-        """Load by runner, for the leaders of other groups; idle runners are left out."""
+        """Load by runner, for reports to leaders of other groups; idle runners are left out."""
         return [
             (runner_id, LoadSummary(len(load.turns), load.num_tokens))
             for runner_id, load in self._loads.items()
@@ -66,7 +67,7 @@
         ]
 
     def add_runners(self, runners: Iterable[ServiceRunner], capacity_tokens: int) -> None:
-        """Start a record of each runner that has none.
+        """Create a record for each runner that has none.
 
         Args:
             runners: candidates of a placement.
@@ -79,16 +80,17 @@
                 self._loads[runner.runner_id] = RunnerLoad(cache)
 
     def assume_cached(self, demand: TurnDemand) -> None:
-        """Assume a chain's prompt at the runner of its program's latest turn.
+        """Assume that a chain's prompt is cached at the runner of its program's latest turn.
 
-        Only for chains that this leader has not placed yet: a new leader knows of no cached prompt.
+        Only for chains that this leader has not placed yet, since a new leader does not know what
+        is cached.
         """
         load = self._loads.get(demand.last_runner)
         if load is not None and demand.chain not in self._chains:
             load.cache.add_prompt(demand.parts)
 
     def begin(self, demand: TurnDemand, runner_id: str, now_s: float) -> None:
-        """Count a turn at a runner; one that is placed again moves there."""
+        """Count a turn at a runner; a turn that is placed again moves there."""
         self._remove(demand.turn_id)
         load = self._loads[runner_id]
         tokens = demand.max_kv_tokens
@@ -109,7 +111,7 @@
             del self._chains[next(iter(self._chains))]
 
     def end(self, ended: EndedTurn, now_s: float) -> None:
-        """Stop counting a turn, answered or not, and take what its node saw of runners."""
+        """Stop counting a turn, answered or not, and record what its node observed of runners."""
         turn = self._remove(ended.turn_id)
         if turn is not None and turn.runner_id == ended.runner_id:
             took_ms = 1000 * (now_s - turn.began_s)
@@ -136,13 +138,13 @@
         return turn
 
     def end_expired(self, now_s: float) -> None:
-        """Stop counting turns whose deadline has passed: the reports of their nodes were lost."""
+        """Stop counting turns whose deadline has passed: their nodes' reports were lost."""
         while self._deadlines and self._deadlines[0][0] <= now_s:
             _, turn_id = heapq.heappop(self._deadlines)
             self._remove(turn_id)
 
     def retain_only(self, listed: Collection[str]) -> None:
-        """Forget runners that are not listed any more, with their turns."""
+        """Forget runners that are no longer listed, with their turns."""
         for runner_id in [name for name in self._loads if name not in listed]:
             for turn_id in self._loads.pop(runner_id).turns:
                 del self._runner_by_turn[turn_id]
--- a/src/bendshed/placement/turn_demand.py
+++ b/src/bendshed/placement/turn_demand.py
@@ -1,4 +1,4 @@
-"""What a turn needs of a runner, and what its node saw when it ended: frozen values."""
+"""What a turn needs of a runner, and what its node observed by its end: frozen values."""
 
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass, field
@@ -12,17 +12,17 @@
     """What a turn needs of a runner.
 
     Attributes:
-        chain: id of its chain, whose turns share their prompts; ranks runners of equal cost.
+        chain: id of its chain; turns of a chain share their prompts. Ranks runners of equal cost.
         parts: its prompt, first part first.
-        max_answer_tokens: most that it may generate.
-        time_left_s: until its deadline; after that it counts as ended.
+        max_answer_tokens: most tokens that it may generate.
+        time_left_s: time until its deadline; after that it counts as ended.
         connected: runners to which the requesting node has an idle connection.
         avoided: runners that failed the requesting node less than 2 s ago.
-        zone: the requesting node's.
+        zone: zone of the requesting node.
         last_runner: runner of the program's latest turn, known to a new leader too; empty: none.
-        body_bytes: of the request to the runner.
+        body_bytes: size of the request to the runner.
         prompt_tokens: length of the whole prompt; summed once, since every candidate needs it.
-        own_tokens: of it, the program's own: all but the first of several parts.
+        own_tokens: prompt tokens of the program's own history: all parts but the first of several.
 
     """
 
@@ -47,23 +47,23 @@
 
     @property
     def max_kv_tokens(self) -> int:
-        """Memory that it may need at a runner: its prompt and its longest answer."""
+        """KV memory that it may need at a runner: its prompt and its longest answer."""
         return self.prompt_tokens + self.max_answer_tokens
 
     @property
     def transferred_bytes(self) -> int:
-        """Of the turn's body and its longest answer."""
+        """Bytes of the turn's body and its longest answer."""
         return self.body_bytes + ANSWER_TOKEN_BYTES * self.max_answer_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class EndedTurn:
-    """What the node of a turn saw.
+    """What the node of a turn observed by its end.
 
     Attributes:
-        runner_id: whose answer was passed on; empty: none.
+        runner_id: runner whose answer was passed on; empty: none.
         event_gap_ms: mean time between events; 0: unknown.
-        failed: runners whose answers broke or that were not reached.
+        failed: runners that broke off their answers or were unreachable.
 
     """
 
--- a/src/bendshed/placement/zones.py
+++ b/src/bendshed/placement/zones.py
@@ -1,7 +1,8 @@
-"""Closed zones as one node knows them, from the updates that it received. Pure.
+"""Closed zones as known to one node, from the updates that it received. Pure.
 
-An update carries every closed zone as of a revision of the registry, and the zones that were opened
-lately: a node that missed both the closing and the opening must still treat their runners as cold.
+An update lists every closed zone as of a revision of the registry, and the zones that were reopened
+recently: a node that missed both the closing and the reopening must still treat their runners as
+cold.
 """
 
 from collections.abc import Mapping
@@ -12,24 +13,24 @@
 __all__ = ["ClosedZones", "OpenedZone", "RunnerFilter", "ZoneChanges", "ZoneRecord", "ZoneUpdate"]
 
 REOPENED_REPORTED_S = 60.0
-"""Time, in seconds, for which an opening is passed on; covers a node that receives no update for so
-long. Chosen, not measured."""
+"""Time, in seconds, for which updates include a reopening; covers a node that receives no update
+for that long."""
 REOPENED_KNOWN_S = 2 * REOPENED_REPORTED_S
-"""Time, in seconds, for which an opening is remembered: longer than it is passed on, so that a late
-update of it does not count as a second opening."""
+"""Time, in seconds, for which a reopening is remembered: longer than updates include it, so that a
+late update does not count as a second reopening."""
 SAME_OPENING_S = 1.0
-"""Openings of a zone whose times differ by less, in seconds, are one: an update takes less time
-between two nodes."""
+"""Reopenings of a zone whose times differ by no more than this, in seconds, are the same one: an
+update takes less time between two nodes."""
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneUpdate:
-    """What one source knows of closed zones.
+    """Closed zones as known to one source.
 
     Attributes:
-        zones: all that are closed, as of a revision.
-        reopened_ago_s: for how long zones that were opened lately have been open, in seconds, by
-            name; the receiver may never have known that one was closed.
+        zones: all closed zones as of a revision.
+        reopened_ago_s: seconds since each recent reopening, by zone; the receiver may never have
+            known that the zone was closed.
 
     """
 
@@ -39,10 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedZone:
-    """A zone that may get work again, and since when as far as known.
+    """A zone that was reopened and may get work again.
 
     Attributes:
-        at_s: steady time.
+        at_s: steady time of the reopening, as far as known.
 
     """
 
@@ -52,11 +53,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneChanges:
-    """What an update changed.
+    """Changes made by an update.
 
     Attributes:
         closed: zones that get no new work from now on.
-        opened: zones that may get it again; their runners may be cold.
+        opened: zones that may get new work again; their runners may be cold.
 
     """
 
@@ -70,15 +71,15 @@
 
 @dataclass(slots=True)
 class ZoneRecord:
-    """Closed zones as one node knows them.
+    """Closed zones as known to one node.
 
-    Invariant: what is known never goes back to an older revision.
+    Invariant: the known revision never decreases.
 
     Attributes:
-        zones: the newest update.
+        zones: closed zones of the newest update.
         changed_revision: revision of the update that last changed which zones are closed.
         closed_since_s: steady time at which this node learned of each closing.
-        opened_at_s: steady time of openings, for ``REOPENED_KNOWN_S``.
+        opened_at_s: steady time of reopenings, for ``REOPENED_KNOWN_S``.
 
     """
 
@@ -88,7 +89,7 @@
     opened_at_s: dict[str, float] = field(default_factory=dict)
 
     def apply(self, update: ZoneUpdate, now_s: float) -> ZoneChanges:
-        """Take an update; one older than what is known changes nothing."""
+        """Apply an update; one older than the known revision changes nothing."""
         latest = update.zones
         if latest.revision < self.zones.revision or latest.revision == 0:
             return ZoneChanges()
@@ -106,7 +107,7 @@
         return ZoneChanges(closed, opened)
 
     def _opened_by(self, update: ZoneUpdate, now_s: float) -> tuple[OpenedZone, ...]:
-        """Zones that were closed here, and those whose closing this node never learned of."""
+        """Zones reopened by an update, including those whose closing this node never received."""
         open_again = self.zones.closed - update.zones.closed
         opened = {zone: now_s for zone in open_again}
         for zone, ago_s in update.reopened_ago_s.items():
@@ -122,14 +123,14 @@
         return last_opened_s is None or at_s > last_opened_s + SAME_OPENING_S
 
     def forget_old(self, now_s: float) -> bool:
-        """Forget old openings; ``False``: none was old."""
+        """Forget old reopenings; ``False``: none was old."""
         old = [zone for zone, at_s in self.opened_at_s.items() if now_s - at_s > REOPENED_KNOWN_S]
         for zone in old:
             del self.opened_at_s[zone]
         return bool(old)
 
     def make_update(self, now_s: float) -> ZoneUpdate:
-        """What this node reports to others."""
+        """Create the update that this node sends to others."""
         reopened = {
             zone: max(0.0, now_s - at_s)
             for zone, at_s in self.opened_at_s.items()
