--- a/src/bendshed/retries/__init__.py
+++ b/src/bendshed/retries/__init__.py
@@ -1,5 +1,6 @@
-"""Retry and give up: what is sent again, how often, until when, and what a caller learns.
+"""Retry decisions: what is sent again, how often, until when, and what the caller is told.
 
-Pure: no clock, no log, no connection. ``history`` counts what happened to one forwarded request,
-``decisions`` decides by it; ``retry_budget`` is the other rule, of the product's own interface.
+Pure: no clock, no log, no connection. ``history`` counts the attempts of one forwarded request,
+``decisions`` decides by them; ``retry_budget`` is the separate rule for calls of the product's own
+interface.
 """
--- a/src/bendshed/retries/decisions.py
+++ b/src/bendshed/retries/decisions.py
@@ -1,9 +1,9 @@
-"""Decides whether a forwarded request is tried again, and what answer its caller gets if not.
+"""Decides whether a forwarded request is retried, and which refusal its caller gets if not.
 
-The rule: a request that may have run goes out again only on a route that allows repeats, at most
-``Route.max_attempts`` times, each run charged to the tenant's quota. One that certainly did not run
-may go to another runner on any route. "Not run" is said only where it is certain, since clients
-then repeat a request that must not run twice.
+A request that may have run is sent again only on a route that allows repeats, at most
+``Route.max_attempts`` times, with each run charged to the tenant's quota. One that certainly did
+not run may go to another runner on any route. "Not run" is reported only where it is certain, since
+clients then repeat even a request that must not run twice.
 """
 
 from dataclasses import dataclass
@@ -15,55 +15,55 @@
 from bendshed.retries.history import AttemptHistory
 
 MAX_NOT_RUN_ATTEMPTS = 4
-"""Attempts at one request that certainly did not run it, before it is refused. Bounds the work that
-one request causes while runners reject or are unreachable, when load is high already. Chosen, not
-measured; a request of a service with fewer runners ends sooner, since no runner is tried twice."""
+"""Attempts that certainly did not run a request, before it is refused. Bounds the work that one
+request causes while runners reject it or are unreachable, when load is high already. In a service
+with fewer runners a request ends sooner, since no runner is tried twice."""
 MIN_DISPATCH_TIME_LEFT_S = 0.02
-"""A request with less time left is not dispatched: its answer would come too late, and the runner's
-work would be lost. Chosen as a few round trips within a region, not measured."""
+"""A request with less time left, in seconds, is not dispatched: its answer would come too late, and
+the runner's work would be lost. Corresponds to a few round trips within a region."""
 LATE_ANSWER_MARGIN_S = 0.1
-"""A request is given up this long after its deadline. A runner is sent the time left and answers
-for itself at the deadline; that answer, which says what became of the request, may still travel.
-Chosen, not measured."""
+"""A request is given up this long after its deadline, in seconds. A runner receives the time left
+and answers by itself at the deadline; that answer, which contains the outcome of the request, may
+still be in transit."""
 
 
 class GiveUpReason(StrEnum):
-    """Why a request is not tried again."""
+    """Why a request is not retried."""
 
     NO_TIME_LEFT = "no_time_left"
     """Too little time for another dispatch."""
     TIMED_OUT = "timed_out"
-    """The deadline and the margin for late answers are over."""
+    """The deadline and the margin for late answers have passed."""
     NO_RUNNER = "no_runner"
-    """No eligible runner that was not tried yet, or too many attempts that were not run."""
+    """No eligible runner is left that was not tried, or too many attempts were not run."""
     NO_PERMIT = "no_permit"
-    """All that are left are cold, and no permit can be used here."""
+    """All remaining runners are cold, and no permit can be used here."""
     NOT_REPEATABLE = "not_repeatable"
-    """It may have run, and its route allows no further run."""
+    """The request may have run, and its route allows no further run."""
     ANSWER_BROKEN = "answer_broken"
-    """An answer began and broke, and the route allows no further run."""
+    """An answer began and broke off, and the route allows no further run."""
     NO_QUOTA = "no_quota"
-    """It may have run, and the tenant's quota does not hold a second run."""
+    """The request may have run, and the tenant's quota does not admit another run."""
     RESERVATION_FAILED = "reservation_failed"
-    """The turn went to a runner while its reservation was committing, and that was refused."""
+    """The turn was dispatched while its reservation was committing, and that was refused."""
 
 
 @dataclass(frozen=True, slots=True)
 class TryRunner:
-    """Choose a runner and send the request there."""
+    """Choose a runner and send the request to it."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestQuota:
-    """Ask the tenant's quota for one more run; try a runner only if it holds it."""
+    """Request one more run from the tenant's quota; try a runner only if it is admitted."""
 
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """The request ends.
+    """End the request.
 
     Attributes:
-        detail: what is said of it to the caller and in the log.
+        detail: description for the caller and the log.
 
     """
 
@@ -91,17 +91,17 @@
 
 
 def may_choose_runner(history: AttemptHistory) -> bool:
-    """Whether one more runner is looked for; else ``NO_RUNNER`` ends the request."""
+    """Whether one more runner may be chosen; if not, the request ends with ``NO_RUNNER``."""
     return history.num_not_run < MAX_NOT_RUN_ATTEMPTS
 
 
 def decide_after_broken_answer(
     history: AttemptHistory, route: Route, error: str
 ) -> TryRunner | GiveUp:
-    """Decide on an answer that broke before any of it was passed on.
+    """Decide on an answer that broke off before any of it was passed on.
 
-    Once part of an answer has gone to the caller, nothing is decided any more: its connection is
-    broken off. That holds for every stream, since a stream's head goes on at once.
+    Once part of an answer was passed on, no retry is possible and the caller's connection is
+    aborted. That holds for every stream, since a stream's head is passed on at once.
     """
     if may_run_again(history, route):
         return TryRunner()
@@ -109,10 +109,10 @@
 
 
 def refusal_of(give_up: GiveUp, history: AttemptHistory) -> Refusal:
-    """The answer to the caller.
+    """The refusal for the caller.
 
-    ``engine_lost`` says that it ran, ``outcome_unknown`` that it may have; any other kind says that
-    it did not, so those are for requests without a doubtful attempt.
+    ``engine_lost`` says that the request ran, ``outcome_unknown`` that it may have run. Any other
+    kind says that it did not run, and so requires that no attempt has an unknown outcome.
     """
     match give_up.reason:
         case GiveUpReason.NO_TIME_LEFT | GiveUpReason.TIMED_OUT:
@@ -134,7 +134,7 @@
 
 
 def refusal_or_outcome_unknown(refusal: Refusal, history: AttemptHistory) -> Refusal:
-    """The same refusal, or "outcome unknown" where it would deny a run that is not ruled out."""
+    """The same refusal, or ``outcome_unknown`` if the request may have run."""
     if history.may_have_run:
         return Refusal(ErrorKind.OUTCOME_UNKNOWN, refusal.detail)
     return refusal
