--- a/src/bendshed/dispatch/attempt_sender.py
+++ b/src/bendshed/dispatch/attempt_sender.py
@@ -1,6 +1,7 @@
 """Sends the attempts that were granted to this process, and reads their streams to the end.
 
-Whether a failed attempt may be replaced is decided in ``retries/`` by what the caller has seen.
+``retries/`` decides whether a failed attempt may be replaced, depending on what the caller has
+received.
 """
 
 import asyncio
@@ -27,15 +28,15 @@
 from bendshed.wire import programs_pb2 as wire
 
 MAX_ATTEMPTS = 4
-"""Attempts of one call; bounds the work that a call may cost while engines fail."""
+"""Maximum attempts of one call; bounds the work that a call may cost while engines fail."""
 MAX_RESUMES = 3
-"""Times that one stream is resumed at its engine before the engine counts as lost."""
+"""Maximum times that a stream is resumed at its engine before the engine counts as lost."""
 
 log = PartLog("dispatch")
 
 
 class AttemptSender:
-    """Sends each granted attempt once; resumes or settles attempts of executors that are gone."""
+    """Sends each granted attempt once; resumes or settles attempts of lost executors."""
 
     def __init__(
         self,
@@ -56,19 +57,19 @@
         self._rng = rng
 
     async def send(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
-        """Send the granted attempt and read it to its end."""
+        """Send the granted attempt and read its stream to the end."""
         try:
             history = self._steps.history.assemble(
                 run.request.program_id, run.request.branch, granted
             )
         except HistoryMismatch:
             return await self._fetch_whole_history(run)
-        self._steps.sent.add((*run.request.key, granted.attempt))
+        self._steps.used_grants.add((*run.request.key, granted.attempt))
         runner_id = granted.runner
         table = self._scheduler.table
         now_s = asyncio.get_running_loop().time
         if not await self._confirm_runner(runner_id):
-            return await self._not_started(run, granted)
+            return await self._settle_not_started(run, granted)
         run.sent_attempts.add(granted.attempt)
         table.begin_attempt(runner_id, run.request.program_id)
         succeeded = False
@@ -91,7 +92,7 @@
     ) -> wire.CallResult:
         engine = self._engine_of(granted.runner)
         if engine is None:
-            return await self._not_started(run, granted)
+            return await self._settle_not_started(run, granted)
         request = EngineRequest(
             attempt_id=attempt_id(run.request, granted.attempt),
             request_id=run.request.request_id,
@@ -103,11 +104,11 @@
         )
         try:
             stream = await engine.generate(request)
-            summary = await self._read_whole(run, engine, request.attempt_id, stream)
+            summary = await self._read_to_end(run, engine, request.attempt_id, stream)
         except EngineNotStarted as error:
             if error.leaving:
                 self._report_leaving(granted.runner)
-            return await self._not_started(run, granted)
+            return await self._settle_not_started(run, granted)
         except EngineRejected as error:
             log.say("call rejected by its engine", runner=granted.runner, reason=str(error))
             return await self._steps.finish(
@@ -119,27 +120,27 @@
                 final=True,
             )
         except (EngineBroken, StreamUnknown):
-            return await self._broken(run, granted)
-        return await self._answered(run, granted, history, summary)
+            return await self._settle_broken(run, granted)
+        return await self._settle_answered(run, granted, history, summary)
 
-    async def _read_whole(
-        self, run: CallRun, engine: Engine, name: str, stream: EngineStream
+    async def _read_to_end(
+        self, run: CallRun, engine: Engine, stream_id: str, stream: EngineStream
     ) -> StreamSummary:
-        """Forward a stream to its end, resuming it where the connection broke."""
-        for tries in range(MAX_RESUMES + 1):
+        """Forward a stream to its end, resuming it after a broken connection."""
+        for attempt in range(MAX_RESUMES + 1):
             try:
-                if tries:
-                    stream = await engine.resume(name)
+                if attempt:
+                    stream = await engine.resume(stream_id)
                 await self._forward(run, stream)
-                run.streamed_whole = True
+                run.is_stream_complete = True
                 return stream.summary
             except EngineBroken as error:
-                log.say("stream interrupted", attempt=name, reason=str(error))
-            await asyncio.sleep(backoff_s(tries + 1, self._rng))
-        raise EngineBroken(name)
+                log.say("stream interrupted", attempt=stream_id, reason=str(error))
+            await asyncio.sleep(backoff_s(attempt + 1, self._rng))
+        raise EngineBroken(stream_id)
 
     async def _forward(self, run: CallRun, stream: EngineStream) -> None:
-        """Append what the live answer does not have yet."""
+        """Append the bytes that the live answer does not have yet."""
         skip = run.live.num_bytes
         async for chunk in stream.events():
             if skip >= len(chunk):
@@ -150,7 +151,7 @@
         if not stream.summary.finish_reason:
             raise EngineBroken("the stream ended without a finish reason")
 
-    async def _answered(
+    async def _settle_answered(
         self,
         run: CallRun,
         granted: wire.CallResult,
@@ -166,11 +167,11 @@
             request = run.request
             self._steps.history.put(request.program_id, request.branch, request.call_number, turn)
             return result
-        run.streamed_whole = False  # another attempt won
+        run.is_stream_complete = False  # another attempt won
         return result
 
-    async def _not_started(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
-        """Hand the attempt back unstarted and try elsewhere while that makes sense."""
+    async def _settle_not_started(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
+        """Return the attempt as not started; the call may be retried on another runner."""
         run.failed_runners.add(granted.runner)
         final = not self._may_retry(run, granted)
         result = await self._steps.finish(
@@ -185,11 +186,12 @@
             await asyncio.sleep(backoff_s(granted.attempt, self._rng))
         return result
 
-    async def _broken(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
-        """The engine was lost. Run again only if no byte reached the caller."""
+    async def _settle_broken(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
+        """Handle the loss of the engine; the call is run again only if no byte reached the
+        caller."""
         run.failed_runners.add(granted.runner)
-        seen = run.live.num_bytes > 0
-        final = seen or run.request.unrepeatable or not self._may_retry(run, granted)
+        has_output = run.live.num_bytes > 0
+        final = has_output or run.request.unrepeatable or not self._may_retry(run, granted)
         kind = ErrorKind.OUTCOME_UNKNOWN if run.request.unrepeatable else ErrorKind.ENGINE_LOST
         return await self._steps.finish(
             run, granted, wire.ATTEMPT_OUTCOME_BROKEN, StreamSummary(), kind, final
@@ -197,39 +199,41 @@
 
     def _may_retry(self, run: CallRun, granted: wire.CallResult) -> bool:
         return (
-            granted.attempt < MAX_ATTEMPTS and self._steps.left_s(run) > 0 and self._retries.take()
+            granted.attempt < MAX_ATTEMPTS
+            and self._steps.remaining_s(run) > 0
+            and self._retries.take()
         )
 
     # --- takeover ------------------------------------------------------------------------
 
     async def take_over(self, run: CallRun, orphan: wire.CallResult) -> wire.CallResult:
-        """The executor of a dispatched call is gone: resume its stream, or settle it.
+        """Resume or settle the stream of a dispatched call whose executor was lost.
 
-        The attempt is cancelled at its engine before anything else is done with the call, so a
-        former executor that wakes up cannot start it any more.
+        Unless its stream can be resumed, the attempt is cancelled at its engine before any other
+        step, so that a former executor that resumes cannot start it any more.
         """
         log.say(
-            "call taken over: its executor is gone",
+            "call taken over: its executor was lost",
             program=run.request.program_id,
             call=run.request.call_number,
         )
         engine = self._engine_of(orphan.runner)
-        name = attempt_id(run.request, orphan.attempt)
+        stream_id = attempt_id(run.request, orphan.attempt)
         if engine is None:
-            return await self._lost(run, orphan)
+            return await self._settle_lost(run, orphan)
         try:
-            stream = await engine.resume(name)
-            summary = await self._read_whole(run, engine, name, stream)
+            stream = await engine.resume(stream_id)
+            summary = await self._read_to_end(run, engine, stream_id, stream)
         except (EngineBroken, EngineNotStarted, StreamUnknown):
-            return await self._lost(run, orphan)
+            return await self._settle_lost(run, orphan)
         result = await self._steps.finish(
             run, orphan, wire.ATTEMPT_OUTCOME_ANSWERED, summary, None, final=True
         )
-        run.streamed_whole = result.attempt == orphan.attempt
+        run.is_stream_complete = result.attempt == orphan.attempt
         return result
 
-    async def _lost(self, run: CallRun, orphan: wire.CallResult) -> wire.CallResult:
-        """The orphan's stream cannot be had."""
+    async def _settle_lost(self, run: CallRun, orphan: wire.CallResult) -> wire.CallResult:
+        """Settle or replace an orphaned attempt whose stream cannot be resumed."""
         cancelled = await self._cancel(orphan.runner, attempt_id(run.request, orphan.attempt))
         if orphan.unrepeatable or run.live.num_bytes:
             return await self._steps.finish(
@@ -254,17 +258,17 @@
             )
         return await self._steps.replace(run, orphan, runner)
 
-    async def _cancel(self, runner_id: str, name: str) -> bool:
+    async def _cancel(self, runner_id: str, stream_id: str) -> bool:
         engine = self._engine_of(runner_id)
         if engine is None:
             return False
         try:
-            await engine.cancel(name)
+            await engine.cancel(stream_id)
         except (EngineBroken, EngineNotStarted):
             return False
         return True
 
 
 def attempt_id(request: CallRequest, attempt: int) -> str:
-    """Name of an attempt's stream at its engine."""
+    """Return the id of an attempt's stream at its engine."""
     return f"{request.program_id}:{request.call_number}:{attempt}"
--- a/src/bendshed/dispatch/executor.py
+++ b/src/bendshed/dispatch/executor.py
@@ -1,8 +1,8 @@
-"""Runs the calls that callers brought to this node.
+"""Runs the calls that callers sent to this node.
 
-An attempt is sent only by the process that was granted it, and once: the grant is a committed
-``DispatchCall``, and ``CallSteps.sent`` remembers what left. The caller learns the outcome only
-after the group has committed it, so an answer once given stays true.
+An attempt is sent only by the process to which it was granted, and only once: the grant is a
+committed ``DispatchCall``, and ``CallSteps.used_grants`` records the attempts that were sent. The
+caller gets the outcome only after the group has committed it, so a delivered outcome is final.
 """
 
 import asyncio
@@ -27,12 +27,12 @@
 from bendshed.routing.scheduler import Scheduler
 from bendshed.wire import programs_pb2 as wire
 
-ORDER_WAIT_S = 10.0
-"""How long a call waits for its predecessor before it is closed unrun."""
-FINISHED_READABLE_S = 5.0
-"""A finished answer stays readable on this node for a caller that reconnects."""
-HAND_BACK_LIMIT_S = 5.0
-"""A node that stops waits this long for groups that take grants back: they may have no leader."""
+PREDECESSOR_TIMEOUT_S = 10.0
+"""Time for which a call waits for its predecessor before it is closed without being run."""
+ANSWER_RETENTION_S = 5.0
+"""Time for which a finished answer stays readable on this node for a caller that reconnects."""
+GRANT_RETURN_TIMEOUT_S = 5.0
+"""Maximum time for which a stopping node waits to return grants: a group may have no leader."""
 
 log = PartLog("dispatch")
 
@@ -41,7 +41,7 @@
     """Executes calls on this node.
 
     Attributes:
-        identity: node id and process; a restarted process is another executor.
+        identity: node id and process; a restarted process is a different executor.
         live: answers by (program, call number), for reconnecting callers.
 
     """
@@ -69,20 +69,20 @@
         )
         self._requests: dict[str, CallRequest] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._hand_backs: set[asyncio.Task[None]] = set()
+        self._grant_returns: set[asyncio.Task[None]] = set()
         transport.handlers[EXECUTING_METHOD] = self._on_executing
 
     # --- entry ---------------------------------------------------------------------------
 
     def submit(self, request: CallRequest) -> LiveAnswer | Refusal:
-        """Start a call, or attach to the same call under way on this node."""
+        """Start a call, or attach to the same call if it is running on this node."""
         running = self.live.get(request.key)
         if running is not None and not isinstance(running.outcome, Refusal):
-            same = running.request
-            if (same.idempotency_key, same.body_digest) == (
+            running_request = running.request
+            if (running_request.idempotency_key, running_request.body_digest) == (
                 request.idempotency_key,
                 request.body_digest,
-            ) and same.tenant == request.tenant:
+            ) and running_request.tenant == request.tenant:
                 return running
         if not self._scheduler.has_room():
             return Refusal(ErrorKind.OVERLOADED, "too many calls wait on this node")
@@ -90,15 +90,15 @@
         self.live[request.key] = live
         self._requests[request.request_id] = request
         self._retries.record_first_attempt()
-        self._spawn(self._run_guarded(live), self._tasks)
+        self._spawn(self._run_to_outcome(live), self._tasks)
         return live
 
     async def drain(self) -> None:
-        """Wait until every call under way has its outcome."""
+        """Wait until every running call has its outcome."""
         while self._tasks:
             await asyncio.wait(list(self._tasks))
-        if self._hand_backs:
-            await asyncio.wait(list(self._hand_backs), timeout=HAND_BACK_LIMIT_S)
+        if self._grant_returns:
+            await asyncio.wait(list(self._grant_returns), timeout=GRANT_RETURN_TIMEOUT_S)
 
     @staticmethod
     def _spawn(work: Coroutine[Any, Any, None], among: "set[asyncio.Task[None]]") -> None:
@@ -107,14 +107,14 @@
         task.add_done_callback(among.discard)
 
     async def _on_executing(self, payload: bytes) -> bytes:
-        question = wire.ExecutingRequest.FromString(payload)
-        executing = question.request_id in self._requests
+        request = wire.ExecutingRequest.FromString(payload)
+        executing = request.request_id in self._requests
         return wire.ExecutingReply(executing=executing).SerializeToString()
 
-    async def _run_guarded(self, live: LiveAnswer) -> None:
+    async def _run_to_outcome(self, live: LiveAnswer) -> None:
         loop = asyncio.get_running_loop()
         request = live.request
-        run = CallRun(live, loop.time() + ORDER_WAIT_S, set())
+        run = CallRun(live, loop.time() + PREDECESSOR_TIMEOUT_S, set())
         may_hold_grant = False
         try:
             outcome = await self._run(run)
@@ -125,31 +125,31 @@
             log.say("call failed: internal error", error=repr(error), call=request.call_number)
             outcome = Refusal(ErrorKind.INTERNAL, "internal error; ask again with the same key")
         if may_hold_grant:
-            self._spawn(self._hand_back(run), self._hand_backs)
+            self._spawn(self._return_grant(run), self._grant_returns)
         else:
             self._requests.pop(request.request_id, None)
         live.finish(outcome)
-        loop.call_later(FINISHED_READABLE_S, self._forget, live)
+        loop.call_later(ANSWER_RETENTION_S, self._forget, live)
 
-    async def _hand_back(self, run: CallRun) -> None:
-        """Close a call that may have been granted and was not sent, however long that takes.
+    async def _return_grant(self, run: CallRun) -> None:
+        """Close a call that may have been granted and was not sent, without a time limit.
 
-        Until then this node answers that it executes the call: the grant is its own, and whoever
-        took it for an orphan's would have to assume that the call ran.
+        Until then this node answers that it is executing the call, because it may hold the grant. A
+        node that treated the call as orphaned would have to assume that it was run.
         """
         request = run.request
         try:
-            while not await self._is_handed_back(run):
-                pass  # each try waits for a leader
+            while not await self._try_return_grant(run):
+                pass  # each attempt waits for a leader
         finally:
             self._requests.pop(request.request_id, None)
         log.say(
-            "grant handed back: the call's group had not answered in time",
+            "grant returned: the call's group did not answer in time",
             program=request.program_id,
             call=request.call_number,
         )
 
-    async def _is_handed_back(self, run: CallRun) -> bool:
+    async def _try_return_grant(self, run: CallRun) -> bool:
         try:
             await self._steps.give_up(run, ErrorKind.GROUP_UNAVAILABLE)
         except GroupUnavailable:
@@ -160,8 +160,10 @@
         key = live.request.key
         if self.live.get(key) is live:
             del self.live[key]
-        sent = self._steps.sent
-        self._steps.sent = {one for one in sent if one[:2] != key or key in self.live}
+        used_grants = self._steps.used_grants
+        self._steps.used_grants = {
+            grant for grant in used_grants if grant[:2] != key or key in self.live
+        }
 
     # --- one call ------------------------------------------------------------------------
 
@@ -176,12 +178,13 @@
                 return self._complete_stream(run, outcome)
 
     def _complete_stream(self, run: CallRun, outcome: Outcome) -> Outcome:
-        """Make the streamed bytes the whole committed answer, or refuse.
+        """Extend the streamed bytes to the whole committed answer, or return a refusal.
 
-        Another executor may have finished the attempt that this one was streaming; the rest is
-        then taken from the committed answer. Bytes of another attempt cannot be completed.
+        Another executor may have finished the attempt that this one was streaming; the rest is then
+        taken from the committed answer. If another attempt answered, its text does not continue the
+        streamed bytes.
         """
-        if not isinstance(outcome, Answered) or run.streamed_whole:
+        if not isinstance(outcome, Answered) or run.is_stream_complete:
             return outcome
         streamed = summarize(b"".join(run.live.chunks)).text
         if not outcome.result.answer.startswith(streamed):
@@ -195,7 +198,7 @@
     async def _step(
         self, run: CallRun, result: wire.CallResult
     ) -> tuple[Outcome | None, wire.CallResult]:
-        """Act on what the call is now; return its outcome or its next state."""
+        """Act on the call's current state; return its outcome or its next state."""
         if result.refused_kind:
             return Refusal(parse_kind(result.refused_kind), result.refused_detail), result
         match result.status:
@@ -210,16 +213,16 @@
                 return None, await self._attempts.send(run, result)
             case wire.CALL_STATUS_DISPATCHED if result.orphaned:
                 return None, await self._attempts.take_over(run, result)
-        return await self._wait_longer(run, result)
+        return await self._wait(run, result)
 
-    async def _wait_longer(
+    async def _wait(
         self, run: CallRun, result: wire.CallResult
     ) -> tuple[Outcome | None, wire.CallResult]:
-        """The call waits for its predecessor, or another node runs it."""
+        """Wait for the call's predecessor, or for another node that runs it."""
         now_s = asyncio.get_running_loop().time()
-        if result.status == wire.CALL_STATUS_QUEUED and now_s >= run.order_until_s:
+        if result.status == wire.CALL_STATUS_QUEUED and now_s >= run.predecessor_deadline_s:
             return None, await self._steps.give_up(run, ErrorKind.OUT_OF_ORDER)
-        if self._steps.left_s(run) <= 0:
+        if self._steps.remaining_s(run) <= 0:
             if result.status == wire.CALL_STATUS_QUEUED:
                 return None, await self._steps.give_up(run, ErrorKind.DEADLINE_EXCEEDED)
             detail = "another node still runs this call; ask again with the same key"
--- a/tests/region_defects.py
+++ b/tests/region_defects.py
@@ -144,7 +144,7 @@
     state, _term = service._group(command.group).led()
     ask = command.release
     program = state.programs.get((ask.tenant, ask.program_id), ProgramBudget())
-    spare = program.spare_tokens(ask.budget_tokens, command.group, ask.num_groups)
+    spare = program.available_tokens(ask.budget_tokens, command.group, ask.num_groups)
     committing = asyncio.get_running_loop().create_task(_REAL_COMMIT(service, command, answer_by_s))
     committing.add_done_callback(lambda done: done.cancelled() or done.exception())
     return wire.TurnReply(released_tokens=program.released.get(ask.to_group, 0) + max(0, spare))
@@ -184,12 +184,12 @@
     "each group spends the whole budget": (
         Rule.BUDGET,
         loops_while_regions_are_cut,
-        patch(program_budget, "first_share", _whole_budget),
+        patch(program_budget, "initial_share", _whole_budget),
     ),
     "a share told twice counts twice": (
         Rule.BUDGET,
         loops_in_both_regions,
-        patch(ProgramBudget, "take", _add),
+        patch(ProgramBudget, "take_over_share", _add),
     ),
     "a release is told before it is committed": (
         Rule.BUDGET,
