--- a/src/bendshed/routing/__init__.py
+++ b/src/bendshed/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which runner takes a call, and when a call waits: soft state and a policy."""
+"""Chooses the runner of a call, or lets the call wait: soft state and a policy."""
--- a/src/bendshed/routing/monitor.py
+++ b/src/bendshed/routing/monitor.py
@@ -1,8 +1,9 @@
-"""Keeps the runner table fresh: machine list, load reports, and KV cache held by the gone.
+"""Keeps the runner table current: machine list, load reports, KV caches held for ended programs.
 
-Few nodes read the platform's machine list (two per zone); the others request it from one of
-these with the digest of what they have. A leaving back end is gossiped to all. For each runner
-one node, by consistent hashing, compares the engine's held programs with those alive.
+Few nodes read the platform's machine list (two per zone); the others request it from one of these,
+with the digest of the list that they have. A leaving runner is gossiped to all nodes. For each
+runner one node, chosen by consistent hashing, compares the programs that the engine holds with
+those that are alive.
 """
 
 import asyncio
@@ -31,16 +32,16 @@
 LIST_METHOD = "machines.list"
 PEER_TIMEOUT_S = 2.0
 NUM_LIST_PEERS = 2
-"""Peers among which one is drawn to request the machine list from."""
+"""Peers among which one is drawn at random to request the machine list from."""
 MAX_REPORT_AGE_S = 2.0
-"""A load report this old does not show whether the engine is leaving."""
+"""Age, in seconds, from which on a load report does not show whether the engine is leaving."""
 ENGINE_ERRORS = (EngineBroken, EngineNotStarted, NotSupported)
 
 log = PartLog("routing")
 
 
 class RunnerMonitor:
-    """Background work around the runner table of one node.
+    """Background tasks that update the runner table of one node.
 
     Attributes:
         on_machine_list: called with each machine list.
@@ -86,7 +87,7 @@
         transport.handlers[LIST_METHOD] = self._on_list_request
 
     def start(self) -> None:
-        """Begin the three loops."""
+        """Start the three loops."""
         loops = (
             (self._refresh_list, self._list_interval_s),
             (self._poll_loads, self._settings.load_poll_interval_s),
@@ -95,7 +96,7 @@
         self._tasks = [start_loop(self._repeat(work, s), "routing") for work, s in loops]
 
     async def stop(self) -> None:
-        """End the loops."""
+        """Stop the loops."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -137,7 +138,7 @@
         self._machines = machines
         self._digest = xxhash.xxh3_64_intdigest(_encode(machines))
         for notice in self._table.update_list(machines):
-            log.say("back end is leaving", runner=notice.runner_id)
+            log.say("runner is leaving", runner=notice.runner_id)
             self._membership.notice_runner(notice)
         for callback in self.on_machine_list:
             callback(machines)
@@ -151,7 +152,7 @@
         return reply.SerializeToString()
 
     def note_engine_leaving(self, runner_id: str) -> None:
-        """An engine refused work because it leaves: notify all nodes."""
+        """Handle an engine that refused work because it is leaving: notify all nodes."""
         notice = self._table.mark_leaving(runner_id)
         if notice is not None:
             self._membership.notice_runner(notice)
@@ -184,8 +185,8 @@
     async def confirm(self, runner_id: str) -> bool:
         """Whether new work may be sent to a runner now.
 
-        A node that was paused or cut off has an old view. Unless peers or the
-        engine replied lately, it requests the engine's load, so one that left gets nothing.
+        A node that was paused or partitioned has an outdated view. Unless peers or the engine
+        replied recently, it requests the engine's load, so that an engine that left gets no work.
         """
         now_s = asyncio.get_running_loop().time()
         runner = self._table.runners.get(runner_id)
@@ -198,7 +199,7 @@
                 return False
         return runner.accepts_work(now_s)
 
-    # --- KV cache held by programs that are gone -----------------------------------------
+    # --- KV cache held for ended programs ------------------------------------------------
 
     async def _reconcile(self) -> None:
         live = sorted(member.node_id for member in self._membership.view.live())
@@ -211,7 +212,7 @@
                 await self._send_order(runner_id)
 
     async def _send_order(self, runner_id: str) -> None:
-        """Tell a runner the latest order; its fence lets it refuse an older one."""
+        """Send a runner its latest order; the fence lets it refuse an older one."""
         order, engine = self._orders().get(runner_id), self._engine_of(runner_id)
         if order is None or engine is None or self._fences_sent.get(runner_id) == order.fence:
             return
@@ -234,7 +235,7 @@
             return
 
     async def _find_gone(self, program_ids: list[str]) -> list[str]:
-        """Which programs their groups' leaders call gone; no answer means not gone."""
+        """Programs that their groups' leaders report as gone; without an answer none is."""
         by_group: dict[int, list[str]] = {}
         for program_id in program_ids:
             group = group_of(program_id, self._client.group_count)
--- a/src/bendshed/routing/runners.py
+++ b/src/bendshed/routing/runners.py
@@ -1,4 +1,4 @@
-"""What this node knows of the runners: soft state, rebuilt from reports at any time."""
+"""This node's view of the runners: soft state, which can be rebuilt from reports at any time."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 from bendshed.wire.peer_pb2 import RunnerNotice
 
 DEFAULT_SLOTS = 8
-"""Concurrent requests that an engine takes, until its first load report."""
+"""Concurrent requests assumed for an engine until its first load report."""
 MAX_REMEMBERED_PROGRAMS = 4096
 BREAKER_FAILURE_LIMIT = 3
 BREAKER_OPEN_S = 5.0
@@ -16,18 +16,18 @@
 
 @dataclass(slots=True)
 class Runner:
-    """One runner as this node sees it.
+    """One runner as known to this node.
 
     Attributes:
-        machine: its line of the machine list.
-        leaving: from any source: machine list, gossip, the engine itself.
-        drained: by the operators' configuration.
+        machine: its entry of the machine list.
+        leaving: whether it leaves, by any source: machine list, gossip, the engine itself.
+        drained: whether the operators' configuration drains it.
         report: latest load report; ``None``: none yet.
         report_at_s: loop time of that report.
-        own_in_flight: attempts of this node under way there.
-        own_since_report: attempts sent since the report, which it does not yet show.
-        failures: failures in a row.
-        open_until_s: circuit breaker: no new work before this loop time.
+        own_in_flight: attempts of this node that run there.
+        own_since_report: attempts sent since the report, which does not include them.
+        failures: consecutive failures.
+        open_until_s: loop time until which the circuit breaker is open: no new work.
 
     """
 
@@ -48,12 +48,12 @@
 
     @property
     def expected_load(self) -> int:
-        """Requests that are likely to be there now: reported plus sent since."""
+        """Requests that are probably there now: reported plus sent since."""
         reported = self.report.running + self.report.waiting if self.report is not None else 0
         return max(reported + self.own_since_report, self.own_in_flight)
 
     def accepts_work(self, now_s: float) -> bool:
-        """Whether new work may be sent there."""
+        """Whether new work may be sent to the runner."""
         return not self.leaving and not self.drained and now_s >= self.open_until_s
 
     def has_free_slot(self) -> bool:
@@ -63,11 +63,11 @@
 
 @dataclass(slots=True)
 class RunnerTable:
-    """All runners by id, and where programs ran last.
+    """All runners by id, and the last runner of each program.
 
     Attributes:
-        last_runner: program id -> runner that likely holds its KV cache (bounded).
-        notices: latest gossip by runner, also of runners not yet listed.
+        last_runner: program id -> runner that probably holds its KV cache (bounded).
+        notices: latest gossip by runner, including runners not yet listed.
 
     """
 
@@ -77,7 +77,7 @@
     drained: frozenset[str] = frozenset()
 
     def update_list(self, machines: list[Machine]) -> list[RunnerNotice]:
-        """Take a new machine list; return notices worth spreading."""
+        """Apply a new machine list; return the notices to gossip."""
         notices = []
         listed = {m.machine_id: m for m in machines if m.kind == "engine"}
         for runner_id, machine in listed.items():
@@ -105,27 +105,27 @@
         )
 
     def mark_leaving(self, runner_id: str) -> RunnerNotice | None:
-        """The engine itself said that it leaves; return the notice to spread."""
+        """Mark a runner whose engine reports that it leaves; return the notice to gossip."""
         runner = self.runners.get(runner_id)
         if runner is None or runner.leaving:
             return None
         return self._leaving_notice(runner)
 
     def apply_notice(self, notice: RunnerNotice) -> None:
-        """Gossip about a runner."""
+        """Apply gossip about a runner."""
         self.notices[notice.runner_id] = notice
         runner = self.runners.get(notice.runner_id)
         if runner is not None and notice.incarnation >= runner.machine.incarnation:
             runner.leaving = notice.leaving
 
     def set_drained(self, names: frozenset[str]) -> None:
-        """Take the operators' drained runners."""
+        """Set the runners that operators drain."""
         self.drained = names
         for runner_id, runner in self.runners.items():
             runner.drained = runner_id in names
 
     def apply_report(self, runner_id: str, report: LoadReport, now_s: float) -> None:
-        """A load report arrived."""
+        """Record a load report."""
         runner = self.runners.get(runner_id)
         if runner is not None:
             runner.report = report
@@ -133,7 +133,7 @@
             runner.own_since_report = 0
 
     def begin_attempt(self, runner_id: str, program_id: str) -> None:
-        """An attempt is about to be sent."""
+        """Count an attempt that is about to be sent."""
         runner = self.runners.get(runner_id)
         if runner is not None:
             runner.own_in_flight += 1
@@ -141,14 +141,14 @@
         self.record_last_runner(program_id, runner_id)
 
     def record_last_runner(self, program_id: str, runner_id: str) -> None:
-        """The program's KV cache is likely at this runner."""
+        """Record that the program's KV cache is probably at this runner."""
         self.last_runner[program_id] = runner_id
         self.last_runner.move_to_end(program_id)
         if len(self.last_runner) > MAX_REMEMBERED_PROGRAMS:
             self.last_runner.popitem(last=False)
 
     def end_attempt(self, runner_id: str, succeeded: bool, now_s: float) -> None:
-        """An attempt is over; failures in a row open the circuit breaker."""
+        """Record the end of an attempt; consecutive failures open the circuit breaker."""
         runner = self.runners.get(runner_id)
         if runner is None:
             return
--- a/src/bendshed/routing/scheduler.py
+++ b/src/bendshed/routing/scheduler.py
@@ -1,8 +1,8 @@
-"""Decides which waiting call goes to which runner: one readable ``schedule`` step.
+"""Decides which waiting call goes to which runner, in one ``schedule`` step.
 
-Calls wait here and not in the engines. Urgent tenants go first; within a priority the program
-that has attained the least service goes first (least attained service, Nuyens 2008), so a long
-session does not delay a short alert, and waiting raises a call's priority so that none starves.
+Calls wait here and not in the engines. Urgent tenants go first; within a priority the program that
+has attained the least service goes first (least attained service, Nuyens 2008), so that a long
+session does not delay a short alert. Waiting raises a call's priority, so that none starves.
 """
 
 import asyncio
@@ -13,24 +13,24 @@
 from bendshed.routing.runners import Runner, RunnerTable
 
 MAX_WAITING = 10_000
-"""Calls that may wait on one node; more are refused at once."""
+"""Calls that may wait on one node; further ones are refused at once."""
 AGING_S_PER_PRIORITY = 10.0
-"""A call that has waited this long counts as one priority more urgent."""
+"""Waiting time, in seconds, that makes a call more urgent by one priority."""
 RECHECK_INTERVAL_S = 0.25
 KV_MOVE_COST_REQUESTS = 3.0
-"""Leaving the runner that holds the cache must save at least this many queued requests."""
+"""Queued requests that leaving the runner with the cache must save at least."""
 
 
 @dataclass(slots=True)
 class WaitingCall:
-    """A call whose turn has come and that needs a runner.
+    """A call that is ready to run and needs a runner.
 
     Attributes:
-        priority: 0 most urgent.
-        attained_tokens: tokens that its program has been served already.
-        history_tokens: tokens that a runner without the cache must compute again.
+        priority: 0 is the most urgent.
+        attained_tokens: tokens of service that its program has attained already.
+        history_tokens: tokens that a runner without the cache must prefill again.
         failed_runners: runners where an attempt of this call failed.
-        chosen: resolved with the runner id.
+        chosen: future that is resolved with the runner id.
 
     """
 
@@ -54,17 +54,17 @@
     """Chooses a runner for one call."""
 
     def choose(self, call: WaitingCall, candidates: list[Runner]) -> Runner | None:
-        """One of the candidates (they take work and serve the model), or ``None``: wait."""
+        """Choose one of the candidates, which accept work and serve the model; ``None``: wait."""
 
 
 class CacheAwarePolicy:
-    """Expected prefix hit against load, with two random choices against herding."""
+    """Weighs expected prefix cache hits against load; two random choices prevent herding."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
     def choose(self, call: WaitingCall, candidates: list[Runner]) -> Runner | None:
-        """Prefer the runner that holds the cache; ``None``: it is worth waiting for."""
+        """Prefer the runner that holds the cache; ``None``: wait for it, or for any free slot."""
         cache_holder = next(
             (r for r in candidates if r.machine.machine_id == call.last_runner), None
         )
@@ -78,14 +78,14 @@
         if cache_holder is not None and call.history_tokens > 0:
             queued = cache_holder.expected_load - cache_holder.slots + 1
             if queued < KV_MOVE_COST_REQUESTS:
-                return None  # worth waiting for the cache
+                return None  # the cache saves more than the wait costs
         return best
 
 
 class Scheduler:
     """Calls that wait for a runner on this node.
 
-    Invariant: a call is handed to a runner only while that runner takes work.
+    Invariant: a call is assigned to a runner only while that runner accepts work.
     """
 
     def __init__(self, table: RunnerTable, policy: PlacementPolicy) -> None:
@@ -94,7 +94,7 @@
         self._policy = policy
 
     def choose_now(self, call: WaitingCall) -> str:
-        """Runner id if one can take the call at once and no call waits; else empty."""
+        """Id of a runner that can take the call at once, if no call waits; else empty."""
         now_s = asyncio.get_running_loop().time()
         if self.waiting:
             return ""
@@ -106,14 +106,14 @@
         return len(self.waiting) < MAX_WAITING
 
     def serves(self, model: str) -> bool:
-        """Whether any runner that takes work serves the model."""
+        """Whether any runner that accepts work serves the model."""
         now_s = asyncio.get_running_loop().time()
         return any(
             r.machine.model == model and r.accepts_work(now_s) for r in self.table.runners.values()
         )
 
     async def acquire(self, call: WaitingCall, timeout_s: float) -> str:
-        """Wait for a runner; empty when none came in time."""
+        """Wait for a runner and return its id; empty: none was available in time."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + timeout_s
         self.waiting.append(call)
@@ -130,24 +130,24 @@
                 self.waiting.remove(call)
 
     def schedule(self) -> None:
-        """Give every waiting call that can run now its runner, most urgent first."""
+        """Assign a runner to every waiting call that can run now, most urgent first."""
         now_s = asyncio.get_running_loop().time()
         # 1. Most urgent first.
         by_urgency = sorted(self.waiting, key=lambda call: call.urgency(now_s))
         for call in by_urgency:
-            # 2. Runners that take work, serve the model and have not failed this call.
+            # 2. Runners that accept work, serve the model and have not failed this call.
             candidates = self._candidates(call, now_s)
-            # 3. The policy picks one of them, or lets the call wait.
+            # 3. The policy chooses one of them, or lets the call wait.
             runner = self._policy.choose(call, candidates)
             if runner is None:
                 continue
-            # 4. Count it at once, so that the next call sees the slot taken.
+            # 4. Count the call at once, so that the next one sees the slot taken.
             runner.own_since_report += 1
             self.waiting.remove(call)
             call.chosen.set_result(runner.machine.machine_id)
 
     def explain(self, call: WaitingCall) -> list[dict[str, object]]:
-        """The runners that fit a call and what speaks for and against each."""
+        """Candidate runners of a call, with what the policy compares."""
         return [
             {
                 "runner": runner.machine.machine_id,
