--- a/tests/test_cluster_load.py
+++ b/tests/test_cluster_load.py
@@ -1,4 +1,4 @@
-"""Placement by the load of all nodes: slots, kept prompts, speed, failures, connections."""
+"""Placement by the load of all nodes: slots, cached prompts, pace, failures, connections."""
 
 import random
 import unittest
--- a/tests/test_distance_placement.py
+++ b/tests/test_distance_placement.py
@@ -1,4 +1,4 @@
-"""Where work goes when distance counts: own region first, another one only for a clear gain."""
+"""Placement by distance: the own region first, another one only for a clear gain."""
 
 import random
 import unittest
@@ -33,7 +33,8 @@
 
 
 class RegionalPlacementTest(unittest.TestCase):
-    """Four runners in each of two regions, 60 ms of round trip apart; fronts of the east ask."""
+    """Four runners in each of two regions, 60 ms of round trip apart; requests come from the
+    east."""
 
     def setUp(self) -> None:
         self.build_load(LinkSettings())
@@ -171,7 +172,7 @@
 
 
 class NodeChoiceTest(unittest.TestCase):
-    """What a front chooses without placed."""
+    """Choices of a node for requests that the leader did not place."""
 
     def setUp(self) -> None:
         self.records = {name: RunnerRecord(runner(name)) for name in ZONES}
--- a/tests/test_peer_loads.py
+++ b/tests/test_peer_loads.py
@@ -1,4 +1,4 @@
-"""What leaders of different groups tell each other of runners."""
+"""Load of runners that leaders of different groups report to each other."""
 
 import random
 import unittest
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retry and give up: the rule by its table, and what callers are told."""
+"""Retry decisions, case by case, and the refusals that callers get."""
 
 import itertools
 import random
@@ -36,7 +36,7 @@
 def make_history(
     num_unanswered: int = 0, num_not_run: int = 0, num_admitted: int = 1
 ) -> AttemptHistory:
-    """Attempts that got no answer, and attempts that were proved not to run."""
+    """Attempts that got no answer, and attempts that provably did not run."""
     history = AttemptHistory(DEADLINE_S)
     for number in range(num_unanswered):
         history.record_choice(f"lost-{number}")
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Routes, splits, runners, placement, events: the decisions before a request is sent."""
+"""Routes, traffic splits, the runner table, a node's choice of a runner, event parsing."""
 
 import random
 import unittest
@@ -96,7 +96,7 @@
         self.assertEqual(self.eligible(UNLISTED_GRACE_S + 1), [])
 
     def test_a_runner_not_listed_after_the_store_returns_is_removed(self) -> None:
-        """Entries that lapsed with the store are back 2 s after its return, or gone."""
+        """Entries that expired with the store are listed again 2 s after its return, or removed."""
         self.table.remove("a", 10.0, trusted=False)
         self.table.remove("b", 10.0, trusted=False)
         self.assertEqual(self.eligible(12.0), ["a", "b"])
