--- a/src/bendshed/routing/scheduler.py
+++ b/src/bendshed/routing/scheduler.py
@@ -1,8 +1,8 @@
-"""Decides which waiting call goes to which runner: one readable ``schedule`` step.
+"""Decides which waiting call goes to which runner, in one ``schedule`` step.
 
-Calls wait here and not in the engines. Urgent tenants go first; within a priority the program
-that has attained the least service goes first (least attained service, Nuyens 2008), so a long
-session does not delay a short alert, and waiting raises a call's priority so that none starves.
+Calls wait here and not in the engines. Urgent tenants go first; within a priority the program that
+has attained the least service goes first (least attained service, Nuyens 2008), so that a long
+session does not delay a short alert. Waiting raises a call's priority, so that none starves.
 """
 
 import asyncio
@@ -13,24 +13,24 @@
 from bendshed.routing.runners import Runner, RunnerTable
 
 MAX_WAITING = 10_000
-"""Calls that may wait on one node; more are refused at once."""
+"""Calls that may wait on one node; further ones are refused at once."""
 AGING_S_PER_PRIORITY = 10.0
-"""A call that has waited this long counts as one priority more urgent."""
-RECHECK_S = 0.25
+"""Waiting time, in seconds, that makes a call more urgent by one priority."""
+RECHECK_INTERVAL_S = 0.25
 KV_MOVE_COST_REQUESTS = 3.0
-"""Leaving the runner that holds the cache must save at least this many queued requests."""
+"""Queued requests that leaving the runner with the cache must save at least."""
 
 
 @dataclass(slots=True)
 class WaitingCall:
-    """A call whose turn has come and that needs a runner.
+    """A call that is ready to run and needs a runner.
 
     Attributes:
-        priority: 0 most urgent.
-        attained_tokens: tokens that its program has been served already.
-        history_tokens: tokens that a runner without the cache must compute again.
-        avoid: runners where an attempt of this call failed.
-        chosen: resolved with the runner id.
+        priority: 0 is the most urgent.
+        attained_tokens: tokens of service that its program has attained already.
+        history_tokens: tokens that a runner without the cache must prefill again.
+        failed_runners: runners where an attempt of this call failed.
+        chosen: future that is resolved with the runner id.
 
     """
 
@@ -41,7 +41,7 @@
     history_tokens: int
     arrived_s: float
     last_runner: str
-    avoid: frozenset[str]
+    failed_runners: frozenset[str]
     chosen: "asyncio.Future[str]" = field(repr=False)
 
     def urgency(self, now_s: float) -> tuple[float, int, float]:
@@ -54,36 +54,38 @@
     """Chooses a runner for one call."""
 
     def choose(self, call: WaitingCall, candidates: list[Runner]) -> Runner | None:
-        """One of the candidates (they take work and serve the model), or ``None``: wait."""
+        """Choose one of the candidates, which accept work and serve the model; ``None``: wait."""
 
 
 class CacheAwarePolicy:
-    """Expected prefix hit against load, with two random choices against herding."""
+    """Weighs expected prefix cache hits against load; two random choices prevent herding."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
     def choose(self, call: WaitingCall, candidates: list[Runner]) -> Runner | None:
-        """Prefer the runner that holds the cache; ``None``: it is worth waiting for."""
-        home = next((r for r in candidates if r.machine.machine_id == call.last_runner), None)
+        """Prefer the runner that holds the cache; ``None``: wait for it, or for any free slot."""
+        cache_holder = next(
+            (r for r in candidates if r.machine.machine_id == call.last_runner), None
+        )
         free = [runner for runner in candidates if runner.has_free_slot()]
-        if home is not None and home.has_free_slot():
-            return home
+        if cache_holder is not None and cache_holder.has_free_slot():
+            return cache_holder
         if not free:
             return None
-        pair = self._rng.sample(free, min(2, len(free)))
-        best = min(pair, key=lambda runner: runner.expected_load / runner.slots)
-        if home is not None and call.history_tokens > 0:
-            queued = home.expected_load - home.slots + 1
+        sampled = self._rng.sample(free, min(2, len(free)))
+        best = min(sampled, key=lambda runner: runner.expected_load / runner.slots)
+        if cache_holder is not None and call.history_tokens > 0:
+            queued = cache_holder.expected_load - cache_holder.slots + 1
             if queued < KV_MOVE_COST_REQUESTS:
-                return None  # worth waiting for the cache
+                return None  # the cache saves more than the wait costs
         return best
 
 
 class Scheduler:
     """Calls that wait for a runner on this node.
 
-    Invariant: a call is handed to a runner only while that runner takes work.
+    Invariant: a call is assigned to a runner only while that runner accepts work.
     """
 
     def __init__(self, table: RunnerTable, policy: PlacementPolicy) -> None:
@@ -91,8 +93,8 @@
         self.waiting: list[WaitingCall] = []
         self._policy = policy
 
-    def try_now(self, call: WaitingCall) -> str:
-        """Runner id if one can take the call at once and no call waits; else empty."""
+    def choose_now(self, call: WaitingCall) -> str:
+        """Id of a runner that can take the call at once, if no call waits; else empty."""
         now_s = asyncio.get_running_loop().time()
         if self.waiting:
             return ""
@@ -104,48 +106,48 @@
         return len(self.waiting) < MAX_WAITING
 
     def serves(self, model: str) -> bool:
-        """Whether any runner that takes work serves the model."""
+        """Whether any runner that accepts work serves the model."""
         now_s = asyncio.get_running_loop().time()
         return any(
             r.machine.model == model and r.accepts_work(now_s) for r in self.table.runners.values()
         )
 
     async def acquire(self, call: WaitingCall, timeout_s: float) -> str:
-        """Wait for a runner; empty when none came in time."""
+        """Wait for a runner and return its id; empty: none was available in time."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout_s
+        deadline_s = loop.time() + timeout_s
         self.waiting.append(call)
         try:
             while not call.chosen.done():
                 self.schedule()
-                left_s = until - loop.time()
+                left_s = deadline_s - loop.time()
                 if call.chosen.done() or left_s <= 0:
                     break
-                await asyncio.wait([call.chosen], timeout=min(left_s, RECHECK_S))
+                await asyncio.wait([call.chosen], timeout=min(left_s, RECHECK_INTERVAL_S))
             return call.chosen.result() if call.chosen.done() else ""
         finally:
             if call in self.waiting:
                 self.waiting.remove(call)
 
     def schedule(self) -> None:
-        """Give every waiting call that can run now its runner, most urgent first."""
+        """Assign a runner to every waiting call that can run now, most urgent first."""
         now_s = asyncio.get_running_loop().time()
         # 1. Most urgent first.
-        ordered = sorted(self.waiting, key=lambda call: call.urgency(now_s))
-        for call in ordered:
-            # 2. Runners that take work, serve the model and have not failed this call.
+        by_urgency = sorted(self.waiting, key=lambda call: call.urgency(now_s))
+        for call in by_urgency:
+            # 2. Runners that accept work, serve the model and have not failed this call.
             candidates = self._candidates(call, now_s)
-            # 3. The policy picks one of them, or lets the call wait.
+            # 3. The policy chooses one of them, or lets the call wait.
             runner = self._policy.choose(call, candidates)
             if runner is None:
                 continue
-            # 4. Count it at once, so that the next call sees the slot taken.
+            # 4. Count the call at once, so that the next one sees the slot taken.
             runner.own_since_report += 1
             self.waiting.remove(call)
             call.chosen.set_result(runner.machine.machine_id)
 
     def explain(self, call: WaitingCall) -> list[dict[str, object]]:
-        """The runners that fit a call and what speaks for and against each."""
+        """Candidate runners of a call, with what the policy compares."""
         return [
             {
                 "runner": runner.machine.machine_id,
@@ -158,10 +160,10 @@
         ]
 
     def _candidates(self, call: WaitingCall, now_s: float) -> list[Runner]:
-        fitting = [
+        serving = [
             runner
             for runner in self.table.runners.values()
             if runner.machine.model == call.model and runner.accepts_work(now_s)
         ]
-        untried = [r for r in fitting if r.machine.machine_id not in call.avoid]
-        return untried or fitting
+        untried = [r for r in serving if r.machine.machine_id not in call.failed_runners]
+        return untried or serving
