--- a/src/bendshed/turns/client.py
+++ b/src/bendshed/turns/client.py
@@ -17,7 +17,7 @@
     RUNNER_METHOD,
     TURN_GROUP,
     TURN_METHOD,
-    Owned,
+    TenantScopedId,
 )
 from bendshed.wire import turns_pb2 as wire
 
@@ -219,16 +219,16 @@
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
         self._num_bytes = 0
-        self._entries: OrderedDict[Owned, bytes] = OrderedDict()
+        self._entries: OrderedDict[TenantScopedId, bytes] = OrderedDict()
 
-    def get(self, turn: Owned) -> bytes | None:
+    def get(self, turn: TenantScopedId) -> bytes | None:
         """Return the transcript up to and with a turn, if cached."""
         found = self._entries.get(turn)
         if found is not None:
             self._entries.move_to_end(turn)
         return found
 
-    def put(self, turn: Owned, transcript: bytes) -> None:
+    def put(self, turn: TenantScopedId, transcript: bytes) -> None:
         """Cache a transcript."""
         old = self._entries.pop(turn, b"")
         self._entries[turn] = transcript
--- a/src/bendshed/turns/group_locator.py
+++ b/src/bendshed/turns/group_locator.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
-from bendshed.turns.methods import Owned
+from bendshed.turns.methods import TenantScopedId
 
 MAX_KNOWN = 4096
 """Programs, and turns, that are remembered away from the home group; some 300 bytes each."""
@@ -26,8 +26,8 @@
 
     groups: TurnGroups = ONE_GROUP
     home: int = 0
-    _programs: "OrderedDict[Owned, int]" = field(default_factory=OrderedDict)
-    _turns: "OrderedDict[Owned, int]" = field(default_factory=OrderedDict)
+    _programs: "OrderedDict[TenantScopedId, int]" = field(default_factory=OrderedDict)
+    _turns: "OrderedDict[TenantScopedId, int]" = field(default_factory=OrderedDict)
 
     def num_groups(self, tenant: str) -> int:
         """Groups that share a program's budget; all of a tenant's is in one."""
@@ -54,11 +54,13 @@
         """A group has stored a turn."""
         self._note(self._turns, (tenant, turn_id), group)
 
-    def _note(self, known: "OrderedDict[Owned, int]", owned: Owned, group: int) -> None:
+    def _note(
+        self, known: "OrderedDict[TenantScopedId, int]", scoped_id: TenantScopedId, group: int
+    ) -> None:
         """Remember what is away from home; the least recently noted is forgotten first."""
-        known.pop(owned, None)
-        if owned[0] or group == self.home:
+        known.pop(scoped_id, None)
+        if scoped_id[0] or group == self.home:
             return
-        known[owned] = group
+        known[scoped_id] = group
         if len(known) > MAX_KNOWN:
             known.popitem(last=False)
--- a/src/bendshed/turns/methods.py
+++ b/src/bendshed/turns/methods.py
@@ -11,5 +11,5 @@
 TURN_GROUP = 0
 """The first group of the turn log: the only one where operators declare no regions."""
 
-Owned = tuple[str, str]
+TenantScopedId = tuple[str, str]
 """A tenant's name (empty: none) and an id of a program or turn: tenants never share an entry."""
--- a/src/bendshed/turns/quota_counting.py
+++ b/src/bendshed/turns/quota_counting.py
@@ -53,7 +53,7 @@
         if limit is None or state.is_reserved(begin):
             return None
         self._ledger.begin_term(term)
-        rank = Rank.TURN if state.is_under_way(begin) else Rank.NEW_PROGRAM
+        rank = Rank.TURN if state.is_program_started(begin) else Rank.NEW_PROGRAM
         request = QuotaRequest(begin.turn_id, begin.tenant, begin.program_id, rank, chain)
         if begin.has_left:
             self._ledger.count_dispatched(request, now_ms)
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -162,7 +162,7 @@
             reply = await group.commit(command, answer_by_s)
             if _must_gather(command, reply):
                 apply_verdict(reply, gathered.judge(command.begin, reply))
-        if reply.answer == wire.TURN_ANSWER_GRANTED and state.wants_shares(command.begin):
+        if reply.answer == wire.TURN_ANSWER_GRANTED and state.needs_other_shares(command.begin):
             self.shares.gather_later(command.group, command.begin)
         return reply
 
@@ -244,8 +244,8 @@
     ) -> wire.TurnReply:
         """Add the runner of a turn that may run to its reply."""
         begin = preview.begin
-        ran_at = state.runner_of(begin.tenant, begin.program_id)
-        is_new = not state.is_under_way(begin)
+        ran_at = state.latest_runner_id(begin.tenant, begin.program_id)
+        is_new = not state.is_program_started(begin)
         has_cold = self._placement.cold.tracker.has_cold
         now_s = self._look() if has_cold else asyncio.get_running_loop().time()
         placement = self._placement.place_turn(preview, ran_at, is_new, now_s)
--- a/src/bendshed/turns/state.py
+++ b/src/bendshed/turns/state.py
@@ -8,7 +8,7 @@
 
 from bendshed.admission.program_budget import ProgramBudget
 from bendshed.admission.quota_usage import UsageWindows
-from bendshed.turns.methods import Owned
+from bendshed.turns.methods import TenantScopedId
 from bendshed.turns.stored_turn import StoredTurn
 from bendshed.wire import turns_pb2 as wire
 
@@ -20,12 +20,12 @@
 """A program that has released its share here is stored this many times as long as others. The group
 that took the share requests it again while the program runs; a group that had forgotten the release
 would give the same tokens twice."""
-SWEEP_INTERVAL_MS = 1_000
+EXPIRY_SWEEP_INTERVAL_MS = 1_000
 """Expired turns and programs are removed once in this time of the log's clock."""
-PREVIEW_TURNS = 4
+PREVIEW_MIN_TURNS = 4
 """A begin is previewed as granted when the budget holds this many turns like it, so that turns of
 the same program that begin at once can hardly use it up."""
-GATHER_TURNS = 6
+COLLECT_SHARES_BELOW_TURNS = 6
 """The other groups' shares are requested when this group's holds fewer turns like the last one:
 before previews end, and never for a program of few turns."""
 
@@ -40,8 +40,8 @@
     def __init__(self, group_id: int = 0) -> None:
         self.group_id = group_id
         self.clock_ms = 0
-        self.turns: dict[Owned, StoredTurn] = {}
-        self.programs: dict[Owned, ProgramBudget] = {}
+        self.turns: dict[TenantScopedId, StoredTurn] = {}
+        self.programs: dict[TenantScopedId, ProgramBudget] = {}
         self.usage = UsageWindows()
 
     # --- replication ---------------------------------------------------------------------
@@ -49,9 +49,9 @@
     def apply(self, data: bytes) -> wire.TurnReply:
         """Apply one committed command."""
         command = wire.TurnCommand.FromString(data)
-        before_ms = self.clock_ms
-        self.clock_ms = max(before_ms, command.elapsed_ms)
-        if before_ms // SWEEP_INTERVAL_MS != self.clock_ms // SWEEP_INTERVAL_MS:
+        previous_ms = self.clock_ms
+        self.clock_ms = max(previous_ms, command.elapsed_ms)
+        if previous_ms // EXPIRY_SWEEP_INTERVAL_MS != self.clock_ms // EXPIRY_SWEEP_INTERVAL_MS:
             self._sweep()
         if command.HasField("spent"):
             self.usage.take_report(command.spent.node, command.spent.spent, self.clock_ms)
@@ -101,47 +101,47 @@
     # --- begin ---------------------------------------------------------------------------
 
     def _begin(self, begin: wire.BeginTurn) -> wire.TurnReply:
-        if self._is_unknown(begin):
+        if self._is_previous_turn_missing(begin):
             return wire.TurnReply(answer=wire.TURN_ANSWER_UNKNOWN_TURN)
-        program = self._program((begin.tenant, begin.program_id), begin.retention_ms)
+        program = self._get_or_create_program((begin.tenant, begin.program_id), begin.retention_ms)
         if begin.turn_id in program.closed:
             return wire.TurnReply(answer=wire.TURN_ANSWER_CLOSED)
         if begin.turn_id not in program.reserved:
             if not self._reserve(program, begin):
-                return self._short(program, begin)
+                return self._insufficient_share_reply(program, begin)
             if begin.tenant:
                 self.usage.charge(begin.tenant, self.clock_ms, 1)
         program.note_granted(begin)
         reply = self._reply(wire.TURN_ANSWER_GRANTED, program)
-        self._add_chain(reply, begin)
+        self._add_uncached_chain(reply, begin)
         return reply
 
     def preview(self, begin: wire.BeginTurn) -> wire.TurnReply:
         """What a begin would be answered, with its chain; changes nothing.
 
-        ``GRANTED`` only where the budget holds ``PREVIEW_TURNS``. The requesting node takes any
+        ``GRANTED`` only where the budget holds ``PREVIEW_MIN_TURNS``. The requesting node takes any
         other answer from the commit.
         """
-        if self._is_unknown(begin):
+        if self._is_previous_turn_missing(begin):
             return wire.TurnReply(answer=wire.TURN_ANSWER_UNKNOWN_TURN)
         program = self.programs.get((begin.tenant, begin.program_id), ProgramBudget())
-        if not program.surely_holds(begin, self.group_id, PREVIEW_TURNS):
+        if not program.surely_holds(begin, self.group_id, PREVIEW_MIN_TURNS):
             return self._reply(wire.TURN_ANSWER_BUDGET_SPENT, program)
         reply = self._reply(wire.TURN_ANSWER_GRANTED, program)
-        self._add_chain(reply, begin)
+        self._add_uncached_chain(reply, begin)
         return reply
 
-    def _is_unknown(self, begin: wire.BeginTurn) -> bool:
+    def _is_previous_turn_missing(self, begin: wire.BeginTurn) -> bool:
         """Whether the turn continues one that is not stored for its tenant."""
         previous = begin.previous_turn
         return bool(previous) and (begin.tenant, previous) not in self.turns
 
-    def runner_of(self, tenant: str, program_id: str) -> str:
+    def latest_runner_id(self, tenant: str, program_id: str) -> str:
         """Runner of a program's latest turn; empty: unknown."""
         program = self.programs.get((tenant, program_id))
         return program.runner_id if program is not None else ""
 
-    def is_under_way(self, begin: wire.BeginTurn) -> bool:
+    def is_program_started(self, begin: wire.BeginTurn) -> bool:
         """Whether the turn's program has begun: its next turns come before new programs."""
         has_begun = (begin.tenant, begin.program_id) in self.programs
         return has_begun or bool(begin.previous_turn)
@@ -151,7 +151,7 @@
         program = self.programs.get((begin.tenant, begin.program_id))
         return program is not None and begin.turn_id in program.reserved
 
-    def _add_chain(self, reply: wire.TurnReply, begin: wire.BeginTurn) -> None:
+    def _add_uncached_chain(self, reply: wire.TurnReply, begin: wire.BeginTurn) -> None:
         """Add what the requesting node has not cached of the chain."""
         if begin.previous_turn and begin.held_turn == begin.previous_turn:
             reply.held_turn = begin.held_turn
@@ -161,7 +161,9 @@
     def _reserve(self, program: ProgramBudget, begin: wire.BeginTurn) -> bool:
         return program.reserve(begin, self.group_id)
 
-    def _short(self, program: ProgramBudget, begin: wire.BeginTurn) -> wire.TurnReply:
+    def _insufficient_share_reply(
+        self, program: ProgramBudget, begin: wire.BeginTurn
+    ) -> wire.TurnReply:
         """Answer a turn that this group's share does not hold: whether the whole budget does.
 
         ``OTHER_GROUP`` names the group that should take the turn. It is this one, which must take
@@ -172,11 +174,11 @@
             return self._reply(wire.TURN_ANSWER_BUDGET_SPENT, program)
         reply = self._reply(wire.TURN_ANSWER_OTHER_GROUP, program)
         receiver = program.main_receiver()
-        stays = begin.is_sent_on or bool(begin.previous_turn) or receiver is None
-        reply.owner_group = self.group_id if stays or receiver is None else receiver
+        stays_here = begin.is_sent_on or bool(begin.previous_turn) or receiver is None
+        reply.owner_group = self.group_id if stays_here or receiver is None else receiver
         return reply
 
-    def wants_shares(self, begin: wire.BeginTurn) -> bool:
+    def needs_other_shares(self, begin: wire.BeginTurn) -> bool:
         """Whether to request the other groups' shares of a granted turn's budget.
 
         First when this group's share runs low, then once in the time for which a program is stored,
@@ -188,15 +190,17 @@
         if program is None:
             return False
         if not program.shares_taken_ms:
-            return not program.holds(begin, self.group_id, GATHER_TURNS)
-        return self.clock_ms - program.shares_taken_ms > _stored_ms(begin.retention_ms)
+            return not program.holds(begin, self.group_id, COLLECT_SHARES_BELOW_TURNS)
+        return self.clock_ms - program.shares_taken_ms > _program_retention_ms(begin.retention_ms)
 
     # --- shares of several groups --------------------------------------------------------
 
     def _release(self, request: wire.ReleaseShare) -> wire.TurnReply:
         """Give up what the group holds of a budget and does not need, for good."""
-        owned = (request.tenant, request.program_id)
-        program = self._program(owned, request.retention_ms, RELEASED_RETENTION_FACTOR)
+        scoped_id = (request.tenant, request.program_id)
+        program = self._get_or_create_program(
+            scoped_id, request.retention_ms, RELEASED_RETENTION_FACTOR
+        )
         reply = self._reply(wire.TURN_ANSWER_GRANTED, program)
         if request.to_group != self.group_id:
             reply.released_tokens = program.release(request, self.group_id)
@@ -204,7 +208,7 @@
 
     def _take(self, share: wire.TakeShare) -> wire.TurnReply:
         """Count what another group has given up."""
-        program = self._program((share.tenant, share.program_id), share.retention_ms)
+        program = self._get_or_create_program((share.tenant, share.program_id), share.retention_ms)
         program.take(share)
         program.shares_taken_ms = max(1, self.clock_ms)
         return self._reply(wire.TURN_ANSWER_GRANTED, program)
@@ -230,7 +234,9 @@
     # --- finish --------------------------------------------------------------------------
 
     def _finish(self, finish: wire.FinishTurn) -> wire.TurnReply:
-        program = self._program((finish.tenant, finish.program_id), finish.retention_ms)
+        program = self._get_or_create_program(
+            (finish.tenant, finish.program_id), finish.retention_ms
+        )
         if finish.turn_id in program.closed:
             return self._reply(wire.TURN_ANSWER_CLOSED, program)
         if finish.tenant and finish.was_sent and finish.turn_id not in program.reserved:
@@ -240,28 +246,30 @@
         if finish.outcome != wire.TURN_OUTCOME_NOTHING_HANDED_ON:
             program.spent_tokens += finish.tokens
         if finish.outcome == wire.TURN_OUTCOME_WHOLE and finish.keep:
-            self._keep(finish)
+            self._store_turn(finish)
         return self._reply(wire.TURN_ANSWER_GRANTED, program)
 
-    def _keep(self, finish: wire.FinishTurn) -> None:
+    def _store_turn(self, finish: wire.FinishTurn) -> None:
         """Store the turn, and its chain for at least as long."""
         expires_ms = self.clock_ms + finish.retention_ms
         self.turns[finish.tenant, finish.turn_id] = StoredTurn(
             finish.previous_turn, finish.input + finish.output, expires_ms
         )
-        earlier = self.turns.get((finish.tenant, finish.previous_turn))
-        while earlier is not None and earlier.expires_ms < expires_ms:
-            earlier.expires_ms = expires_ms
-            earlier = self.turns.get((finish.tenant, earlier.previous_turn))
+        ancestor = self.turns.get((finish.tenant, finish.previous_turn))
+        while ancestor is not None and ancestor.expires_ms < expires_ms:
+            ancestor.expires_ms = expires_ms
+            ancestor = self.turns.get((finish.tenant, ancestor.previous_turn))
 
     # --- retention -----------------------------------------------------------------------
 
-    def _program(self, owned: Owned, retention_ms: int, factor: int = 1) -> ProgramBudget:
-        program = self.programs.get(owned)
+    def _get_or_create_program(
+        self, scoped_id: TenantScopedId, retention_ms: int, factor: int = 1
+    ) -> ProgramBudget:
+        program = self.programs.get(scoped_id)
         if program is None:
             program = ProgramBudget()
-            self.programs[owned] = program
-        stored_ms = factor * _stored_ms(retention_ms)
+            self.programs[scoped_id] = program
+        stored_ms = factor * _program_retention_ms(retention_ms)
         program.expires_ms = max(program.expires_ms, self.clock_ms + stored_ms)
         return program
 
@@ -279,6 +287,6 @@
         self.usage.sweep(now_ms)
 
 
-def _stored_ms(retention_ms: int) -> int:
+def _program_retention_ms(retention_ms: int) -> int:
     """How long a program's budget is stored beyond its latest turn."""
     return max(MIN_PROGRAM_RETENTION_MS, PROGRAM_RETENTION_FACTOR * retention_ms)
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -333,7 +333,7 @@
         patch(TurnLogState, "_reserve", lambda _state, _program, _begin: True),
     ),
     "a turn's end is not kept": Defect(
-        Rule.FOUND, calm, patch(TurnLogState, "_keep", lambda self, finish: None)
+        Rule.FOUND, calm, patch(TurnLogState, "_store_turn", lambda self, finish: None)
     ),
     "one replica is a majority": Defect(
         Rule.FOUND, leaders_lose_their_disks, patch(RaftReplica, "_quorum", property(lambda _s: 1))
--- a/tests/test_budget_shares.py
+++ b/tests/test_budget_shares.py
@@ -157,15 +157,15 @@
         groups = Groups()
         begin = groups.wanted("a", most=10)
         groups.begin(0, "a", most=10)
-        self.assertFalse(groups.states[0].wants_shares(begin))
+        self.assertFalse(groups.states[0].needs_other_shares(begin))
         groups.begin(0, "b", most=260)
-        self.assertTrue(groups.states[0].wants_shares(begin))
+        self.assertTrue(groups.states[0].needs_other_shares(begin))
         groups.move(1)
-        self.assertFalse(groups.states[0].wants_shares(begin))
+        self.assertFalse(groups.states[0].needs_other_shares(begin))
         for turn in ("c", "d"):
             groups.now_ms += 2 * MIN_PROGRAM_RETENTION_MS // 3
             groups.begin(0, turn, most=10)
-        self.assertTrue(groups.states[0].wants_shares(begin))
+        self.assertTrue(groups.states[0].needs_other_shares(begin))
 
     def test_who_released_remembers_it_longer_than_who_took_it_may_stay_silent(self) -> None:
         groups = Groups()
--- a/tests/test_closings.py
+++ b/tests/test_closings.py
@@ -55,7 +55,7 @@
             self.assertIn(ClosingRule.SERVICE.value, self.rules())
 
     def test_turns_that_are_not_kept_are_caught(self) -> None:
-        with mock.patch.object(TurnLogState, "_keep", lambda _state, _finish: None):
+        with mock.patch.object(TurnLogState, "_store_turn", lambda _state, _finish: None):
             self.assertIn(ClosingRule.STORED.value, self.rules())
 
 
--- a/tests/test_turn_state.py
+++ b/tests/test_turn_state.py
@@ -248,7 +248,9 @@
             finish = wire.FinishTurn(program_id="p", turn_id=turn, runner_id=runner)
             log.apply(finish=finish)
         copy.state.restore(log.state.snapshot())
-        self.assertEqual((copy.state.runner_of("", "p"), copy.state.runner_of("", "q")), ("b", ""))
+        self.assertEqual(
+            (copy.state.latest_runner_id("", "p"), copy.state.latest_runner_id("", "q")), ("b", "")
+        )
 
     def test_a_snapshot_without_tenants_opens(self) -> None:
         """What an earlier version of the program wrote: no tenant anywhere, no usage."""
