--- a/src/bendshed/services/group_search.py
+++ b/src/bendshed/services/group_search.py
@@ -45,7 +45,7 @@
             gathered = await self.shares.gather(self.group, self.begin)
             reply = await self._commit(self.group)
             if reply is not None and _is_short(reply):
-                apply_verdict(reply, gathered.judge(self.begin, reply))
+                apply_verdict(reply, gathered.classify_shortage(self.begin, reply))
         return reply
 
     async def _find_chain(self, reply: Reply) -> Reply:
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -161,7 +161,7 @@
             gathered = await self.shares.gather(command.group, command.begin)
             reply = await group.commit(command, answer_by_s)
             if _must_gather(command, reply):
-                apply_verdict(reply, gathered.judge(command.begin, reply))
+                apply_verdict(reply, gathered.classify_shortage(command.begin, reply))
         if reply.answer == wire.TURN_ANSWER_GRANTED and state.needs_other_shares(command.begin):
             self.shares.gather_later(command.group, command.begin)
         return reply
--- a/src/bendshed/turns/shares.py
+++ b/src/bendshed/turns/shares.py
@@ -14,10 +14,10 @@
 from bendshed.turns.codec import budget_use_of
 from bendshed.wire import turns_pb2 as wire
 
-Program = tuple[int, str, str]
+GatherKey = tuple[int, str, str]
 """Group that takes, tenant, program."""
 
-Send = Callable[[int, wire.TurnCommand], Awaitable[wire.TurnReply | None]]
+SendCommand = Callable[[int, wire.TurnCommand], Awaitable[wire.TurnReply | None]]
 """Commits a command in a group wherever it is led; ``None``: not known to be committed."""
 
 log = PartLog("turns")
@@ -28,23 +28,23 @@
     """What the other groups said of a program's budget when their shares were taken over.
 
     Attributes:
-        has_all: each of them answered.
-        elsewhere: what is used in those that answered.
+        is_complete: each of them answered.
+        use_elsewhere: what is used in those that answered.
 
     """
 
-    has_all: bool
-    elsewhere: BudgetUse
+    is_complete: bool
+    use_elsewhere: BudgetUse
 
-    def judge(self, begin: wire.BeginTurn, reply: wire.TurnReply) -> Verdict:
+    def classify_shortage(self, begin: wire.BeginTurn, reply: wire.TurnReply) -> Verdict:
         """Why this group's share is short of a turn, by what all groups together use.
 
         ``HELD``: by none of them. Tokens that groups take from each other at once are on their way,
         and for a moment no group holds them; a group that is silent may hold them too.
         """
-        if not self.has_all:
+        if not self.is_complete:
             return Verdict.HELD
-        used = budget_use_of(reply) + self.elsewhere
+        used = budget_use_of(reply) + self.use_elsewhere
         return used.judge(begin.most_tokens, begin.budget_tokens)
 
 
@@ -56,33 +56,35 @@
 
     """
 
-    def __init__(self, groups: TurnGroups, send: Send) -> None:
+    def __init__(self, groups: TurnGroups, send: SendCommand) -> None:
         self.num_taken = 0
         self._groups = groups
         self._send = send
-        self._under_way: dict[Program, asyncio.Task[GatheredShares]] = {}
+        self._gather_tasks: dict[GatherKey, asyncio.Task[GatheredShares]] = {}
 
     def gather_later(self, group_id: int, begin: wire.BeginTurn) -> None:
         """Gather in the background."""
-        self._gathering(group_id, begin)
+        self._gather_task(group_id, begin)
 
     async def gather(self, group_id: int, begin: wire.BeginTurn) -> GatheredShares:
         """Wait until what the others released counts here."""
-        return await asyncio.shield(self._gathering(group_id, begin))
+        return await asyncio.shield(self._gather_task(group_id, begin))
 
-    def _gathering(self, group_id: int, begin: wire.BeginTurn) -> "asyncio.Task[GatheredShares]":
+    def _gather_task(self, group_id: int, begin: wire.BeginTurn) -> "asyncio.Task[GatheredShares]":
         program = (group_id, begin.tenant, begin.program_id)
-        task = self._under_way.get(program)
+        task = self._gather_tasks.get(program)
         if task is None:
             work = self._gather(group_id, begin)
             task = asyncio.get_running_loop().create_task(work, name="shares")
-            self._under_way[program] = task
-            task.add_done_callback(lambda _done: self._under_way.pop(program, None))
+            self._gather_tasks[program] = task
+            task.add_done_callback(lambda _done: self._gather_tasks.pop(program, None))
         return task
 
     async def _gather(self, group_id: int, begin: wire.BeginTurn) -> GatheredShares:
         others = self._groups.others(group_id)
-        replies = await asyncio.gather(*(self._take(group_id, other, begin) for other in others))
+        replies = await asyncio.gather(
+            *(self._transfer_share(group_id, other, begin) for other in others)
+        )
         answered = [reply for reply in replies if reply is not None]
         log.say(
             "budget shares of other groups taken over",
@@ -92,10 +94,10 @@
             tokens=sum(reply.released_tokens for reply in answered),
             silent=[other for other, reply in zip(others, replies, strict=True) if reply is None],
         )
-        elsewhere = sum((budget_use_of(reply) for reply in answered), BudgetUse())
-        return GatheredShares(len(answered) == len(replies), elsewhere)
+        use_elsewhere = sum((budget_use_of(reply) for reply in answered), BudgetUse())
+        return GatheredShares(len(answered) == len(replies), use_elsewhere)
 
-    async def _take(
+    async def _transfer_share(
         self, group_id: int, other: int, begin: wire.BeginTurn
     ) -> wire.TurnReply | None:
         """Take over what another group has released; return its reply once that counts here."""
--- a/tests/test_budget_use.py
+++ b/tests/test_budget_use.py
@@ -39,7 +39,7 @@
     def judge(self, here: BudgetUse, elsewhere: BudgetUse, has_all: bool = True) -> Verdict:
         begin = wire.BeginTurn(most_tokens=MOST, budget_tokens=BUDGET)
         reply = wire.TurnReply(spent_tokens=here.spent_tokens, reserved_tokens=here.reserved_tokens)
-        return GatheredShares(has_all, elsewhere).judge(begin, reply)
+        return GatheredShares(has_all, elsewhere).classify_shortage(begin, reply)
 
     def test_what_is_spent_in_all_groups_counts(self) -> None:
         self.assertEqual(self.judge(BudgetUse(11, 0), BudgetUse(10, 0)), Verdict.SPENT)
