--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -21,7 +21,7 @@
     NoRoom,
     NoRunner,
     PermitDecision,
-    PermitGiven,
+    PermitGranted,
     decode_permit_decision,
 )
 from bendshed.wire import turns_pb2 as wire
@@ -108,7 +108,7 @@
                 ErrorKind.TURN_LOG_UNAVAILABLE, "all runners are cold, and nobody permits a sending"
             )
         match decision:
-            case PermitGiven():
+            case PermitGranted():
                 self._count(PermitEnd.PERMITTED)
                 expiry = TimedPermit(requested_s + decision.valid_ms / 1000)
                 return Permit(decision.runner_id, expiry)
--- a/src/bendshed/turns/codec.py
+++ b/src/bendshed/turns/codec.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PermitGiven:
+class PermitGranted:
     """One dispatch to a runner, within ``valid_ms`` of the request for it."""
 
     runner_id: str
@@ -76,7 +76,7 @@
     """The leader knows no eligible runner."""
 
 
-PermitDecision = PermitGiven | NoRoom | NoRunner
+PermitDecision = PermitGranted | NoRoom | NoRunner
 
 
 def encode_call_request(request: CallRequest) -> wire.QuotaAsk:
@@ -129,7 +129,7 @@
         return NoRoom(reply.retry_after_ms)
     if not reply.runner_id:
         return NoRunner()
-    return PermitGiven(reply.runner_id, reply.permit_ms)
+    return PermitGranted(reply.runner_id, reply.permit_ms)
 
 
 def quota_exceeded_reply(retry_after_ms: int) -> wire.TurnReply:
--- a/src/bendshed/turns/group_locator.py
+++ b/src/bendshed/turns/group_locator.py
@@ -10,7 +10,7 @@
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.turns.methods import TenantScopedId
 
-MAX_KNOWN = 4096
+MAX_REMEMBERED_ENTRIES = 4096
 """Programs, and turns, that are remembered away from the home group; some 300 bytes each."""
 
 
@@ -62,5 +62,5 @@
         if scoped_id[0] or group == self.home:
             return
         known[scoped_id] = group
-        if len(known) > MAX_KNOWN:
+        if len(known) > MAX_REMEMBERED_ENTRIES:
             known.popitem(last=False)
