--- a/src/bendshed/turns/led_group.py
+++ b/src/bendshed/turns/led_group.py
@@ -20,7 +20,7 @@
 from bendshed.turns.quota_counting import QuotaCounting
 from bendshed.turns.refused_begins import RefusedBegins
 from bendshed.turns.state import TurnLogState
-from bendshed.turns.unanswered_begins import ProposedBegins, UnansweredBegins, turn_of
+from bendshed.turns.unanswered_begins import ProposedBegins, UnansweredBegins, turn_key
 from bendshed.wire import turns_pb2 as wire
 
 COMMIT_TIMEOUT_S = 1.0
@@ -134,7 +134,7 @@
             if asyncio.get_running_loop().time() > answer_by_s:
                 raise CommitUnknown(f"group {self.group_id}: committed after its front gave up")
         except CommitUnknown as error:
-            self.unanswered.note(begin, error.index)
+            self.unanswered.record(begin, error.index)
             raise
         finally:
             self._begins.settle(begin)
@@ -148,7 +148,9 @@
         assert isinstance(group.state, TurnLogState)
         applied_index = group.replica.applied_index
         now_s = asyncio.get_running_loop().time()
-        return self.unanswered.due(group.state, lambda index: index <= applied_index, now_s)
+        return self.unanswered.due_withdrawals(
+            group.state, lambda index: index <= applied_index, now_s
+        )
 
     async def withdraw(self, request: wire.WithdrawBegin) -> wire.TurnReply:
         """Release a turn's reservation if no begin of the turn was answered.
@@ -156,7 +158,7 @@
         Raise ``NotLeader``, ``NotCommitted`` or ``CommitUnknown``.
         """
         state, term = self.led()
-        turn = turn_of(request)
+        turn = turn_key(request)
         self._begins.withdraw(request, term)
         if not self._begins.can_release(turn, state):
             return wire.TurnReply()
--- a/src/bendshed/turns/refused_begins.py
+++ b/src/bendshed/turns/refused_begins.py
@@ -7,14 +7,14 @@
 
 from collections import OrderedDict
 
-from bendshed.turns.unanswered_begins import Turn, turn_of
+from bendshed.turns.unanswered_begins import TurnKey, turn_key
 from bendshed.wire import turns_pb2 as wire
 
-REMEMBERED_S = 10.0
+REFUSAL_TTL_S = 10.0
 """A relay or a connection that stands still may hold a copy for some seconds."""
-MAX_REMEMBERED = 10_000
+MAX_REFUSALS = 10_000
 """Refusals remembered, some 300 bytes each; the oldest is forgotten first."""
-FINAL = (
+FINAL_REFUSALS = (
     wire.TURN_ANSWER_UNKNOWN_TURN,
     wire.TURN_ANSWER_BUDGET_SPENT,
     wire.TURN_ANSWER_BUDGET_RESERVED,
@@ -25,19 +25,19 @@
 
 
 class RefusedBegins:
-    """Refusals that were answered within ``REMEMBERED_S``."""
+    """Refusals that were answered within ``REFUSAL_TTL_S``."""
 
     def __init__(self, group_id: int) -> None:
         self._group_id = group_id
-        self._refusals: OrderedDict[Turn, tuple[float, wire.TurnReply]] = OrderedDict()
+        self._refusals: OrderedDict[TurnKey, tuple[float, wire.TurnReply]] = OrderedDict()
 
-    def note(self, begin: wire.BeginTurn, reply: wire.TurnReply, now_s: float) -> None:
+    def record(self, begin: wire.BeginTurn, reply: wire.TurnReply, now_s: float) -> None:
         """Remember an answer that refuses a begin for good."""
         if not self._is_final(reply):
             return
-        self._refusals[turn_of(begin)] = (now_s, reply)
-        self._refusals.move_to_end(turn_of(begin))
-        if len(self._refusals) > MAX_REMEMBERED:
+        self._refusals[turn_key(begin)] = (now_s, reply)
+        self._refusals.move_to_end(turn_key(begin))
+        if len(self._refusals) > MAX_REFUSALS:
             self._refusals.popitem(last=False)
 
     def find(self, begin: wire.BeginTurn, now_s: float) -> wire.TurnReply | None:
@@ -45,11 +45,13 @@
 
         A turn that went to a runner meanwhile is decided on again, so that it is counted.
         """
-        refused_s, reply = self._refusals.get(turn_of(begin), (-REMEMBERED_S, None))
-        is_recent = now_s - refused_s < REMEMBERED_S
+        refused_s, reply = self._refusals.get(turn_key(begin), (-REFUSAL_TTL_S, None))
+        is_recent = now_s - refused_s < REFUSAL_TTL_S
         return reply if is_recent and not begin.has_left else None
 
     def _is_final(self, reply: wire.TurnReply) -> bool:
         """Whether the requesting node does not begin the turn in this group again."""
-        goes_elsewhere = reply.answer == wire.TURN_ANSWER_OTHER_GROUP
-        return reply.answer in FINAL or (goes_elsewhere and reply.owner_group != self._group_id)
+        is_other_group = reply.answer == wire.TURN_ANSWER_OTHER_GROUP
+        return reply.answer in FINAL_REFUSALS or (
+            is_other_group and reply.owner_group != self._group_id
+        )
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -139,7 +139,7 @@
         if refused is not None:
             return refused
         reply = await self._commit_begin(group, command, answer_by_s)
-        group.refused.note(begin, reply, asyncio.get_running_loop().time())
+        group.refused.record(begin, reply, asyncio.get_running_loop().time())
         return reply
 
     async def _commit_begin(
--- a/src/bendshed/turns/unanswered_begins.py
+++ b/src/bendshed/turns/unanswered_begins.py
@@ -15,27 +15,27 @@
 from bendshed.turns.state import TurnLogState
 from bendshed.wire import turns_pb2 as wire
 
-END_EXPECTED_S = 1.0
+FIRST_WITHDRAWAL_DELAY_S = 1.0
 """A front that runs ends a refused turn itself within this time of the commit of its begin."""
-REPEAT_S = 1.0
+WITHDRAWAL_RETRY_INTERVAL_S = 1.0
 """Pause between two withdrawals of the same begins."""
-MAX_WITHDRAWALS = 64
+MAX_CONCURRENT_WITHDRAWALS = 64
 """Withdrawals that are sent side by side."""
-MAX_TURNS = 10_000
+MAX_TRACKED_TURNS = 10_000
 """Turns remembered, some 400 bytes each; the oldest is forgotten first and stays reserved."""
-PROPOSALS_OF_A_TERM = 1 << 40
+MAX_PROPOSALS_PER_TERM = 1 << 40
 """More begins than a leader proposes in one term."""
 
-Turn = tuple[str, str, str]
+TurnKey = tuple[str, str, str]
 """Tenant, program id, turn id."""
 
 
-def turn_of(message: wire.BeginTurn | wire.WithdrawBegin) -> Turn:
+def turn_key(message: wire.BeginTurn | wire.WithdrawBegin) -> TurnKey:
     """The turn that a message is about."""
     return (message.tenant, message.program_id, message.turn_id)
 
 
-def granted_of(state: TurnLogState, turn: Turn) -> set[int]:
+def granted_proposals(state: TurnLogState, turn: TurnKey) -> set[int]:
     """Numbers of the begins behind a turn's reservation; empty: it has none."""
     tenant, program_id, turn_id = turn
     program = state.programs.get((tenant, program_id))
@@ -43,17 +43,17 @@
 
 
 @dataclass(slots=True)
-class _Unanswered:
+class _UnansweredTurn:
     """Begins of one turn.
 
     Attributes:
-        entries: log index by number of the begin.
+        log_indexes: log index by number of the begin.
         due_s: steady time of the next withdrawal; ``None``: no entry is known to be granted.
 
     """
 
     retention_ms: int
-    entries: dict[int, int] = field(default_factory=dict)
+    log_indexes: dict[int, int] = field(default_factory=dict)
     due_s: float | None = None
 
 
@@ -61,23 +61,23 @@
     """Begins that this process proposed in one group and did not answer in time."""
 
     def __init__(self) -> None:
-        self._turns: OrderedDict[Turn, _Unanswered] = OrderedDict()
+        self._turns: OrderedDict[TurnKey, _UnansweredTurn] = OrderedDict()
 
     def __len__(self) -> int:
         """Turns whose begins may still hold a reservation."""
         return len(self._turns)
 
-    def note(self, begin: wire.BeginTurn, index: int) -> None:
+    def record(self, begin: wire.BeginTurn, index: int) -> None:
         """Remember a begin that will not be answered any more; ``index`` is its log entry's."""
-        unanswered = self._turns.setdefault(turn_of(begin), _Unanswered(begin.retention_ms))
-        unanswered.entries[begin.proposal] = index
-        if len(self._turns) > MAX_TURNS:
+        unanswered = self._turns.setdefault(turn_key(begin), _UnansweredTurn(begin.retention_ms))
+        unanswered.log_indexes[begin.proposal] = index
+        if len(self._turns) > MAX_TRACKED_TURNS:
             self._turns.popitem(last=False)
 
-    def due(
+    def due_withdrawals(
         self, state: TurnLogState, is_settled: Callable[[int], bool], now_s: float
     ) -> list[wire.WithdrawBegin]:
-        """``MAX_WITHDRAWALS`` to send now; forgets begins whose entries hold no reservation.
+        """Withdrawals to send now; forgets begins whose entries hold no reservation.
 
         Args:
             state: of this process, with all settled entries applied.
@@ -85,32 +85,34 @@
             now_s: steady time.
 
         """
-        return list(islice(self._due(state, is_settled, now_s), MAX_WITHDRAWALS))
+        return list(
+            islice(self._iter_due_withdrawals(state, is_settled, now_s), MAX_CONCURRENT_WITHDRAWALS)
+        )
 
-    def _due(
+    def _iter_due_withdrawals(
         self, state: TurnLogState, is_settled: Callable[[int], bool], now_s: float
     ) -> Iterator[wire.WithdrawBegin]:
         for turn, unanswered in list(self._turns.items()):
-            granted = granted_of(state, turn)
-            unanswered.entries = {
+            granted = granted_proposals(state, turn)
+            unanswered.log_indexes = {
                 proposal: index
-                for proposal, index in unanswered.entries.items()
+                for proposal, index in unanswered.log_indexes.items()
                 if proposal in granted or not is_settled(index)
             }
-            if not unanswered.entries:
+            if not unanswered.log_indexes:
                 del self._turns[turn]
                 continue
-            held = granted.intersection(unanswered.entries)
-            if not held:
+            granted_unanswered = granted.intersection(unanswered.log_indexes)
+            if not granted_unanswered:
                 continue
             if unanswered.due_s is None:
-                unanswered.due_s = now_s + END_EXPECTED_S
+                unanswered.due_s = now_s + FIRST_WITHDRAWAL_DELAY_S
             if now_s >= unanswered.due_s:
-                unanswered.due_s = now_s + REPEAT_S
-                yield _withdrawal(turn, held, unanswered.retention_ms)
+                unanswered.due_s = now_s + WITHDRAWAL_RETRY_INTERVAL_S
+                yield _withdrawal(turn, granted_unanswered, unanswered.retention_ms)
 
 
-def _withdrawal(turn: Turn, proposals: set[int], retention_ms: int) -> wire.WithdrawBegin:
+def _withdrawal(turn: TurnKey, proposals: set[int], retention_ms: int) -> wire.WithdrawBegin:
     tenant, program_id, turn_id = turn
     return wire.WithdrawBegin(
         tenant=tenant,
@@ -131,38 +133,38 @@
     def __init__(self) -> None:
         self._term = 0
         self._num_proposed = 0
-        self._under_way: Counter[Turn] = Counter()
-        self._withdrawn: OrderedDict[Turn, set[int]] = OrderedDict()
+        self._num_in_flight: Counter[TurnKey] = Counter()
+        self._withdrawn: OrderedDict[TurnKey, set[int]] = OrderedDict()
 
     def number(self, begin: wire.BeginTurn, term: int) -> None:
         """Number a begin; numbers are unique among all leaders of a group."""
         self._num_proposed += 1
-        begin.proposal = term * PROPOSALS_OF_A_TERM + self._num_proposed
-        self._under_way[turn_of(begin)] += 1
+        begin.proposal = term * MAX_PROPOSALS_PER_TERM + self._num_proposed
+        self._num_in_flight[turn_key(begin)] += 1
 
     def settle(self, begin: wire.BeginTurn) -> None:
         """A numbered begin is being answered, or will not be."""
-        turn = turn_of(begin)
-        self._under_way[turn] -= 1
-        if not self._under_way[turn]:
-            del self._under_way[turn]
+        turn = turn_key(begin)
+        self._num_in_flight[turn] -= 1
+        if not self._num_in_flight[turn]:
+            del self._num_in_flight[turn]
 
     def withdraw(self, request: wire.WithdrawBegin, term: int) -> None:
         """Note what the process that proposed some begins says: it has answered none of them."""
         if term != self._term:
             self._term = term
             self._withdrawn.clear()
-        turn = turn_of(request)
+        turn = turn_key(request)
         self._withdrawn.setdefault(turn, set()).update(request.proposals)
-        if len(self._withdrawn) > MAX_TURNS:
+        if len(self._withdrawn) > MAX_TRACKED_TURNS:
             self._withdrawn.popitem(last=False)
 
-    def can_release(self, turn: Turn, state: TurnLogState) -> bool:
+    def can_release(self, turn: TurnKey, state: TurnLogState) -> bool:
         """Whether a turn's reservation rests on withdrawn begins alone."""
-        granted = granted_of(state, turn)
+        granted = granted_proposals(state, turn)
         withdrawn = self._withdrawn.get(turn, set())
-        return bool(granted) and granted <= withdrawn and not self._under_way[turn]
+        return bool(granted) and granted <= withdrawn and not self._num_in_flight[turn]
 
-    def forget(self, turn: Turn) -> None:
+    def forget(self, turn: TurnKey) -> None:
         """A turn's reservation is gone."""
         self._withdrawn.pop(turn, None)
--- a/tests/site_budget_defects.py
+++ b/tests/site_budget_defects.py
@@ -246,7 +246,7 @@
     stack = contextlib.ExitStack()
     stack.enter_context(mock.patch.object(TurnRecord, "finish_broken", lambda _record: None))
     stack.enter_context(
-        mock.patch.object(UnansweredBegins, "note", lambda _unanswered, _begin, _index: None)
+        mock.patch.object(UnansweredBegins, "record", lambda _unanswered, _begin, _index: None)
     )
     return stack
 
--- a/tests/test_refused_begins.py
+++ b/tests/test_refused_begins.py
@@ -8,7 +8,7 @@
 
 import unittest
 
-from bendshed.turns.refused_begins import MAX_REMEMBERED, REMEMBERED_S, RefusedBegins
+from bendshed.turns.refused_begins import MAX_REFUSALS, REFUSAL_TTL_S, RefusedBegins
 from bendshed.wire import turns_pb2 as wire
 
 GROUP, OTHER_GROUP = 0, 1
@@ -24,7 +24,7 @@
 
     def note(self, answer: "wire.TurnAnswer.ValueType", owner_group: int = GROUP) -> None:
         reply = wire.TurnReply(answer=answer, owner_group=owner_group, retry_after_ms=300)
-        self.refused.note(begin_of(), reply, 0.0)
+        self.refused.record(begin_of(), reply, 0.0)
 
     def is_refused(self, at_s: float = 1.0, has_left: bool = False) -> bool:
         return self.refused.find(begin_of(has_left=has_left), at_s) is not None
@@ -39,8 +39,8 @@
 
     def test_for_a_time(self) -> None:
         self.note(wire.TURN_ANSWER_BUDGET_SPENT)
-        self.assertTrue(self.is_refused(REMEMBERED_S - 0.1))
-        self.assertFalse(self.is_refused(REMEMBERED_S))
+        self.assertTrue(self.is_refused(REFUSAL_TTL_S - 0.1))
+        self.assertFalse(self.is_refused(REFUSAL_TTL_S))
 
     def test_a_granted_begin_is_not(self) -> None:
         self.note(wire.TURN_ANSWER_GRANTED)
@@ -59,6 +59,6 @@
     def test_they_are_bounded(self) -> None:
         self.note(wire.TURN_ANSWER_BUDGET_SPENT)
         spent = wire.TurnReply(answer=wire.TURN_ANSWER_BUDGET_SPENT)
-        for number in range(MAX_REMEMBERED):
-            self.refused.note(begin_of(f"t{number}"), spent, 0.0)
+        for number in range(MAX_REFUSALS):
+            self.refused.record(begin_of(f"t{number}"), spent, 0.0)
         self.assertFalse(self.is_refused())
--- a/tests/test_unanswered_begins.py
+++ b/tests/test_unanswered_begins.py
@@ -14,11 +14,11 @@
 from bendshed.admission.program_budget import UNNUMBERED
 from bendshed.turns.state import TurnLogState
 from bendshed.turns.unanswered_begins import (
-    END_EXPECTED_S,
-    REPEAT_S,
+    FIRST_WITHDRAWAL_DELAY_S,
+    WITHDRAWAL_RETRY_INTERVAL_S,
     ProposedBegins,
     UnansweredBegins,
-    turn_of,
+    turn_key,
 )
 from bendshed.wire import turns_pb2 as wire
 from tests.site_budget_defects import fronts_lose_power_during_an_outage
@@ -56,7 +56,7 @@
         self.applied_index = 0
 
     def due(self, now_s: float) -> list[list[int]]:
-        rows = self.unanswered.due(self.state, lambda i: i <= self.applied_index, now_s)
+        rows = self.unanswered.due_withdrawals(self.state, lambda i: i <= self.applied_index, now_s)
         return [list(row.proposals) for row in rows]
 
     def commit(self, proposal: int, index: int) -> None:
@@ -66,39 +66,39 @@
     def test_a_reservation_that_outlives_the_fronts_own_end_is_withdrawn_again_and_again(
         self,
     ) -> None:
-        self.unanswered.note(begin_of(1), 5)
+        self.unanswered.record(begin_of(1), 5)
         self.commit(1, 5)
         self.assertEqual(self.due(0.0), [])
-        self.assertEqual(self.due(END_EXPECTED_S), [[1]])
-        self.assertEqual(self.due(END_EXPECTED_S + REPEAT_S / 2), [])
-        self.assertEqual(self.due(END_EXPECTED_S + REPEAT_S), [[1]])
+        self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S), [[1]])
+        self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S + WITHDRAWAL_RETRY_INTERVAL_S / 2), [])
+        self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S + WITHDRAWAL_RETRY_INTERVAL_S), [[1]])
 
     def test_all_begins_of_a_turn_are_withdrawn_at_once(self) -> None:
         for proposal, index in ((1, 5), (2, 6)):
-            self.unanswered.note(begin_of(proposal), index)
+            self.unanswered.record(begin_of(proposal), index)
             self.commit(proposal, index)
         self.due(0.0)
-        self.assertEqual(self.due(END_EXPECTED_S), [[1, 2]])
+        self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S), [[1, 2]])
 
     def test_an_entry_that_is_not_settled_is_waited_for(self) -> None:
-        self.unanswered.note(begin_of(1), 5)
+        self.unanswered.record(begin_of(1), 5)
         self.assertEqual(self.due(0.0), [])
         self.assertEqual(len(self.unanswered), 1)
         self.commit(1, 5)
         self.due(100.0)
-        self.assertEqual(self.due(100.0 + END_EXPECTED_S), [[1]])
+        self.assertEqual(self.due(100.0 + FIRST_WITHDRAWAL_DELAY_S), [[1]])
 
     def test_one_that_another_entry_replaced_is_forgotten(self) -> None:
-        self.unanswered.note(begin_of(1), 5)
+        self.unanswered.record(begin_of(1), 5)
         self.applied_index = 5
         self.assertEqual(self.due(0.0), [])
         self.assertEqual(len(self.unanswered), 0)
 
     def test_one_that_its_front_has_ended_is_forgotten(self) -> None:
-        self.unanswered.note(begin_of(1), 5)
+        self.unanswered.record(begin_of(1), 5)
         self.commit(1, 5)
         end(self.state)
-        self.assertEqual(self.due(END_EXPECTED_S), [])
+        self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S), [])
         self.assertEqual(len(self.unanswered), 0)
 
 
@@ -131,7 +131,7 @@
 
     def test_once_every_begin_behind_it_is_withdrawn(self) -> None:
         first, second = self.commit(), self.commit()
-        self.assertEqual(turn_of(first), TURN)
+        self.assertEqual(turn_key(first), TURN)
         self.withdraw(first)
         self.assertFalse(self.can_release())
         self.withdraw(second)
