--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -136,7 +136,7 @@
             demand=demand,
             is_new_program=request.turn is None and not request.program_id,
         )
-        reply = await self._client.place(message, self._timeout_s(demand.left_ms / 1000))
+        reply = await self._client.request_permit(message, self._timeout_s(demand.left_ms / 1000))
         log.say(
             "permit requested: no warm runner was eligible",
             request=request.request_id,
--- a/src/bendshed/services/turn_ports.py
+++ b/src/bendshed/services/turn_ports.py
@@ -87,11 +87,11 @@
     client: TurnClient,
     command: wire.TurnCommand,
     timeout_s: float,
-    before_try: Callable[[], None] = lambda: None,
+    before_attempt: Callable[[], None] = lambda: None,
 ) -> wire.TurnReply | None:
     """Commit a begin; ``None``: no leader answered in time, which is logged."""
     try:
-        return await client.command(command, timeout_s, before_try)
+        return await client.command(command, timeout_s, before_attempt)
     except GroupUnavailable as error:
         log.say(
             "turn begin not committed: no leader answered",
--- a/src/bendshed/turns/client.py
+++ b/src/bendshed/turns/client.py
@@ -23,27 +23,27 @@
 
 log = PartLog("turns")
 
-COMMAND_TRY_S = 0.3
+COMMAND_ATTEMPT_TIMEOUT_S = 0.3
 """Longest wait of one try for a commit, which takes some ms. A leader in another zone or region has
 more (``group_client.FAR_TRIPS``)."""
-QUESTION_TRY_S = 0.2
+QUERY_ATTEMPT_TIMEOUT_S = 0.2
 """The same for what is answered without a commit, or with one for a call."""
-LOSS_LOGGED_S = 0.3
+LOSS_LOG_DELAY_S = 0.3
 """A loss of the turn log is logged after this long without any answer: a change of leaders in which
 single tries fail is none."""
-RETRY_MIN_S = 0.01
-RETRY_MAX_S = 0.05
+RETRY_MIN_PAUSE_S = 0.01
+RETRY_MAX_PAUSE_S = 0.05
 """Bounds of the random pause between two tries, so that nodes do not retry in step."""
-FIND_FIRST_PAUSE_S = 0.03
-FIND_PAUSE_GROWTH = 1.5
-FIND_LAST_PAUSE_S = 0.4
+FIND_LEADER_MIN_PAUSE_S = 0.03
+FIND_LEADER_PAUSE_FACTOR = 1.5
+FIND_LEADER_MAX_PAUSE_S = 0.4
 """Pauses while a started node looks for the leader, each longer by the factor: there is a leader
 0.2 s after power at the earliest, and hundreds of nodes look for it then."""
-FIND_TRIES = 3
+FIND_LEADER_ATTEMPTS = 3
 """Replicas that are tried before each pause: half of them may lead nothing and know no leader."""
 
 
-UNDECIDED = (wire.TURN_ANSWER_NOT_LEADER, wire.TURN_ANSWER_UNAVAILABLE)
+RETRIED_ANSWERS = (wire.TURN_ANSWER_NOT_LEADER, wire.TURN_ANSWER_UNAVAILABLE)
 """Answers after which a request is sent again."""
 
 
@@ -80,22 +80,22 @@
         self,
         command: wire.TurnCommand,
         timeout_s: float,
-        before_try: Callable[[], None] = lambda: None,
+        before_attempt: Callable[[], None] = lambda: None,
     ) -> wire.TurnReply:
-        """Commit a command; ``before_try`` may bring it up to date before each try.
+        """Commit a command; ``before_attempt`` may bring it up to date before each try.
 
         Raise ``GroupUnavailable`` when no leader answered in time; the effect is unknown then.
         """
 
-        command.wait_ms = int(COMMAND_TRY_S * 1000)
+        command.wait_ms = int(COMMAND_ATTEMPT_TIMEOUT_S * 1000)
 
         def payload() -> bytes:
-            before_try()
+            before_attempt()
             return command.SerializeToString()
 
-        least_left_s = self._groups.round_trip_to_leader_s(command.group)
+        min_left_s = self._groups.round_trip_to_leader_s(command.group)
         reply = await self._request_until_decided(
-            command.group, TURN_METHOD, payload, COMMAND_TRY_S, timeout_s, least_left_s
+            command.group, TURN_METHOD, payload, COMMAND_ATTEMPT_TIMEOUT_S, timeout_s, min_left_s
         )
         if reply is not None:
             return reply
@@ -106,7 +106,7 @@
     async def preview(self, preview: wire.TurnPreview) -> wire.TurnReply | None:
         """Request once what a begin would be answered; ``None``: no leader answered."""
         payload = preview.SerializeToString()
-        reply = await self._request(preview.group, PREVIEW_METHOD, payload, QUESTION_TRY_S)
+        reply = await self._request(preview.group, PREVIEW_METHOD, payload, QUERY_ATTEMPT_TIMEOUT_S)
         if reply is not None and reply.answer == wire.TURN_ANSWER_NOT_LEADER:
             return None
         return reply
@@ -117,16 +117,26 @@
         Repeating is safe: at worst the call counts twice for some seconds.
         """
         return await self._request_until_decided(
-            request.group, QUOTA_METHOD, request.SerializeToString, QUESTION_TRY_S, timeout_s
+            request.group,
+            QUOTA_METHOD,
+            request.SerializeToString,
+            QUERY_ATTEMPT_TIMEOUT_S,
+            timeout_s,
         )
 
-    async def place(self, request: wire.RunnerAsk, timeout_s: float) -> wire.TurnReply | None:
+    async def request_permit(
+        self, request: wire.RunnerAsk, timeout_s: float
+    ) -> wire.TurnReply | None:
         """Request a permit for one dispatch to a runner that may be cold; ``None``: no answer.
 
         Repeating is safe: at worst the dispatch counts twice for a second.
         """
         return await self._request_until_decided(
-            request.group, RUNNER_METHOD, request.SerializeToString, QUESTION_TRY_S, timeout_s
+            request.group,
+            RUNNER_METHOD,
+            request.SerializeToString,
+            QUERY_ATTEMPT_TIMEOUT_S,
+            timeout_s,
         )
 
     async def _request_until_decided(
@@ -134,9 +144,9 @@
         group: int,
         method: str,
         payload: Callable[[], bytes],
-        try_timeout_s: float,
+        attempt_timeout_s: float,
         timeout_s: float,
-        least_left_s: float = 0.0,
+        min_left_s: float = 0.0,
     ) -> wire.TurnReply | None:
         """Repeat a request until a group's leader decides; ``None``: it did not in time.
 
@@ -144,29 +154,29 @@
             group: whose leader decides.
             method: of the request.
             payload: makes the content of each try.
-            try_timeout_s: of one try; a far leader has more.
+            attempt_timeout_s: of one try; a far leader has more.
             timeout_s: of all tries.
-            least_left_s: with no more time than this left no further try begins.
+            min_left_s: with no more time than this left no further try begins.
 
         """
         loop = asyncio.get_running_loop()
-        give_up_at_s = loop.time() + timeout_s
-        while (left_s := give_up_at_s - loop.time()) > least_left_s:
-            reply = await self._request(group, method, payload(), try_timeout_s, left_s)
-            if reply is not None and reply.answer not in UNDECIDED:
+        deadline_s = loop.time() + timeout_s
+        while (left_s := deadline_s - loop.time()) > min_left_s:
+            reply = await self._request(group, method, payload(), attempt_timeout_s, left_s)
+            if reply is not None and reply.answer not in RETRIED_ANSWERS:
                 return reply
-            await asyncio.sleep(self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S))
+            await asyncio.sleep(self._rng.uniform(RETRY_MIN_PAUSE_S, RETRY_MAX_PAUSE_S))
         return None
 
     async def find_leader(self, group: int) -> None:
         """Look for a group's leader until it answers, so that no caller's first turn has to."""
-        pause_s = FIND_FIRST_PAUSE_S
+        pause_s = FIND_LEADER_MIN_PAUSE_S
         while True:
-            for _ in range(FIND_TRIES):
+            for _ in range(FIND_LEADER_ATTEMPTS):
                 if await self.preview(wire.TurnPreview(group=group)) is not None:
                     return
             await asyncio.sleep(pause_s)
-            pause_s = min(FIND_LAST_PAUSE_S, FIND_PAUSE_GROWTH * pause_s)
+            pause_s = min(FIND_LEADER_MAX_PAUSE_S, FIND_LEADER_PAUSE_FACTOR * pause_s)
 
     @property
     def expected_round_trip_home_s(self) -> float:
@@ -177,7 +187,7 @@
         """Request an empty preview, which changes nothing; ``lost_since_s`` has the outcome."""
         await self.preview(wire.TurnPreview(group=self.home_group))
 
-    def _note(self, was_answered: bool) -> None:
+    def _record_contact(self, was_answered: bool) -> None:
         """Remember since when no replica answers, and log a loss once it has lasted."""
         now_s = asyncio.get_running_loop().time()
         if was_answered:
@@ -188,7 +198,7 @@
             return
         if self.lost_since_s is None:
             self.lost_since_s = now_s
-        elif not self._is_loss_logged and now_s - self.lost_since_s > LOSS_LOGGED_S:
+        elif not self._is_loss_logged and now_s - self.lost_since_s > LOSS_LOG_DELAY_S:
             log.say("turn log lost: no replica answers")
             self._is_loss_logged = True
 
@@ -198,7 +208,7 @@
         """Send one request to the supposed leader of a group; learn from the reply who leads."""
         answer = await self._groups.request_leader(group, method, payload, timeout_s, left_s)
         if group == self.home_group:
-            self._note(answer is not None)
+            self._record_contact(answer is not None)
         if answer is None:
             return None
         reply = wire.TurnReply.FromString(answer.content)
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -396,7 +396,7 @@
     def expected_round_trip_home_s(self) -> float:
         return 0.0
 
-    async def place(self, ask: wire.RunnerAsk, timeout_s: float) -> wire.TurnReply | None:
+    async def request_permit(self, ask: wire.RunnerAsk, timeout_s: float) -> wire.TurnReply | None:
         self.permits.append(ask)
         return self.reply
 
--- a/tests/test_turn_groups.py
+++ b/tests/test_turn_groups.py
@@ -225,10 +225,10 @@
             client: TurnClient,
             asked: wire.TurnCommand,
             timeout_s: float,
-            before_try: Callable[[], None] = lambda: None,
+            before_attempt: Callable[[], None] = lambda: None,
         ) -> wire.TurnReply:
             nonlocal num_asked
-            reply = await command(client, asked, timeout_s, before_try)
+            reply = await command(client, asked, timeout_s, before_attempt)
             if not asked.HasField("release"):
                 return reply
             num_asked += 1
