--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -16,11 +16,11 @@
 from bendshed.logs import PartLog
 from bendshed.model.runner import ServiceRunner
 from bendshed.placement.cold_runners import ColdTerms
-from bendshed.turns.metrics import ColdEnd, TurnLogMetrics
+from bendshed.turns.metrics import PermitOutcome, TurnLogMetrics
 
 PERMIT_MS = int(1000 * PERMIT_VALID_S)
 """Validity of a permit, in milliseconds from the request for it."""
-REJECTED_VALID_S = 2.0
+REJECTION_TTL_S = 2.0
 """Time, in seconds, for which the rejection of a turn rejects its begin too, which may arrive
 afterwards; otherwise the program would count as begun when its client comes back."""
 
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Openings:
+class PermittedRunners:
     """Runners that a request may be placed at now.
 
     Attributes:
@@ -90,7 +90,7 @@
         tracker: which runners are cold.
         terms: bound on requests to a cold runner.
         num_leaders: groups of the turn log, whose leaders share the bound.
-        grants: permits given lately.
+        permit_counts: permits given lately.
 
     """
 
@@ -98,38 +98,38 @@
     terms: ColdTerms
     metrics: TurnLogMetrics
     num_leaders: int = 1
-    grants: ColdPermitCounts = field(init=False)
+    permit_counts: ColdPermitCounts = field(init=False)
     _rejected: "OrderedDict[str, tuple[float, int]]" = field(default_factory=OrderedDict)
     _retries: dict[bool, RetrySchedule] = field(init=False)
 
     def __post_init__(self) -> None:
-        self.grants = ColdPermitCounts(self.terms, self.num_leaders)
+        self.permit_counts = ColdPermitCounts(self.terms, self.num_leaders)
         self._retries = {is_new: RetrySchedule() for is_new in (True, False)}
 
-    def openings(
+    def permitted_runners(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
-    ) -> Openings:
+    ) -> PermittedRunners:
         """Leave out the cold runners that have no permit left; a repeated request is decided
         again."""
         self._rejected.pop(request.request_id, None)
         if not self.tracker.has_cold:
-            return Openings(runners)
+            return PermittedRunners(runners)
         cold = [runner for runner in runners if self.tracker.is_cold(runner.runner_id)]
         if not cold:
-            return Openings(runners)
-        has_room = {runner.runner_id for runner in self._with_room(cold, request, now_s)}
+            return PermittedRunners(runners)
+        has_room = {runner.runner_id for runner in self._runners_with_room(cold, request, now_s)}
         is_full = {runner.runner_id for runner in cold} - has_room
-        return Openings([r for r in runners if r.runner_id not in is_full], has_room)
+        return PermittedRunners([r for r in runners if r.runner_id not in is_full], has_room)
 
-    def counted_openings(
+    def permit_limited_runners(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
-    ) -> Openings:
+    ) -> PermittedRunners:
         """Bound each runner, warm or not: the requesting node may know a runner to be cold that is
         warm here."""
-        has_room = self._with_room(runners, request, now_s)
-        return Openings(has_room, {runner.runner_id for runner in has_room})
+        has_room = self._runners_with_room(runners, request, now_s)
+        return PermittedRunners(has_room, {runner.runner_id for runner in has_room})
 
-    def _with_room(
+    def _runners_with_room(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
     ) -> list[ServiceRunner]:
         reserved = self._reserved_for_others(request, now_s) / max(1, len(runners))
@@ -143,7 +143,7 @@
 
     def _room(self, runner: ServiceRunner, request: PermitRequest, now_s: float) -> int:
         rate = self.tracker.rate_of(runner.runner_id)
-        return self.grants.room(runner.runner_id, rate, request.is_new_program, now_s)
+        return self.permit_counts.room(runner.runner_id, rate, request.is_new_program, now_s)
 
     def least_loaded(
         self,
@@ -161,7 +161,7 @@
             return (
                 runner_id in avoided,
                 self.tracker.is_cold(runner_id),
-                self.grants.num_granted(runner_id, now_s),
+                self.permit_counts.num_granted(runner_id, now_s),
                 runner.zone != zone,
                 rank.index(runner_id),
             )
@@ -170,39 +170,39 @@
 
     def grant(self, runner_id: str, request: PermitRequest, now_s: float) -> Placement:
         """Permit one dispatch, and count it."""
-        self.grants.grant(runner_id, now_s)
+        self.permit_counts.grant(runner_id, now_s)
         self._rejected.pop(request.request_id, None)
         self._retries[request.is_new_program].forget(request.retry_key)
-        self.metrics.cold_permits.labels(ColdEnd.GRANTED.value).inc()
+        self.metrics.cold_permits.labels(PermitOutcome.GRANTED.value).inc()
         log.say(
             "dispatch permitted",
             request=request.request_id,
             runner=runner_id,
             is_new_program=request.is_new_program,
-            granted=self.grants.num_granted(runner_id, now_s),
-            most=self.grants.most(self.tracker.rate_of(runner_id), False, now_s),
+            granted=self.permit_counts.num_granted(runner_id, now_s),
+            most=self.permit_counts.most(self.tracker.rate_of(runner_id), False, now_s),
             cold_for_ms=self.tracker.left_ms(runner_id),
         )
         return Placement(runner_id, PERMIT_MS)
 
-    def refuse(
+    def reject(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
     ) -> Placement:
         """Reject a request: it may come back when there is room behind those rejected before it."""
-        self.grants.sweep(now_s)
+        self.permit_counts.sweep(now_s)
         now_ms = int(1000 * now_s)
         retries = self._retries[request.is_new_program]
         num_before = retries.num_others(request.retry_key, now_ms)
         retry_ms = self._retry_after_ms(runners, request, num_before, now_s)
         retries.note(request.retry_key, now_ms + retry_ms)
         self._note_rejected(request.request_id, retry_ms, now_s)
-        self.metrics.cold_permits.labels(ColdEnd.REFUSED.value).inc()
+        self.metrics.cold_permits.labels(PermitOutcome.REFUSED.value).inc()
         log.say(
             "request rejected: its runners are cold and full",
             request=request.request_id,
             is_new_program=request.is_new_program,
             runners=len(runners),
-            share=self.grants.touch.share(now_s),
+            share=self.permit_counts.touch.share(now_s),
             retry_after_ms=retry_ms,
         )
         return Placement(retry_after_ms=retry_ms)
@@ -216,24 +216,26 @@
     ) -> int:
         rates = {runner.runner_id: self.tracker.rate_of(runner.runner_id) for runner in runners}
         is_new = request.is_new_program
-        least_ms = min(self.grants.wait_ms(r, rate, is_new, now_s) for r, rate in rates.items())
-        per_window = sum(self.grants.most(rate, is_new, now_s) for rate in rates.values())
+        least_ms = min(
+            self.permit_counts.wait_ms(r, rate, is_new, now_s) for r, rate in rates.items()
+        )
+        per_window = sum(self.permit_counts.most(rate, is_new, now_s) for rate in rates.values())
         return cold_retry_after_ms(least_ms, num_before, per_window, WINDOW_MS)
 
     def _note_rejected(self, request_id: str, retry_ms: int, now_s: float) -> None:
         self._rejected[request_id] = (now_s, retry_ms)
         self._rejected.move_to_end(request_id)
-        while next(iter(self._rejected.values()))[0] < now_s - REJECTED_VALID_S:
+        while next(iter(self._rejected.values()))[0] < now_s - REJECTION_TTL_S:
             self._rejected.popitem(last=False)
 
-    def forget_refused(self, request_id: str) -> None:
+    def forget_rejection(self, request_id: str) -> None:
         """Forget a rejection that no begin follows."""
         self._rejected.pop(request_id, None)
 
-    def refused_for_ms(self, request_id: str, now_s: float) -> int:
-        """Retry time of a turn that was rejected within ``REJECTED_VALID_S``, in ms; 0: it was
+    def rejection_retry_ms(self, request_id: str, now_s: float) -> int:
+        """Retry time of a turn that was rejected within ``REJECTION_TTL_S``, in ms; 0: it was
         not."""
         if not self._rejected:
             return 0
         at_s, retry_ms = self._rejected.get(request_id, (float("-inf"), 0))
-        return retry_ms if now_s - at_s <= REJECTED_VALID_S else 0
+        return retry_ms if now_s - at_s <= REJECTION_TTL_S else 0
--- a/src/bendshed/turns/metrics.py
+++ b/src/bendshed/turns/metrics.py
@@ -7,7 +7,7 @@
 COMMIT_BUCKETS_S = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0)
 
 
-class CommandEnd(StrEnum):
+class CommandOutcome(StrEnum):
     """How a command ended here."""
 
     COMMITTED = "committed"
@@ -16,7 +16,7 @@
     """Not seen to commit in time."""
 
 
-class ColdEnd(StrEnum):
+class PermitOutcome(StrEnum):
     """What became of a permit request for a cold runner."""
 
     GRANTED = "granted"
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -23,7 +23,7 @@
 )
 from bendshed.turns.led_group import LedGroup
 from bendshed.turns.methods import PREVIEW_METHOD, QUOTA_METHOD, RUNNER_METHOD, TURN_METHOD
-from bendshed.turns.metrics import CommandEnd, TurnLogMetrics
+from bendshed.turns.metrics import CommandOutcome, TurnLogMetrics
 from bendshed.turns.quota_counting import QuotaCounting
 from bendshed.turns.shares import ShareGatherer
 from bendshed.turns.state import TurnLogState
@@ -110,20 +110,20 @@
         began_s = asyncio.get_running_loop().time()
         answer_by_s = began_s + command.wait_ms / 1000 if command.wait_ms else math.inf
         command.ClearField("wait_ms")
-        end = CommandEnd.COMMITTED
+        end = CommandOutcome.COMMITTED
         try:
             reply = await self._commit(command, answer_by_s)
         except NotLeader as error:
-            end = CommandEnd.NOT_LEADER
+            end = CommandOutcome.NOT_LEADER
             reply = not_leader_reply(error.leader_id)
         except (CommitUnknown, NotCommitted) as error:
-            end = CommandEnd.UNKNOWN
+            end = CommandOutcome.UNKNOWN
             _log_uncommitted(command.group, error)
             reply = unavailable_reply()
         if command.HasField("begin"):
             self._settle_begin(command, reply)
         self._metrics.commands.labels(end.value).inc()
-        if end is CommandEnd.COMMITTED:
+        if end is CommandOutcome.COMMITTED:
             self._metrics.commit_s.observe(asyncio.get_running_loop().time() - began_s)
         return reply.SerializeToString()
 
@@ -276,7 +276,7 @@
         Else a program that did not run would count as under way.
         """
         now_s = asyncio.get_running_loop().time()
-        retry_ms = self._placement.cold.refused_for_ms(begin.turn_id, now_s)
+        retry_ms = self._placement.cold.rejection_retry_ms(begin.turn_id, now_s)
         if not retry_ms or begin.has_left or state.is_reserved(begin):
             return None
         return no_room_reply(retry_ms)
@@ -299,7 +299,7 @@
             for number, group in self._host.groups.items()
             if group.replica.is_ready_leader and group.replica.has_majority
         ]
-        self._placement.cold.grants.touch.look(min(terms, default=0), bool(terms), now_s)
+        self._placement.cold.permit_counts.touch.look(min(terms, default=0), bool(terms), now_s)
         return now_s
 
     def _take_report(self, command: wire.TurnCommand) -> None:
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -14,7 +14,7 @@
 from bendshed.placement.cluster_load import ClusterLoad, NotPlaced
 from bendshed.placement.distance import DistanceCosts
 from bendshed.placement.turn_demand import Demand, Ended
-from bendshed.turns.cold_admission import ColdAdmission, Openings, PermitRequest, Placement
+from bendshed.turns.cold_admission import ColdAdmission, PermitRequest, PermittedRunners, Placement
 from bendshed.wire import turns_pb2 as wire
 
 log = PartLog("placement")
@@ -58,12 +58,12 @@
         runners = self._catalog.ready_runners(preview.demand.service, regions)
         begin, chain = preview.begin, preview.demand.line
         request = PermitRequest(begin.turn_id, begin.program_id, is_new_program, chain)
-        openings = self.cold.openings(runners, request, now_s)
-        if runners and not openings.runners:
-            return self.cold.refuse(runners, request, now_s)
+        permitted_runners = self.cold.permitted_runners(runners, request, now_s)
+        if runners and not permitted_runners.runners:
+            return self.cold.reject(runners, request, now_s)
         demand = _read_demand(preview.begin, preview.demand, ran_at)
-        runner_id = self._choose(demand, preview.demand.service, openings, now_s)
-        if runner_id in openings.cold:
+        runner_id = self._choose(demand, preview.demand.service, permitted_runners, now_s)
+        if runner_id in permitted_runners.cold:
             return self.cold.grant(runner_id, request, now_s)
         return Placement(runner_id)
 
@@ -83,12 +83,14 @@
         request = PermitRequest(
             requested.request_id, requested.request_id, requested.is_new_program
         )
-        openings = self.cold.counted_openings(runners, request, now_s)
-        if not openings.runners:
-            placement = self.cold.refuse(runners, request, now_s)
-            self.cold.forget_refused(requested.request_id)  # no begin follows it
+        permitted_runners = self.cold.permit_limited_runners(runners, request, now_s)
+        if not permitted_runners.runners:
+            placement = self.cold.reject(runners, request, now_s)
+            self.cold.forget_rejection(requested.request_id)  # no begin follows it
             return placement
-        return self.cold.grant(self._place(requested, openings.runners, now_s), request, now_s)
+        return self.cold.grant(
+            self._place(requested, permitted_runners.runners, now_s), request, now_s
+        )
 
     def _place(
         self, requested: wire.RunnerAsk, runners: Sequence[ServiceRunner], now_s: float
@@ -102,13 +104,15 @@
             )
         turn = _read_demand(wire.BeginTurn(turn_id=requested.request_id), demand, "")
         cold = {r.runner_id for r in runners if self.cold.tracker.is_cold(r.runner_id)}
-        return self._choose(turn, demand.service, Openings(runners, cold), now_s)
+        return self._choose(turn, demand.service, PermittedRunners(runners, cold), now_s)
 
-    def _choose(self, demand: Demand, service: str, openings: Openings, now_s: float) -> str:
+    def _choose(
+        self, demand: Demand, service: str, permitted_runners: PermittedRunners, now_s: float
+    ) -> str:
         """Id of the runner with the least cost; empty: no runner is eligible."""
         memory_tokens = self._memory_tokens(service)
         placed = self.cluster_load.place(
-            demand, openings.runners, memory_tokens, now_s, openings.cold
+            demand, permitted_runners.runners, memory_tokens, now_s, permitted_runners.cold
         )
         if isinstance(placed, NotPlaced):
             return ""
@@ -123,7 +127,7 @@
             cached_tokens=placed.cached_tokens,
             prompt_tokens=demand.prompt_tokens,
             is_connected=placed.runner_id in demand.connected,
-            is_cold=placed.runner_id in openings.cold,
+            is_cold=placed.runner_id in permitted_runners.cold,
             runners_at=self._catalog.runners_at,
         )
         return placed.runner_id
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -147,7 +147,7 @@
         until_s = self.clock.now_s + seconds
         while self.clock.now_s < until_s:
             self.clock.now_s += 0.05
-            self.advice.cold.grants.touch.look(1, True, self.clock.now_s)
+            self.advice.cold.permit_counts.touch.look(1, True, self.clock.now_s)
 
     def preview(self, is_new: bool) -> wire.TurnReply:
         self.num_turns += 1
@@ -228,10 +228,10 @@
             pass
         refused = f"t{self.num_turns}"
         cold = self.advice.cold
-        self.assertGreater(cold.refused_for_ms(refused, self.clock.now_s), 0)
-        self.assertEqual(cold.refused_for_ms("t1", self.clock.now_s), 0)
+        self.assertGreater(cold.rejection_retry_ms(refused, self.clock.now_s), 0)
+        self.assertEqual(cold.rejection_retry_ms("t1", self.clock.now_s), 0)
         self.pass_time(3.0)
-        self.assertEqual(cold.refused_for_ms(refused, self.clock.now_s), 0)
+        self.assertEqual(cold.rejection_retry_ms(refused, self.clock.now_s), 0)
 
     def test_a_turn_that_comes_again_is_judged_anew(self) -> None:
         while not self.preview(is_new=False).retry_after_ms:
@@ -239,11 +239,11 @@
         self.num_turns -= 1
         self.catalog.put_runner(KnownRunner(runner("a"), 2))
         self.assertEqual(self.preview(is_new=False).runner_id, "a")
-        refused = self.advice.cold.refused_for_ms(f"t{self.num_turns}", self.clock.now_s)
+        refused = self.advice.cold.rejection_retry_ms(f"t{self.num_turns}", self.clock.now_s)
         self.assertEqual(refused, 0)
 
     def test_a_leader_that_hears_no_majority_permits_nothing(self) -> None:
-        self.advice.cold.grants.touch.look(1, False, self.clock.now_s)
+        self.advice.cold.permit_counts.touch.look(1, False, self.clock.now_s)
         self.assertFalse(self.preview(is_new=False).permit_ms)
         self.assertGreater(self.place().retry_after_ms, 0)
 
@@ -264,7 +264,7 @@
         for one in self.pool:
             tracker.put(one)
         self.cold = ColdAdmission(tracker, TERMS, TurnLogMetrics(CollectorRegistry()))
-        self.cold.grants.touch.look(1, True, -10.0)
+        self.cold.permit_counts.touch.look(1, True, -10.0)
         self.rng = random.Random(1)
 
     def arrivals(self) -> list[tuple[float, int, int]]:
@@ -279,14 +279,14 @@
 
     def ask(self, program: int, left: int, now_s: float) -> bool:
         """Whether a turn may go."""
-        while self.cold.grants.touch._looked_s < now_s:
-            looked_s = self.cold.grants.touch._looked_s
-            self.cold.grants.touch.look(1, True, min(now_s, looked_s + 0.1))
+        while self.cold.permit_counts.touch._looked_s < now_s:
+            looked_s = self.cold.permit_counts.touch._looked_s
+            self.cold.permit_counts.touch.look(1, True, min(now_s, looked_s + 0.1))
         is_new = left == self.TURNS
         ask = PermitRequest(f"t{program}.{left}", f"p{program}", is_new)
-        openings = self.cold.openings(self.pool, ask, now_s)
+        openings = self.cold.permitted_runners(self.pool, ask, now_s)
         if not openings.runners:
-            self.cold.refuse(self.pool, ask, now_s)
+            self.cold.reject(self.pool, ask, now_s)
             return False
         chosen = self.cold.least_loaded(openings.runners, ask.request_id, "z", (), now_s)
         self.cold.grant(chosen, ask, now_s)
