--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -25,7 +25,7 @@
 from bendshed.ports.objects import ObjectEvent, ObjectList, StoredObject
 from bendshed.tasks import start_loop
 from bendshed.turns.metrics import TurnLogMetrics
-from bendshed.turns.node import ReplicaPlace, ReplicaPorts, ReplicaTerms, TurnLogNode
+from bendshed.turns.node import ReplicaPlace, ReplicaPorts, ReplicaSettings, TurnLogNode
 
 WATCH_S = 8.0
 RETRY_GROWTH = 2.0
@@ -53,7 +53,7 @@
         self._node = TurnLogNode(
             ReplicaPlace(settings.nodeName, settings.zone, settings.peer_address, settings.places),
             ReplicaPorts(self._storage, catalog_storage, self._transport, replica_registry),
-            ReplicaTerms(
+            ReplicaSettings(
                 2 * settings.faultTolerance.most + 1,
                 settings.catalog_times,
                 settings.policy,
@@ -99,7 +99,7 @@
             others.append(self._zones)
         self._watchers = [self._runners, *others]
         self._reading = RegistryReading(
-            self._node.follower, self._runners, others, self._node.note_registry
+            self._node.follower, self._runners, others, self._node.set_registry_lost
         )
         self._node.demand.on_pace.append(self._set_pace)
 
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -40,7 +40,7 @@
 from bendshed.services.metrics import ServiceMetrics
 from bendshed.services.node import NodePlace, ServiceNode
 from bendshed.turns.metrics import TurnLogMetrics
-from bendshed.turns.node import ReplicaPlace, ReplicaPorts, ReplicaTerms, TurnLogNode
+from bendshed.turns.node import ReplicaPlace, ReplicaPorts, ReplicaSettings, TurnLogNode
 
 PEER_PORT = 7000
 NUM_ENGINES, NUM_TOOLS = 3, 2
@@ -259,7 +259,7 @@
         machine.replica = TurnLogNode(
             ReplicaPlace(machine.name, machine.zone, address, self.layout.places),
             ReplicaPorts(SimLogStorage(disk), SimCatalogStorage(disk), transport, self.registry),
-            ReplicaTerms(
+            ReplicaSettings(
                 self.layout.num_voters,
                 TIMES,
                 quotas=QUOTA_TERMS,
@@ -280,7 +280,7 @@
             if is_reachable:
                 update(machine)
             if machine.replica is not None:
-                machine.replica.note_registry(not is_reachable)
+                machine.replica.set_registry_lost(not is_reachable)
             await asyncio.sleep(FOLLOW_S)
 
     def _update_front(self, machine: SimMachine) -> None:
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -41,8 +41,8 @@
 """Heartbeats go every 3 ticks; a follower stands for election after 10 to 20 silent ones."""
 COMPACT_AFTER_ENTRIES = 60_000
 """Entries without stored text are small; the host's bound on bytes comes first for the others."""
-HAND_OVER_S = 1.0
-HAND_OVER_CHECK_S = 0.02
+HAND_OVER_TIMEOUT_S = 1.0
+HAND_OVER_POLL_INTERVAL_S = 0.02
 
 log = PartLog("replica")
 
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaTerms:
+class ReplicaSettings:
     """What the installation's settings say.
 
     Attributes:
@@ -109,34 +109,40 @@
 
     def __init__(
         self,
-        place: ReplicaPlace,
+        location: ReplicaPlace,
         ports: ReplicaPorts,
-        terms: ReplicaTerms,
+        settings: ReplicaSettings,
         rng: random.Random,
         metrics: TurnLogMetrics,
     ) -> None:
-        self._groups = terms.groups
+        self._groups = settings.groups
         self.directory = ReplicaDirectory()
-        self.neighbours = Neighbours(place.zone, place.places)
-        self.directory.on_change.append(self._note_replicas)
-        self.host = self._build_host(ports, terms.policy, rng)
-        peers = GroupPeers(ports.transport, rng, terms.groups, self.directory, self.neighbours)
-        self.supervisor = self._build_supervisor(place, ports, terms, peers)
-        around = CatalogSurroundings(
-            ports.transport, self.directory, self.neighbours, place.address, ports.catalog_storage
+        self.neighbours = Neighbours(location.zone, location.places)
+        self.directory.on_change.append(self._update_neighbours)
+        self.host = self._build_host(ports, settings.policy, rng)
+        peers = GroupPeers(ports.transport, rng, settings.groups, self.directory, self.neighbours)
+        self.supervisor = self._build_supervisor(location, ports, settings, peers)
+        surroundings = CatalogSurroundings(
+            ports.transport,
+            self.directory,
+            self.neighbours,
+            location.address,
+            ports.catalog_storage,
+        )
+        self._catalog_parts = ReplicaCatalogParts(
+            surroundings, settings.times, settings.policy, rng
         )
-        self._catalog_parts = ReplicaCatalogParts(around, terms.times, terms.policy, rng)
         self.catalog = self._catalog_parts.catalog
         self.demand = self._catalog_parts.demand
         self.follower = self._catalog_parts.follower
-        self._distance = DistanceCosts(place.places, terms.links)
+        self._distance = DistanceCosts(location.places, settings.links)
         self._echo = Echo(
-            ports.transport, self._other_replicas, self.neighbours, self._take_distances
+            ports.transport, self._other_replicas, self.neighbours, self._set_measured_distances
         )
-        placement = self._build_placement(terms, rng, metrics)
-        self._service = self._build_service(ports.transport, terms, metrics, placement, peers)
-        self._loads = LoadExchange(
-            ports.transport, self.host, terms.groups, peers, placement.cluster_load
+        placement = self._build_placement(settings, rng, metrics)
+        self._service = self._build_service(ports.transport, settings, metrics, placement, peers)
+        self._load_exchange = LoadExchange(
+            ports.transport, self.host, settings.groups, peers, placement.cluster_load
         )
         self._tasks: list[asyncio.Task[None]] = []
         self._add_gauges(metrics, placement)
@@ -151,11 +157,15 @@
             self.directory.resolve,
             COMPACT_AFTER_ENTRIES,
             is_candidate_at_once=policy.quick_election,
-            order_of=self._standing_order,
+            order_of=self._election_order,
         )
 
     def _build_supervisor(
-        self, place: ReplicaPlace, ports: ReplicaPorts, terms: ReplicaTerms, peers: GroupPeers
+        self,
+        location: ReplicaPlace,
+        ports: ReplicaPorts,
+        settings: ReplicaSettings,
+        peers: GroupPeers,
     ) -> ReplicaSupervisor:
         return ReplicaSupervisor(
             self.host,
@@ -163,24 +173,24 @@
             ports.transport,
             ports.registry,
             self.directory,
-            ReplicaNode(place.name, self.host.node_id, place.address, place.zone),
+            ReplicaNode(location.name, self.host.node_id, location.address, location.zone),
             TICK_S,
-            terms.num_voters,
-            terms.groups,
+            settings.num_voters,
+            settings.groups,
             peers.request_emptied,
         )
 
     def _build_placement(
-        self, terms: ReplicaTerms, rng: random.Random, metrics: TurnLogMetrics
+        self, settings: ReplicaSettings, rng: random.Random, metrics: TurnLogMetrics
     ) -> TurnPlacement:
         known = self.catalog.catalog
-        cold = ColdAdmission(known.cold, terms.cold, metrics, terms.groups.count)
+        cold = ColdAdmission(known.cold, settings.cold, metrics, settings.groups.count)
         return TurnPlacement(known, cold, rng, self._distance)
 
     def _build_service(
         self,
         transport: Transport,
-        terms: ReplicaTerms,
+        settings: ReplicaSettings,
         metrics: TurnLogMetrics,
         placement: TurnPlacement,
         peers: GroupPeers,
@@ -191,8 +201,8 @@
             transport,
             metrics,
             placement,
-            lambda: QuotaCounting(known, terms.quotas, terms.policy.programs_first),
-            terms.groups,
+            lambda: QuotaCounting(known, settings.quotas, settings.policy.programs_first),
+            settings.groups,
             peers.command,
         )
 
@@ -209,19 +219,19 @@
         ).add_to(metrics)
         self.catalog.zones.add_gauges(metrics)
 
-    def _note_replicas(self) -> None:
+    def _update_neighbours(self) -> None:
         """Remember where replica machines are located."""
         for replica in self.directory.by_name.values():
             self.neighbours.put(replica.address.host, replica.zone)
 
-    def _take_distances(self, measured_ms: dict[Distance, float]) -> None:
+    def _set_measured_distances(self, measured_ms: dict[Distance, float]) -> None:
         self._distance.measured_ms = measured_ms
 
     def _other_replicas(self) -> list[Address]:
         nodes = self.directory.by_name.values()
         return [node.address for node in nodes if node != self.directory.own]
 
-    def _standing_order(self, group_id: int) -> StandingOrder:
+    def _election_order(self, group_id: int) -> StandingOrder:
         """In which order a group's voters stand for election."""
         home_zones = self._groups.home_zones(group_id)
         if home_zones is None:
@@ -232,7 +242,7 @@
 
         return StandingOrder.over_regions(is_home)
 
-    def note_registry(self, is_lost: bool) -> None:
+    def set_registry_lost(self, is_lost: bool) -> None:
         """Whether the registry answers this machine itself; else other nodes go elsewhere."""
         self.catalog.set_lost(is_lost)
         self.follower.note_own_reading(is_lost)
@@ -251,7 +261,7 @@
         self._catalog_parts.start()
         self._tasks = [
             *(start_loop(loop, "catalog") for loop in self._catalog_parts.loops()),
-            start_loop(self._loads.run(), "loads"),
+            start_loop(self._load_exchange.run(), "loads"),
             start_loop(self._service.follow_lead(), "turns"),
             start_loop(self._service.withdraw_unanswered(), "turns"),
             start_loop(self._echo.run(), "regions"),
@@ -271,7 +281,7 @@
     async def _hand_over(self) -> None:
         """Let another replica lead before this one ends."""
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + HAND_OVER_S
-        while self.host.led_groups() and loop.time() < until_s:
+        deadline_s = loop.time() + HAND_OVER_TIMEOUT_S
+        while self.host.led_groups() and loop.time() < deadline_s:
             self.host.hand_over_all()
-            await asyncio.sleep(HAND_OVER_CHECK_S)
+            await asyncio.sleep(HAND_OVER_POLL_INTERVAL_S)
