--- a/src/bendshed/turns/led_group.py
+++ b/src/bendshed/turns/led_group.py
@@ -69,7 +69,7 @@
         self.refused = RefusedBegins(group_id)
         self._begins = ProposedBegins()
 
-    def note_leading(self, now_s: float) -> None:
+    def begin_term(self, now_s: float) -> None:
         """A term of this process begins."""
         self._leads_since_s = now_s
 
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -262,7 +262,7 @@
         self._tasks = [
             *(start_loop(loop, "catalog") for loop in self._catalog_parts.loops()),
             start_loop(self._load_exchange.run(), "loads"),
-            start_loop(self._service.follow_lead(), "turns"),
+            start_loop(self._service.monitor_majority(), "turns"),
             start_loop(self._service.withdraw_unanswered(), "turns"),
             start_loop(self._echo.run(), "regions"),
         ]
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -32,7 +32,7 @@
 
 SHARE_TIMEOUT_S = 0.25
 """How long another group's leader has to release its share; the front behind it waits longer."""
-NOT_TO_RUN = (
+NOT_DISPATCHED_ANSWERS = (
     wire.TURN_ANSWER_UNKNOWN_TURN,
     wire.TURN_ANSWER_BUDGET_SPENT,
     wire.TURN_ANSWER_BUDGET_RESERVED,
@@ -42,21 +42,21 @@
     wire.TURN_ANSWER_NO_ROOM,
 )
 """Answers to a begin after which the turn is not dispatched and its end is not reported."""
-TERMS_OF_A_GROUP = 1 << 48
+MAX_TERMS_PER_GROUP = 1 << 48
 """More terms than a group ever has, so that terms of two groups never have one number."""
-WITHDRAW_INTERVAL_S = 0.5
+WITHDRAWAL_INTERVAL_S = 0.5
 """Pause between two looks for begins that this process did not answer."""
-LOOK_S = 0.1
+MAJORITY_CHECK_INTERVAL_S = 0.1
 """Pause between two checks whether this process still hears a majority; below the gap after which
 permits stop (``cold_permits.LOOK_GAP_S``, 0.25 s)."""
 
-SendToGroup = Callable[[wire.TurnCommand, float], Awaitable[wire.TurnReply | None]]
+CommitElsewhere = Callable[[wire.TurnCommand, float], Awaitable[wire.TurnReply | None]]
 """Commits a command in its group at another process; ``None``: no leader answered in time."""
 
 log = PartLog("turns")
 
 
-async def _reach_nobody(_command: wire.TurnCommand, _timeout_s: float) -> wire.TurnReply | None:
+async def _no_other_leader(_command: wire.TurnCommand, _timeout_s: float) -> wire.TurnReply | None:
     return None
 
 
@@ -76,20 +76,20 @@
         placement: TurnPlacement,
         make_quotas: Callable[[], QuotaCounting],
         groups: TurnGroups = ONE_GROUP,
-        send_to_group: SendToGroup = _reach_nobody,
+        commit_elsewhere: CommitElsewhere = _no_other_leader,
     ) -> None:
         self._host = host
         self._placement = placement
         self._metrics = metrics
         self._transport = transport
-        self._send_elsewhere = send_to_group
+        self._commit_elsewhere = commit_elsewhere
         self._groups = {number: LedGroup(number, host, make_quotas()) for number in groups.numbers}
-        self.shares = ShareGatherer(groups, self._send)
-        host.on_role_changed = self._note_role
+        self.shares = ShareGatherer(groups, self._commit_at_leader)
+        host.on_role_changed = self._on_role_changed
 
     def start(self) -> None:
         """Begin to answer."""
-        self._transport.handlers[TURN_METHOD] = self.answer
+        self._transport.handlers[TURN_METHOD] = self.handle_command
         self._transport.handlers[PREVIEW_METHOD] = self.preview
         self._transport.handlers[QUOTA_METHOD] = self.admit_call
         self._transport.handlers[RUNNER_METHOD] = self.place
@@ -103,10 +103,10 @@
 
     # --- commands ------------------------------------------------------------------------
 
-    async def answer(self, payload: bytes) -> bytes:
+    async def handle_command(self, payload: bytes) -> bytes:
         """Commit one command and return the reply of applying it."""
         command = wire.TurnCommand.FromString(payload)
-        self._take_report(command)
+        self._extract_report(command)
         began_s = asyncio.get_running_loop().time()
         answer_by_s = began_s + command.wait_ms / 1000 if command.wait_ms else math.inf
         command.ClearField("wait_ms")
@@ -118,7 +118,7 @@
             reply = not_leader_reply(error.leader_id)
         except (CommitUnknown, NotCommitted) as error:
             end = CommandOutcome.UNKNOWN
-            _log_uncommitted(command.group, error)
+            _log_unknown_commit(command.group, error)
             reply = unavailable_reply()
         if command.HasField("begin"):
             self._settle_begin(command, reply)
@@ -153,14 +153,14 @@
         counts a moment later.
         """
         state, _ = group.led()
-        refusal = self._refused_by_preview(command.begin, state)
+        refusal = self._rejected_by_preview(command.begin, state)
         if refusal is not None:
             return refusal
         reply = await group.commit(command, answer_by_s)
-        if _must_gather(command, reply):
+        if _needs_gather(command, reply):
             gathered = await self.shares.gather(command.group, command.begin)
             reply = await group.commit(command, answer_by_s)
-            if _must_gather(command, reply):
+            if _needs_gather(command, reply):
                 apply_verdict(reply, gathered.classify_shortage(command.begin, reply))
         if reply.answer == wire.TURN_ANSWER_GRANTED and state.needs_other_shares(command.begin):
             self.shares.gather_later(command.group, command.begin)
@@ -173,17 +173,19 @@
         if group is not None and reply.answer != wire.TURN_ANSWER_UNAVAILABLE:
             # Otherwise it may be committed later: its reservation expires by itself.
             group.quotas.settle_turn(turn_id)
-        if reply.answer in NOT_TO_RUN:
-            self._placement.take_refusal(turn_id, asyncio.get_running_loop().time())
+        if reply.answer in NOT_DISPATCHED_ANSWERS:
+            self._placement.cancel_turn(turn_id, asyncio.get_running_loop().time())
 
-    async def _send(self, number: int, command: wire.TurnCommand) -> wire.TurnReply | None:
+    async def _commit_at_leader(
+        self, number: int, command: wire.TurnCommand
+    ) -> wire.TurnReply | None:
         """Commit a command between groups; ``None``: not known to be committed."""
         if number not in self._host.led_groups():
-            return await self._send_elsewhere(command, SHARE_TIMEOUT_S)
+            return await self._commit_elsewhere(command, SHARE_TIMEOUT_S)
         try:
             return await self._commit(command, math.inf)
         except (NotLeader, CommitUnknown, NotCommitted) as error:
-            _log_uncommitted(number, error)
+            _log_unknown_commit(number, error)
             return None
 
     async def withdraw_unanswered(self) -> None:
@@ -192,8 +194,10 @@
             for number, group in self._groups.items():
                 due = group.due_withdrawals()
                 commands = [wire.TurnCommand(withdraw=row, group=number) for row in due]
-                await asyncio.gather(*(self._send(number, command) for command in commands))
-            await asyncio.sleep(WITHDRAW_INTERVAL_S)
+                await asyncio.gather(
+                    *(self._commit_at_leader(number, command) for command in commands)
+                )
+            await asyncio.sleep(WITHDRAWAL_INTERVAL_S)
 
     # --- what is not replicated ----------------------------------------------------------
 
@@ -205,7 +209,7 @@
         except NotLeader as error:
             reply = not_leader_reply(error.leader_id)
         except (CommitUnknown, NotCommitted) as error:
-            _log_uncommitted(call.group, error)
+            _log_unknown_commit(call.group, error)
             reply = unavailable_reply()
         return reply.SerializeToString()
 
@@ -247,7 +251,7 @@
         ran_at = state.latest_runner_id(begin.tenant, begin.program_id)
         is_new = not state.is_program_started(begin)
         has_cold = self._placement.cold.tracker.has_cold
-        now_s = self._look() if has_cold else asyncio.get_running_loop().time()
+        now_s = self._check_majority() if has_cold else asyncio.get_running_loop().time()
         placement = self._placement.place_turn(preview, ran_at, is_new, now_s)
         if placement.retry_after_ms:
             return no_room_reply(placement.retry_after_ms)
@@ -261,14 +265,14 @@
             self._group(request.group).led()
         except NotLeader as error:
             return not_leader_reply(error.leader_id).SerializeToString()
-        placement = self._placement.place(request, self._look())
+        placement = self._placement.place(request, self._check_majority())
         if placement.retry_after_ms:
             return no_room_reply(placement.retry_after_ms).SerializeToString()
         reply = wire.TurnReply(answer=wire.TURN_ANSWER_GRANTED)
         reply.runner_id, reply.permit_ms = placement.runner_id, placement.permit_ms
         return reply.SerializeToString()
 
-    def _refused_by_preview(
+    def _rejected_by_preview(
         self, begin: wire.BeginTurn, state: TurnLogState
     ) -> wire.TurnReply | None:
         """A preview's rejection applies to the begin that was sent beside it.
@@ -281,13 +285,13 @@
             return None
         return no_room_reply(retry_ms)
 
-    async def follow_lead(self) -> None:
-        """Check every ``LOOK_S`` whether this process hears a majority; runs until cancelled."""
+    async def monitor_majority(self) -> None:
+        """Check periodically whether this process hears a majority; runs until cancelled."""
         while True:
-            self._look()
-            await asyncio.sleep(LOOK_S)
+            self._check_majority()
+            await asyncio.sleep(MAJORITY_CHECK_INTERVAL_S)
 
-    def _look(self) -> float:
+    def _check_majority(self) -> float:
         """Check whether this process leads and hears a majority; return loop time.
 
         A process that leads several groups counts all of its permits in one window, so it looks at
@@ -295,34 +299,34 @@
         """
         now_s = asyncio.get_running_loop().time()
         terms = [
-            number * TERMS_OF_A_GROUP + group.replica.term
+            number * MAX_TERMS_PER_GROUP + group.replica.term
             for number, group in self._host.groups.items()
             if group.replica.is_ready_leader and group.replica.has_majority
         ]
         self._placement.cold.permit_counts.touch.look(min(terms, default=0), bool(terms), now_s)
         return now_s
 
-    def _take_report(self, command: wire.TurnCommand) -> None:
+    def _extract_report(self, command: wire.TurnCommand) -> None:
         """Take what a turn's end reports of runners off its command: it is not replicated."""
         if not command.HasField("report"):
             return
         now_s = asyncio.get_running_loop().time()
-        self._placement.take_report(command.finish.turn_id, command.report, now_s)
+        self._placement.end_turn(command.finish.turn_id, command.report, now_s)
         command.ClearField("report")
 
-    def _note_role(self, group_id: int, change: RoleChanged) -> None:
+    def _on_role_changed(self, group_id: int, change: RoleChanged) -> None:
         group = self._groups.get(group_id)
         if group is not None and change.role is Role.LEADER:
-            group.note_leading(asyncio.get_running_loop().time())
+            group.begin_term(asyncio.get_running_loop().time())
 
 
-def _must_gather(command: wire.TurnCommand, reply: wire.TurnReply) -> bool:
+def _needs_gather(command: wire.TurnCommand, reply: wire.TurnReply) -> bool:
     """Whether this group must take over the others' shares for a begin."""
-    is_elsewhere = reply.answer == wire.TURN_ANSWER_OTHER_GROUP
-    return is_elsewhere and reply.owner_group == command.group
+    is_other_group = reply.answer == wire.TURN_ANSWER_OTHER_GROUP
+    return is_other_group and reply.owner_group == command.group
 
 
-def _log_uncommitted(group: int, error: Exception) -> None:
+def _log_unknown_commit(group: int, error: Exception) -> None:
     log.say(
         "command not known to be committed: no majority, or the leader changed",
         group=group,
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -132,12 +132,12 @@
         )
         return placed.runner_id
 
-    def take_report(self, turn_id: str, report: wire.TurnReport, now_s: float) -> None:
+    def end_turn(self, turn_id: str, report: wire.TurnReport, now_s: float) -> None:
         """A turn has ended."""
         ended = Ended(turn_id, report.runner_id, report.event_gap_us / 1000, report.failed)
         self.cluster_load.end(ended, now_s)
 
-    def take_refusal(self, turn_id: str, now_s: float) -> None:
+    def cancel_turn(self, turn_id: str, now_s: float) -> None:
         """A turn that was placed was rejected after all."""
         self.cluster_load.end(Ended(turn_id), now_s)
 
