--- a/src/bendshed/turns/group_peers.py
+++ b/src/bendshed/turns/group_peers.py
@@ -14,7 +14,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 EMPTIED_TIMEOUT_S = 0.3
-LOOK_INTERVAL_S = 2.0
+LEADER_LOOKUP_INTERVAL_S = 2.0
 """The leader of another group is looked for this often, since one-way messages bring no answer."""
 
 
@@ -39,9 +39,9 @@
             lambda group: directory.node_ids_in(groups.home_zones(group)),
             lambda peer: neighbours.expected_round_trip_s(peer.host, transport.round_trip_s(peer)),
         )
-        self._turns = TurnClient(rng, self._client)
-        self._looked_s: dict[int, float] = {}
-        self._looking: set[asyncio.Task[None]] = set()
+        self._turn_client = TurnClient(rng, self._client)
+        self._last_lookup_s: dict[int, float] = {}
+        self._lookup_tasks: set[asyncio.Task[None]] = set()
 
     async def command(self, command: wire.TurnCommand, timeout_s: float) -> wire.TurnReply | None:
         """Commit a command in its group; ``None``: no leader answered in time.
@@ -50,7 +50,7 @@
         """
         timeout_s += FAR_TRIPS * self._client.round_trip_to_leader_s(command.group)
         try:
-            return await self._turns.command(command, timeout_s)
+            return await self._turn_client.command(command, timeout_s)
         except GroupUnavailable:
             return None
 
@@ -72,13 +72,13 @@
     def leader_address(self, group_id: int) -> Address | None:
         """Address of a group's leader as last named; ``None``: it is being looked for."""
         now_s = asyncio.get_running_loop().time()
-        if now_s - self._looked_s.get(group_id, float("-inf")) > LOOK_INTERVAL_S:
-            self._looked_s[group_id] = now_s
-            task = asyncio.get_running_loop().create_task(self._look_for(group_id))
-            self._looking.add(task)
-            task.add_done_callback(self._looking.discard)
+        if now_s - self._last_lookup_s.get(group_id, float("-inf")) > LEADER_LOOKUP_INTERVAL_S:
+            self._last_lookup_s[group_id] = now_s
+            task = asyncio.get_running_loop().create_task(self._find_leader(group_id))
+            self._lookup_tasks.add(task)
+            task.add_done_callback(self._lookup_tasks.discard)
         leader = self._client.leaders.get(group_id)
         return self._directory.resolve(leader) if leader is not None else None
 
-    async def _look_for(self, group_id: int) -> None:
-        await self._turns.preview(wire.TurnPreview(group=group_id))
+    async def _find_leader(self, group_id: int) -> None:
+        await self._turn_client.preview(wire.TurnPreview(group=group_id))
--- a/src/bendshed/turns/led_group.py
+++ b/src/bendshed/turns/led_group.py
@@ -47,8 +47,8 @@
 class LedGroup:
     """Commits commands of one group.
 
-    ``led``, ``elapsed_ms``, ``commit``, ``withdraw`` and ``admit_call`` raise ``NotLeader`` where
-    this process does not lead the group.
+    ``leader_state``, ``elapsed_ms``, ``commit``, ``withdraw`` and ``admit_call`` raise
+    ``NotLeader`` where this process does not lead the group.
 
     Attributes:
         group_id: which.
@@ -63,17 +63,17 @@
         self.quotas = quotas
         self._host = host
         self._clock: _LeaderClock | None = None
-        self._leads_since_s = 0.0
+        self._term_began_s = 0.0
         self._reservations = StandingReservations()
         self.unanswered = UnansweredBegins()
         self.refused = RefusedBegins(group_id)
-        self._begins = ProposedBegins()
+        self._proposed_begins = ProposedBegins()
 
     def begin_term(self, now_s: float) -> None:
         """A term of this process begins."""
-        self._leads_since_s = now_s
+        self._term_began_s = now_s
 
-    def led(self) -> tuple[TurnLogState, int]:
+    def leader_state(self) -> tuple[TurnLogState, int]:
         """Replicated state and term."""
         group = self._host.ready_group(self.group_id)
         assert isinstance(group.state, TurnLogState)
@@ -81,10 +81,10 @@
 
     def elapsed_ms(self) -> int:
         """Time of the log's clock, in ms."""
-        state, term = self.led()
+        state, term = self.leader_state()
         now_s = asyncio.get_running_loop().time()
         if self._clock is None or self._clock.term != term:
-            self._clock = _LeaderClock(term, state.clock_ms, self._leads_since_s)
+            self._clock = _LeaderClock(term, state.clock_ms, self._term_began_s)
         return self._clock.base_ms + int((now_s - self._clock.base_s) * 1000)
 
     async def commit(
@@ -97,7 +97,7 @@
         Raise ``NotLeader``, ``NotCommitted`` or ``CommitUnknown``.
         """
         command.elapsed_ms = self.elapsed_ms()
-        state, term = self.led()
+        state, term = self.leader_state()
         if command.HasField("begin"):
             refusal = self.quotas.admit_turn(command.begin, state, term, command.elapsed_ms)
             if refusal is not None:
@@ -113,7 +113,7 @@
             self.quotas.settle_allowance(command)
         applied.spend_ceiling = command.allowance.ceiling
         if applied.answer == wire.TURN_ANSWER_BUDGET_SPENT:
-            self._judge_refusal(command.begin, applied, state)
+            self._classify_refusal(command.begin, applied, state)
         return applied
 
     async def _propose(self, command: wire.TurnCommand) -> wire.TurnReply:
@@ -128,7 +128,7 @@
     ) -> wire.TurnReply:
         """Commit a begin; one that is committed too late for its front counts as unanswered."""
         begin = command.begin
-        self._begins.number(begin, term)
+        self._proposed_begins.number(begin, term)
         try:
             applied = await self._propose(command)
             if asyncio.get_running_loop().time() > answer_by_s:
@@ -137,7 +137,7 @@
             self.unanswered.record(begin, error.index)
             raise
         finally:
-            self._begins.settle(begin)
+            self._proposed_begins.settle(begin)
         return applied
 
     def due_withdrawals(self) -> list[wire.WithdrawBegin]:
@@ -157,10 +157,10 @@
 
         Raise ``NotLeader``, ``NotCommitted`` or ``CommitUnknown``.
         """
-        state, term = self.led()
+        state, term = self.leader_state()
         turn = turn_key(request)
-        self._begins.withdraw(request, term)
-        if not self._begins.can_release(turn, state):
+        self._proposed_begins.withdraw(request, term)
+        if not self._proposed_begins.can_release(turn, state):
             return wire.TurnReply()
         # The end of a turn that handed on nothing: replicas of every build apply it alike.
         end = wire.FinishTurn(
@@ -171,7 +171,7 @@
             retention_ms=request.retention_ms,
         )
         reply = await self.commit(wire.TurnCommand(finish=end, group=self.group_id))
-        self._begins.forget(turn)
+        self._proposed_begins.forget(turn)
         log.say(
             "reservation released: no begin of the turn was answered",
             request=request.turn_id,
@@ -181,7 +181,7 @@
         )
         return reply
 
-    def _judge_refusal(
+    def _classify_refusal(
         self, begin: wire.BeginTurn, reply: wire.TurnReply, state: TurnLogState
     ) -> None:
         """Tell a budget that is spent from one that only reservations hold back, and until when."""
@@ -202,7 +202,7 @@
 
         Raise ``NotLeader``, ``NotCommitted`` or ``CommitUnknown``.
         """
-        state, term = self.led()
+        state, term = self.leader_state()
         decision = self.quotas.admit_call(call, state, term, self.elapsed_ms())
         if isinstance(decision, CallAdmitted) and decision.counted_total:
             spent = wire.TenantSpent(
--- a/src/bendshed/turns/load_exchange.py
+++ b/src/bendshed/turns/load_exchange.py
@@ -37,17 +37,19 @@
         self._peers = peers
         self._cluster_load = cluster_load
         self._has_reported = False
-        transport.one_way_handlers[LOADS_METHOD] = self._take
+        transport.one_way_handlers[LOADS_METHOD] = self._receive_report
 
     async def run(self) -> None:
         """Report until cancelled; returns at once where there is one group."""
         while self._groups.count > 1:
             await asyncio.sleep(REPORT_INTERVAL_S)
-            led = self._host.led_groups()
-            if led:
-                self._report(led[0], [n for n in self._groups.numbers if n not in led])
+            led_groups = self._host.led_groups()
+            if led_groups:
+                self._send_report(
+                    led_groups[0], [n for n in self._groups.numbers if n not in led_groups]
+                )
 
-    def _report(self, own_group: int, others: list[int]) -> None:
+    def _send_report(self, own_group: int, others: list[int]) -> None:
         """Send the whole load; an empty one once, so that idle leaders send nothing."""
         own = self._cluster_load.own_loads()
         if not own and not self._has_reported:
@@ -64,14 +66,14 @@
             group=own_group, at_ms=at_ms, loads=loads, sender=self._host.node_id
         )
         payload = report.SerializeToString()
-        for address in self._leaders(others):
+        for address in self._leader_addresses(others):
             self._transport.send(address, LOADS_METHOD, payload)
 
-    def _leaders(self, groups: list[int]) -> set[Address]:
+    def _leader_addresses(self, groups: list[int]) -> set[Address]:
         found = (self._peers.leader_address(group) for group in groups)
         return {address for address in found if address is not None}
 
-    def _take(self, payload: bytes) -> None:
+    def _receive_report(self, payload: bytes) -> None:
         report = wire.RunnerLoads.FromString(payload)
         loads = [
             (row.runner_id, OtherLoad(row.num_running, row.num_tokens)) for row in report.loads
--- a/src/bendshed/turns/replica_gauges.py
+++ b/src/bendshed/turns/replica_gauges.py
@@ -32,7 +32,7 @@
 
     def add_to(self, metrics: TurnLogMetrics) -> None:
         """Add all gauges."""
-        self._add_of_groups(metrics)
+        self._add_group_gauges(metrics)
         readings: tuple[tuple[str, str, Callable[[], float]], ...] = (
             (
                 "bendshed_budget_shares_taken",
@@ -68,7 +68,7 @@
         for kind in Distance:
             trips.labels(kind.value).set_function(partial(self._round_trip_ms, kind))
 
-    def _add_of_groups(self, metrics: TurnLogMetrics) -> None:
+    def _add_group_gauges(self, metrics: TurnLogMetrics) -> None:
         readings: dict[str, tuple[str, Callable[[HostedGroup], float]]] = {
             "bendshed_turn_log_leader": (
                 "1 while this replica leads",
@@ -85,7 +85,7 @@
             ),
             "bendshed_turn_log_voters_in_a_zone": (
                 "Most voters that stand in one zone",
-                self._most_in_a_zone,
+                self._max_voters_in_zone,
             ),
         }
         for name, (text, read) in readings.items():
@@ -98,7 +98,7 @@
         group = self.host.groups.get(number)
         return float(read(group)) if group is not None else 0.0
 
-    def _most_in_a_zone(self, group: HostedGroup) -> float:
+    def _max_voters_in_zone(self, group: HostedGroup) -> float:
         zone_of = {node.node_id: node.zone for node in self.directory.by_name.values()}
         zones = Counter(zone_of.get(node, node) for node in group.replica.membership.voters)
         return float(max(zones.values(), default=0))
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -152,7 +152,7 @@
         requesting node may reach a group that is silent, and what is on its way between groups
         counts a moment later.
         """
-        state, _ = group.led()
+        state, _ = group.leader_state()
         refusal = self._rejected_by_preview(command.begin, state)
         if refusal is not None:
             return refusal
@@ -232,7 +232,7 @@
         Raise ``NotLeader``.
         """
         group = self._group(preview.group)
-        state, term = group.led()
+        state, term = group.leader_state()
         now_ms = group.elapsed_ms()
         begin = preview.begin
         reply = state.preview(begin)
@@ -262,7 +262,7 @@
         """Permit one dispatch that has no preview, or answer when there is room."""
         request = wire.RunnerAsk.FromString(payload)
         try:
-            self._group(request.group).led()
+            self._group(request.group).leader_state()
         except NotLeader as error:
             return not_leader_reply(error.leader_id).SerializeToString()
         placement = self._placement.place(request, self._check_majority())
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -39,7 +39,7 @@
         self.cluster_load = ClusterLoad(rng, distance)
         self.cold = cold
         self._catalog = catalog
-        self._listed_at = 0
+        self._runners_at = 0
 
     def place_turn(
         self, preview: wire.TurnPreview, ran_at: str, is_new_program: bool, now_s: float
@@ -53,7 +53,7 @@
             now_s: steady time.
 
         """
-        self._follow_list()
+        self._drop_unlisted_runners()
         regions = frozenset(preview.demand.regions) or None
         runners = self._catalog.ready_runners(preview.demand.service, regions)
         begin, chain = preview.begin, preview.demand.line
@@ -61,17 +61,17 @@
         permitted_runners = self.cold.permitted_runners(runners, request, now_s)
         if runners and not permitted_runners.runners:
             return self.cold.reject(runners, request, now_s)
-        demand = _read_demand(preview.begin, preview.demand, ran_at)
+        demand = _decode_demand(preview.begin, preview.demand, ran_at)
         runner_id = self._choose(demand, preview.demand.service, permitted_runners, now_s)
         if runner_id in permitted_runners.cold:
             return self.cold.grant(runner_id, request, now_s)
         return Placement(runner_id)
 
-    def place(self, requested: wire.RunnerAsk, now_s: float) -> Placement:
+    def place(self, ask: wire.RunnerAsk, now_s: float) -> Placement:
         """Permit one dispatch of a request without a preview, also to a runner that is warm
         here."""
-        self._follow_list()
-        demand = requested.demand
+        self._drop_unlisted_runners()
+        demand = ask.demand
         regions = frozenset(demand.regions) or None
         runners = [
             runner
@@ -80,29 +80,21 @@
         ]
         if not runners:
             return Placement()
-        request = PermitRequest(
-            requested.request_id, requested.request_id, requested.is_new_program
-        )
+        request = PermitRequest(ask.request_id, ask.request_id, ask.is_new_program)
         permitted_runners = self.cold.permit_limited_runners(runners, request, now_s)
         if not permitted_runners.runners:
             placement = self.cold.reject(runners, request, now_s)
-            self.cold.forget_rejection(requested.request_id)  # no begin follows it
+            self.cold.forget_rejection(ask.request_id)  # no begin follows it
             return placement
-        return self.cold.grant(
-            self._place(requested, permitted_runners.runners, now_s), request, now_s
-        )
+        return self.cold.grant(self._place(ask, permitted_runners.runners, now_s), request, now_s)
 
-    def _place(
-        self, requested: wire.RunnerAsk, runners: Sequence[ServiceRunner], now_s: float
-    ) -> str:
+    def _place(self, ask: wire.RunnerAsk, runners: Sequence[ServiceRunner], now_s: float) -> str:
         """A turn by the cluster load; another request by permits, as its end is not reported."""
-        demand = requested.demand
+        demand = ask.demand
         if not demand.parts:
             avoided = frozenset(demand.avoided)
-            return self.cold.least_loaded(
-                runners, requested.request_id, demand.zone, avoided, now_s
-            )
-        turn = _read_demand(wire.BeginTurn(turn_id=requested.request_id), demand, "")
+            return self.cold.least_loaded(runners, ask.request_id, demand.zone, avoided, now_s)
+        turn = _decode_demand(wire.BeginTurn(turn_id=ask.request_id), demand, "")
         cold = {r.runner_id for r in runners if self.cold.tracker.is_cold(r.runner_id)}
         return self._choose(turn, demand.service, PermittedRunners(runners, cold), now_s)
 
@@ -146,23 +138,23 @@
         known = document.services.get(service) if document is not None else None
         return known.engine.memory_tokens if known is not None and known.engine is not None else 0
 
-    def _follow_list(self) -> None:
-        if self._catalog.runners_at != self._listed_at:
-            self._listed_at = self._catalog.runners_at
+    def _drop_unlisted_runners(self) -> None:
+        if self._catalog.runners_at != self._runners_at:
+            self._runners_at = self._catalog.runners_at
             self.cluster_load.retain_only(self._catalog.runner_ids)
 
 
-def _read_demand(begin: wire.BeginTurn, wanted: wire.TurnDemand, ran_at: str) -> Demand:
+def _decode_demand(begin: wire.BeginTurn, wire_demand: wire.TurnDemand, ran_at: str) -> Demand:
     """Decode the wire's demand; its ``line`` is the id of the chain."""
     return Demand(
         turn_id=begin.turn_id,
-        chain=wanted.line,
-        parts=[PromptPart(part.part_id, part.tokens) for part in wanted.parts],
+        chain=wire_demand.line,
+        parts=[PromptPart(part.part_id, part.tokens) for part in wire_demand.parts],
         most_tokens=begin.most_tokens,
-        left_s=wanted.left_ms / 1000,
-        connected=frozenset(wanted.connected),
-        avoided=frozenset(wanted.avoided),
-        zone=wanted.zone,
+        left_s=wire_demand.left_ms / 1000,
+        connected=frozenset(wire_demand.connected),
+        avoided=frozenset(wire_demand.avoided),
+        zone=wire_demand.zone,
         ran_at=ran_at,
-        body_bytes=wanted.body_bytes,
+        body_bytes=wire_demand.body_bytes,
     )
--- a/tests/region_defects.py
+++ b/tests/region_defects.py
@@ -141,7 +141,7 @@
     """A release is told from the state, and its entry goes on by itself."""
     if not command.HasField("release"):
         return await _REAL_COMMIT(service, command, answer_by_s)
-    state, _term = service._group(command.group).led()
+    state, _term = service._group(command.group).leader_state()
     ask = command.release
     program = state.programs.get((ask.tenant, ask.program_id), ProgramBudget())
     spare = program.spare_tokens(ask.budget_tokens, command.group, ask.num_groups)
