--- a/tests/test_budget_shares.py
+++ b/tests/test_budget_shares.py
@@ -198,7 +198,7 @@
     @given(
         st.lists(st.tuples(st.integers(0, 5), st.integers(0, 1), st.integers(0, 9)), max_size=40)
     )
-    def test_never_more_than_the_budget(self, steps: list[tuple[int, int, int]]) -> None:
+    def test_granted_tokens_never_exceed_budget(self, steps: list[tuple[int, int, int]]) -> None:
         """Begins, ends, releases and takes in any order, lost, late and doubled."""
         groups = Groups()
         granted: dict[tuple[int, str], int] = {}
--- a/tests/test_turn_client.py
+++ b/tests/test_turn_client.py
@@ -1,4 +1,4 @@
-"""The fronts' side of the turn log: what is told of a loss."""
+"""The fronts' side of the turn log: what is logged of a loss."""
 
 import unittest
 from unittest import mock
@@ -16,19 +16,19 @@
         self.log = patch.start()
         self.addCleanup(patch.stop)
 
-    def told(self) -> list[str]:
+    def logged(self) -> list[str]:
         return [call.args[0] for call in self.log.say.call_args_list]
 
-    def test_a_change_of_the_leader_is_not_told_as_a_loss(self) -> None:
+    def test_leader_change_is_not_logged_as_loss(self) -> None:
         leader = self.world.leader()
         assert leader is not None
         self.world.kill(leader)
         for _ in range(6):
             self.world.start_program(ProgramPlan(turns=2, tools=0))
         self.world.run_for(4.0)
-        self.assertEqual(self.told(), [])
+        self.assertEqual(self.logged(), [])
 
-    def test_a_loss_is_told_once_and_its_end_too(self) -> None:
+    def test_loss_and_recovery_are_logged_once(self) -> None:
         front = self.world.fronts["front-1"]
         for other in [*self.world.stores.values(), *self.world.fronts.values()]:
             if other is not front:
@@ -39,6 +39,6 @@
         self.world.network.cuts.clear()
         self.world.run_for(4.0)
         self.assertEqual(
-            self.told(),
+            self.logged(),
             ["turn log lost: no replica answers", "turn log regained: a replica answered"],
         )
--- a/tests/test_turn_groups.py
+++ b/tests/test_turn_groups.py
@@ -21,7 +21,7 @@
 PLAN = ProgramPlan(turns=3, tools=0)
 
 
-class WorldTest(unittest.TestCase):
+class TurnGroupsTest(unittest.TestCase):
     layout: SiteLayout = TWO_REGIONS
     seed = 1
 
@@ -69,12 +69,12 @@
         program.pick_node = lambda: self.world.rng.choice(fronts)
         return program
 
-    def assert_rules_hold(self) -> None:
+    def assert_no_violations(self) -> None:
         self.assertEqual(self.world.settle(), [])
 
 
-class PlaceTest(WorldTest):
-    def test_voters_stand_mostly_at_home_and_leaders_there(self) -> None:
+class HomeRegionTest(TurnGroupsTest):
+    def test_most_voters_and_the_leader_are_in_the_home_region(self) -> None:
         for group, num_home in ((FAR, 3), (NEAR, 4)):
             with self.subTest(group=group):
                 voters = self.voters(group)
@@ -82,7 +82,7 @@
                 self.assertEqual(sum(self.is_home(voter, group) for voter in voters), num_home)
                 self.assertTrue(self.is_home(self.leader(group), group))
 
-    def test_a_killed_leader_is_followed_by_one_at_home(self) -> None:
+    def test_killed_leader_is_replaced_in_the_home_region(self) -> None:
         for group in (FAR, NEAR):
             with self.subTest(group=group):
                 before = self.leader(group)
@@ -92,7 +92,7 @@
                 self.world.restart(before)
                 self.world.run_for(6.0)
 
-    def test_a_leader_away_from_home_hands_over(self) -> None:
+    def test_leader_outside_home_region_hands_over(self) -> None:
         home = [voter for voter in self.voters(FAR) if self.is_home(voter, FAR)]
         for voter in home:
             self.world.kill(voter)
@@ -101,7 +101,7 @@
         self.world.run_for(4.0)
         self.assertTrue(self.is_home(self.leader(FAR), FAR))
 
-    def test_a_turn_waits_for_no_other_region(self) -> None:
+    def test_turn_does_not_wait_for_another_region(self) -> None:
         """From the second on: the first finds out who leads."""
         for region in ("near", "far"):
             with self.subTest(region=region):
@@ -118,15 +118,15 @@
                 self.assertEqual(len(waits), 4)
                 self.assertLess(max(waits), TWO_REGIONS.between_regions_s)
 
-    def test_a_region_that_is_cut_off_serves_its_own_programs(self) -> None:
+    def test_isolated_region_serves_its_own_programs(self) -> None:
         self.cut_regions()
         self.world.run_for(1.0)
         programs = [self.start(region) for region in ("near", "far") for _ in range(3)]
         self.world.run_for(4.0)
         self.assertTrue(all(program.finished for program in programs))
-        self.assert_rules_hold()
+        self.assert_no_violations()
 
-    def test_two_lost_disks_of_a_region_lose_nothing(self) -> None:
+    def test_loss_of_two_disks_in_a_region_loses_no_turn(self) -> None:
         program = self.start("far")
         self.world.run_for(3.0)
         self.assertTrue(program.finished)
@@ -135,14 +135,14 @@
             self.world.kill(store)
             del self.world.stores[store.name]
         self.world.wait_for(self.world.is_led, 5.0)
-        again = self.start("far", continues=program.last_turn)
+        continuation = self.start("far", continues=program.last_turn)
         self.world.run_for(4.0)
-        self.assertTrue(again.finished, again.statuses)
-        self.assert_rules_hold()
+        self.assertTrue(continuation.finished, continuation.statuses)
+        self.assert_no_violations()
 
-    def test_cut_distant_voters_cost_no_commit(self) -> None:
-        away = [voter for voter in self.voters(FAR) if not self.is_home(voter, FAR)]
-        for voter in away:
+    def test_isolated_remote_voters_delay_no_commit(self) -> None:
+        remote = [voter for voter in self.voters(FAR) if not self.is_home(voter, FAR)]
+        for voter in remote:
             for other in self.world.stores.values():
                 if other is not voter:
                     self.cut(voter, other)
@@ -152,13 +152,13 @@
         self.assertEqual(set(program.statuses), {200})
 
 
-class BudgetTest(WorldTest):
-    def handed(self, program: AgentProgram) -> int:
+class BudgetTest(TurnGroupsTest):
+    def num_events_received(self, program: AgentProgram) -> int:
         answers = [r.answer for r in self.world.seen.requests if r.program_id == program.program_id]
         return sum(answer.count(b"\n\n") for answer in answers)
 
-    def test_first_turns_at_both_regions_at_once(self) -> None:
-        """Sub-agents of one program enter everywhere at the same moment, again and again."""
+    def test_first_turns_in_both_regions_at_once(self) -> None:
+        """Sub-agents of one program enter in both regions at the same time, four times over."""
         for _ in range(4):
             plan = ProgramPlan(turns=1, tools=0, sub_agents=6, loops=True)
             self.world.start_program(plan, budget_tokens=300)
@@ -167,18 +167,18 @@
         self.assertGreater(statuses[402], 0)
         wrong_previews = {502}
         self.assertEqual(set(statuses) - {200, 402, 503, 0} - wrong_previews, set())
-        self.assert_rules_hold()
+        self.assert_no_violations()
 
-    def test_a_program_spends_its_whole_budget_in_either_region(self) -> None:
+    def test_program_can_spend_its_whole_budget_in_either_region(self) -> None:
         for region in ("near", "far"):
             with self.subTest(region=region):
                 plan = ProgramPlan(turns=1, tools=0, sub_agents=2, loops=True)
                 program = self.start(region, plan, budget_tokens=400)
                 self.world.run_for(10.0)
                 self.assertIn(402, program.statuses)
-                self.assertGreater(8 * self.handed(program), 400 - 2 * 8 * 8)
+                self.assertGreater(8 * self.num_events_received(program), 400 - 2 * 8 * 8)
 
-    def test_without_the_other_group_a_share_is_spent_and_no_402_told(self) -> None:
+    def test_share_is_spent_without_402_while_other_group_is_unreachable(self) -> None:
         self.cut_regions()
         self.world.run_for(1.0)
         plan = ProgramPlan(turns=1, tools=0, sub_agents=2, loops=True)
@@ -186,10 +186,10 @@
         self.world.run_for(12.0)
         self.assertNotIn(402, program.statuses)
         self.assertIn(503, program.statuses)
-        self.assertLessEqual(8 * self.handed(program), 200)
-        self.assert_rules_hold()
+        self.assertLessEqual(8 * self.num_events_received(program), 200)
+        self.assert_no_violations()
 
-    def cut_stores(self) -> None:
+    def cut_stores_between_regions(self) -> None:
         """Stores of two regions do not reach each other; fronts reach both."""
         for one in self.world.stores.values():
             for other in self.world.stores.values():
@@ -197,44 +197,44 @@
                     self.cut(one, other)
         self.world.run_for(1.0)
 
-    def test_a_chain_of_the_other_region_gets_the_whole_budget_by_way_of_fronts(self) -> None:
-        kept = self.start("near", ProgramPlan(turns=1, tools=0))
+    def test_chain_of_other_region_gets_whole_budget_through_fronts(self) -> None:
+        stored = self.start("near", ProgramPlan(turns=1, tools=0))
         self.world.run_for(2.0)
-        self.cut_stores()
+        self.cut_stores_between_regions()
         plan = ProgramPlan(turns=4, tools=0)
-        program = self.start("far", plan, continues=kept.last_turn, budget_tokens=4 * 8 * 9)
+        program = self.start("far", plan, continues=stored.last_turn, budget_tokens=4 * 8 * 9)
         self.world.run_for(6.0)
         self.assertTrue(program.finished, program.statuses)
-        self.assert_rules_hold()
+        self.assert_no_violations()
 
-    def test_fronts_take_shares_between_leaders_that_do_not_reach_each_other(self) -> None:
-        self.cut_stores()
+    def test_fronts_transfer_shares_between_disconnected_leaders(self) -> None:
+        self.cut_stores_between_regions()
         plan = ProgramPlan(turns=1, tools=0, sub_agents=2, loops=True)
         program = self.start("near", plan, budget_tokens=400)
         self.world.run_for(12.0)
         self.assertIn(402, program.statuses)
-        self.assertGreater(8 * self.handed(program), 400 - 2 * 8 * 8)
-        self.assert_rules_hold()
+        self.assertGreater(8 * self.num_events_received(program), 400 - 2 * 8 * 8)
+        self.assert_no_violations()
 
-    def test_releases_that_are_lost_or_late_or_doubled(self) -> None:
-        """Every second answer to a release is lost, every third question is asked twice."""
-        command = TurnClient.command
-        num_asked = 0
+    def test_lost_and_duplicate_releases(self) -> None:
+        """Every second answer to a release is lost; every third release is sent twice."""
+        send_command = TurnClient.command
+        num_releases = 0
 
         async def unreliable(
             client: TurnClient,
-            asked: wire.TurnCommand,
+            command: wire.TurnCommand,
             timeout_s: float,
             before_attempt: Callable[[], None] = lambda: None,
         ) -> wire.TurnReply:
-            nonlocal num_asked
-            reply = await command(client, asked, timeout_s, before_attempt)
-            if not asked.HasField("release"):
+            nonlocal num_releases
+            reply = await send_command(client, command, timeout_s, before_attempt)
+            if not command.HasField("release"):
                 return reply
-            num_asked += 1
-            if num_asked % 3 == 0:
-                reply = await command(client, asked, timeout_s)
-            if num_asked % 2:
+            num_releases += 1
+            if num_releases % 3 == 0:
+                reply = await send_command(client, command, timeout_s)
+            if num_releases % 2:
                 raise GroupUnavailable("the answer was lost")
             return reply
 
@@ -243,10 +243,10 @@
                 plan = ProgramPlan(turns=2, tools=0, sub_agents=4, loops=True)
                 self.world.start_program(plan, budget_tokens=400)
             self.world.run_for(10.0)
-        self.assertGreater(num_asked, 5)
-        self.assert_rules_hold()
+        self.assertGreater(num_releases, 5)
+        self.assert_no_violations()
 
-    def test_the_other_groups_leader_is_lost_while_it_releases(self) -> None:
+    def test_leader_of_other_group_fails_during_release(self) -> None:
         for _ in range(4):
             plan = ProgramPlan(turns=2, tools=0, sub_agents=4, loops=True)
             self.world.start_program(plan, budget_tokens=400)
@@ -257,9 +257,9 @@
                 self.world.run_for(0.5)
                 self.world.restart(leader)
         self.world.run_for(6.0)
-        self.assert_rules_hold()
+        self.assert_no_violations()
 
-    def test_a_short_program_asks_no_other_group(self) -> None:
+    def test_short_program_requests_no_other_group(self) -> None:
         with mock.patch.object(ShareGatherer, "_gather") as gather:
             program = self.start("near", ProgramPlan(turns=1, tools=0), budget_tokens=100_000)
             self.world.run_for(2.0)
@@ -267,23 +267,23 @@
         gather.assert_not_called()
 
 
-class ChainTest(WorldTest):
-    def kept_turn(self, region: str) -> str:
+class ChainTest(TurnGroupsTest):
+    def store_turn(self, region: str) -> str:
         program = self.start(region)
         self.world.run_for(3.0)
         self.assertTrue(program.finished)
         return program.last_turn
 
-    def test_a_turn_of_the_other_region_is_found(self) -> None:
-        for kept_in, asked_in in (("near", "far"), ("far", "near")):
-            with self.subTest(kept_in=kept_in):
-                turn = self.kept_turn(kept_in)
-                program = self.start(asked_in, continues=turn)
+    def test_turn_of_other_region_is_found(self) -> None:
+        for stored_in, continued_in in (("near", "far"), ("far", "near")):
+            with self.subTest(stored_in=stored_in):
+                turn = self.store_turn(stored_in)
+                program = self.start(continued_in, continues=turn)
                 self.world.run_for(4.0)
                 self.assertTrue(program.finished, program.statuses)
-        self.assert_rules_hold()
+        self.assert_no_violations()
 
-    def test_no_such_turn_is_told_only_when_each_group_has_said_so(self) -> None:
+    def test_404_requires_an_answer_from_every_group(self) -> None:
         with mock.patch.object(SiteWorld, "tenant_of", lambda _world, _turn: ""):
             known = self.start("near", ProgramPlan(turns=1, tools=0), continues="nobody's")
             self.world.run_for(3.0)
@@ -295,10 +295,10 @@
         self.assertIn(503, silent.statuses)
 
 
-class TenantTest(WorldTest):
+class TenantTest(TurnGroupsTest):
     layout = TWO_REGIONS_WITH_TENANTS
 
-    def test_a_tenants_turns_are_all_in_one_group(self) -> None:
+    def test_turns_of_a_tenant_are_in_one_group(self) -> None:
         for _ in range(6):
             self.world.start_program(PLAN)
         self.world.run_for(5.0)
@@ -308,11 +308,11 @@
                 tenants = {tenant for tenant, _ in group.state.turns}  # type: ignore[attr-defined]
                 held = {self.layout.groups.of_tenant(tenant) for tenant in tenants}
                 self.assertLessEqual(held, {number})
-        self.assert_rules_hold()
+        self.assert_no_violations()
 
 
-class RetirementTest(WorldTest):
-    def test_a_machine_is_emptied_of_all_groups(self) -> None:
+class RetirementTest(TurnGroupsTest):
+    def test_retired_machine_leaves_all_groups(self) -> None:
         for group in (FAR, NEAR):
             for leaving in self.voters(group):
                 if leaving.name not in self.world.stores or len(self.world.stores) < 6:
@@ -333,7 +333,7 @@
                     self.assertNotIn(node_id, [*members.voters, *members.learners])
                 break
 
-    def test_it_goes_on_under_load_while_a_leader_is_lost(self) -> None:
+    def test_retirement_completes_under_load_despite_leader_loss(self) -> None:
         """Distant voters always lag behind; the leader has no power from 0.3 to 3.3 s."""
         for _ in range(20):
             self.world.start_program(ProgramPlan(turns=60, tools=0), budget_tokens=100_000)
@@ -349,18 +349,18 @@
 
 
 class GroupsOfPlacesTest(unittest.TestCase):
-    def test_one_region_or_none_is_one_group(self) -> None:
+    def test_zero_or_one_region_makes_one_group(self) -> None:
         for region_of in ({}, {"a": "r", "b": "r"}, {"a": "", "b": "r"}):
             groups = TurnGroups.of(Places(region_of))
             self.assertEqual((groups.count, groups.home_zones(0)), (1, None))
 
-    def test_a_group_for_each_region_in_the_order_of_names(self) -> None:
+    def test_one_group_per_region_in_name_order(self) -> None:
         groups = TurnGroups.of(Places({"a": "west", "b": "east", "c": "west"}))
         self.assertEqual(groups.homes, ("east", "west"))
         self.assertEqual(groups.home_zones(1), {"a", "c"})
         self.assertEqual([groups.at_home_in(zone) for zone in "abc"], [1, 0, 1])
 
-    def test_operators_may_have_one_group_all_the_same(self) -> None:
+    def test_regional_groups_can_be_disabled(self) -> None:
         groups = TurnGroups.of(Places({"a": "west", "b": "east"}), is_regional=False)
         self.assertEqual(groups.count, ONE_GROUP.count)
 
--- a/tests/test_turn_state.py
+++ b/tests/test_turn_state.py
@@ -61,7 +61,7 @@
 
 
 class ChainTest(unittest.TestCase):
-    def test_a_chain_comes_oldest_first(self) -> None:
+    def test_chain_is_returned_oldest_first(self) -> None:
         log = Log()
         for turn, previous in (("a", ""), ("b", "a"), ("c", "b")):
             log.begin(turn, previous)
@@ -69,7 +69,7 @@
         reply = log.begin("d", "c")
         self.assertEqual([piece.transcript for piece in reply.chain], [b"[a]", b"[b]", b"[c]"])
 
-    def test_a_held_transcript_is_not_sent_again(self) -> None:
+    def test_cached_transcript_is_not_sent_again(self) -> None:
         log = Log()
         log.begin("a")
         log.finish("a")
@@ -77,25 +77,25 @@
         self.assertEqual((reply.held_turn, list(reply.chain)), ("a", []))
         self.assertEqual(len(log.begin("c", "a", held="z").chain), 1)
 
-    def test_an_unknown_turn_reserves_nothing(self) -> None:
+    def test_unknown_previous_turn_reserves_nothing(self) -> None:
         log = Log()
         self.assertEqual(log.begin("b", "a").answer, wire.TURN_ANSWER_UNKNOWN_TURN)
         self.assertEqual(log.begin("c", budget=100).answer, wire.TURN_ANSWER_GRANTED)
 
-    def test_a_broken_turn_is_not_kept(self) -> None:
+    def test_broken_turn_is_not_stored(self) -> None:
         log = Log()
         log.begin("a")
         log.finish("a", outcome=wire.TURN_OUTCOME_BROKEN)
         self.assertEqual(log.begin("b", "a").answer, wire.TURN_ANSWER_UNKNOWN_TURN)
 
-    def test_another_program_may_continue_a_turn(self) -> None:
+    def test_another_program_may_continue_turn(self) -> None:
         log = Log()
         log.begin("a")
         log.finish("a")
         other = wire.BeginTurn(program_id="q", turn_id="b", previous_turn="a", most_tokens=1)
         self.assertEqual(log.apply(begin=other).answer, wire.TURN_ANSWER_GRANTED)
 
-    def test_a_chain_lives_as_long_as_its_newest_turn(self) -> None:
+    def test_chain_is_stored_as_long_as_its_newest_turn(self) -> None:
         log = Log()
         log.begin("a")
         log.finish("a")
@@ -107,7 +107,7 @@
         log.now_ms = 4 * RETENTION_MS
         self.assertEqual(log.begin("d", "b").answer, wire.TURN_ANSWER_UNKNOWN_TURN)
 
-    def test_the_clock_never_runs_backwards(self) -> None:
+    def test_clock_never_runs_backwards(self) -> None:
         log = Log()
         log.now_ms = 5000
         log.begin("a")
@@ -143,23 +143,23 @@
         )
         log.apply(finish=finish)
 
-    def test_another_tenants_turn_is_no_turn(self) -> None:
+    def test_turn_of_another_tenant_is_unknown(self) -> None:
         log = Log()
         self.begin(log, "one", "a")
         self.finish(log, "one", "a")
         self.assertEqual(self.begin(log, "two", "b", "a").answer, wire.TURN_ANSWER_UNKNOWN_TURN)
         self.assertEqual(self.begin(log, "", "b", "a").answer, wire.TURN_ANSWER_UNKNOWN_TURN)
-        asked = wire.BeginTurn(tenant="two", program_id="p", turn_id="b", previous_turn="a")
-        self.assertEqual(log.state.preview(asked).answer, wire.TURN_ANSWER_UNKNOWN_TURN)
+        begin = wire.BeginTurn(tenant="two", program_id="p", turn_id="b", previous_turn="a")
+        self.assertEqual(log.state.preview(begin).answer, wire.TURN_ANSWER_UNKNOWN_TURN)
         self.assertEqual(self.begin(log, "one", "b", "a").answer, wire.TURN_ANSWER_GRANTED)
 
-    def test_one_program_id_of_two_tenants_is_two_programs(self) -> None:
+    def test_same_program_id_of_two_tenants_is_two_programs(self) -> None:
         log = Log()
         self.assertEqual(self.begin(log, "one", "a").answer, wire.TURN_ANSWER_GRANTED)
         self.assertEqual(self.begin(log, "two", "b").answer, wire.TURN_ANSWER_GRANTED)
         self.assertEqual(self.begin(log, "one", "c").answer, wire.TURN_ANSWER_BUDGET_SPENT)
 
-    def test_one_turn_id_of_two_tenants_is_two_turns(self) -> None:
+    def test_same_turn_id_of_two_tenants_is_two_turns(self) -> None:
         log = Log()
         for tenant in ("one", "two"):
             self.begin(log, tenant, "a")
@@ -167,7 +167,7 @@
         pieces = self.begin(log, "one", "b", "a").chain
         self.assertEqual([piece.transcript for piece in pieces], [b"one"])
 
-    def test_a_turn_whose_begin_was_lost_counts_at_its_end_if_it_was_sent(self) -> None:
+    def test_dispatched_turn_without_begin_is_counted_at_its_end(self) -> None:
         for was_sent, counted in ((True, 1), (False, 0)):
             with self.subTest(was_sent=was_sent):
                 log = Log()
@@ -176,13 +176,13 @@
                 log.apply(finish=finish)
                 self.assertEqual(log.state.usage.in_window("a", 0, 5_000), counted)
 
-    def test_a_turn_that_was_reserved_is_not_counted_again_at_its_end(self) -> None:
+    def test_reserved_turn_is_not_counted_again_at_its_end(self) -> None:
         log = Log()
         self.begin(log, "a", "t")
         log.apply(finish=wire.FinishTurn(tenant="a", program_id="p", turn_id="t", was_sent=True))
         self.assertEqual(log.state.usage.in_window("a", 0, 5_000), 1)
 
-    def test_usage_counts_a_turn_once_and_survives_a_snapshot(self) -> None:
+    def test_usage_counts_turn_once_and_survives_snapshot(self) -> None:
         log, copy = Log(), Log()
         for _ in range(2):
             self.begin(log, "one", "a")
@@ -196,7 +196,7 @@
 
 
 class BudgetTest(unittest.TestCase):
-    def test_turns_under_way_count_at_their_most(self) -> None:
+    def test_running_turns_reserve_their_maximum(self) -> None:
         log = Log()
         self.assertEqual(log.begin("a", budget=250).answer, wire.TURN_ANSWER_GRANTED)
         self.assertEqual(log.begin("b", budget=250).answer, wire.TURN_ANSWER_GRANTED)
@@ -204,18 +204,18 @@
         log.finish("a", tokens=10)
         self.assertEqual(log.begin("d", budget=250).answer, wire.TURN_ANSWER_GRANTED)
 
-    def test_a_doubled_begin_reserves_once(self) -> None:
+    def test_duplicate_begin_reserves_once(self) -> None:
         log = Log()
         log.begin("a")
         self.assertEqual(log.begin("a").reserved_tokens, 100)
 
-    def test_a_doubled_finish_charges_once(self) -> None:
+    def test_duplicate_finish_charges_once(self) -> None:
         log = Log()
         log.begin("a")
         log.finish("a")
         self.assertEqual(log.finish("a").spent_tokens, 50)
 
-    def test_a_begin_that_comes_after_its_finish_is_refused(self) -> None:
+    def test_begin_after_its_finish_is_refused(self) -> None:
         log = Log()
         log.finish("a", tokens=0, outcome=wire.TURN_OUTCOME_NOTHING_HANDED_ON)
         self.assertEqual(log.begin("a").answer, wire.TURN_ANSWER_CLOSED)
@@ -223,26 +223,26 @@
 
     @settings(max_examples=200)
     @given(st.lists(st.tuples(st.booleans(), st.integers(0, 7), st.integers(1, 60))))
-    def test_never_more_than_the_budget(self, steps: list[tuple[bool, int, int]]) -> None:
-        """Whatever comes in whatever order, doubled or late: what may be handed out fits."""
+    def test_granted_tokens_never_exceed_budget(self, steps: list[tuple[bool, int, int]]) -> None:
+        """Whatever comes in whatever order, doubled or late: what may be handed_out out fits."""
         log = Log()
         most: dict[str, int] = {}
-        handed: dict[str, int] = {}
+        handed_out: dict[str, int] = {}
         for is_begin, number, tokens in steps:
             turn = str(number)
             if is_begin:
                 reply = log.begin(turn, budget=120, most=most.get(turn, tokens))
                 if reply.answer == wire.TURN_ANSWER_GRANTED:
                     most.setdefault(turn, tokens)
-            elif turn in most and turn not in handed:
-                handed[turn] = min(tokens, most[turn])
-                log.finish(turn, tokens=handed[turn])
-            worst = sum(handed.get(name, size) for name, size in most.items())
+            elif turn in most and turn not in handed_out:
+                handed_out[turn] = min(tokens, most[turn])
+                log.finish(turn, tokens=handed_out[turn])
+            worst = sum(handed_out.get(name, size) for name, size in most.items())
             self.assertLessEqual(worst, 120)
 
 
 class SnapshotTest(unittest.TestCase):
-    def test_where_a_programs_latest_turn_ran_survives_a_snapshot(self) -> None:
+    def test_latest_runner_survives_snapshot(self) -> None:
         log, copy = Log(), Log()
         for turn, runner in (("t1", "a"), ("t2", "b"), ("t3", "")):
             finish = wire.FinishTurn(program_id="p", turn_id=turn, runner_id=runner)
@@ -252,31 +252,31 @@
             (copy.state.latest_runner_id("", "p"), copy.state.latest_runner_id("", "q")), ("b", "")
         )
 
-    def test_a_snapshot_without_tenants_opens(self) -> None:
+    def test_snapshot_of_earlier_version_without_tenants_is_restored(self) -> None:
         """What an earlier version of the program wrote: no tenant anywhere, no usage."""
-        kept = wire.KeptTurn(turn_id="a", transcript=b"[a]", expires_ms=RETENTION_MS)
+        stored = wire.KeptTurn(turn_id="a", transcript=b"[a]", expires_ms=RETENTION_MS)
         budget = wire.ProgramBudget(program_id="p", spent_tokens=60, expires_ms=RETENTION_MS)
-        earlier = wire.TurnLogSnapshot(clock_ms=5, turns=[kept], programs=[budget])
+        earlier = wire.TurnLogSnapshot(clock_ms=5, turns=[stored], programs=[budget])
         log = Log()
         log.state.restore(earlier.SerializeToString())
         reply = log.begin("b", "a", budget=200)
         self.assertEqual([piece.transcript for piece in reply.chain], [b"[a]"])
         self.assertEqual(reply.spent_tokens, 60)
 
-    def test_a_restored_state_forgets_when_all_others_do(self) -> None:
+    def test_restored_state_expires_entries_with_the_others(self) -> None:
         """A budget must not be fresh at the one replica that was restored between two sweeps."""
         log, copy = Log(), Log()
         log.begin("a", budget=100, most=60)
         log.finish("a", tokens=60)
-        kept_ms = log.state.programs["", "p"].expires_ms
-        for now_ms in (kept_ms - 700, kept_ms + 500):
+        expires_ms = log.state.programs["", "p"].expires_ms
+        for now_ms in (expires_ms - 700, expires_ms + 500):
             log.now_ms = copy.now_ms = now_ms
             copy.state.restore(log.state.snapshot())
             replies = [each.begin("b", budget=100, most=60) for each in (log, copy)]
             self.assertEqual(replies[0], replies[1])
             self.assertEqual(log.state.snapshot(), copy.state.snapshot())
 
-    def test_a_restored_state_answers_alike(self) -> None:
+    def test_restored_state_answers_identically(self) -> None:
         log, copy = Log(), Log()
         log.now_ms = 1234
         log.begin("a")
