--- a/tests/site_budget_defects.py
+++ b/tests/site_budget_defects.py
@@ -23,23 +23,23 @@
 """Longer than a turn waits for its begin."""
 LONG_OUTAGE_S = 30.0
 """The turn log may be away for any length of time."""
-LED_AGAIN_S = 5.0
+NEW_LEADER_TIMEOUT_S = 5.0
 ANSWER_S = 1.0
-SOON_S = 0.1
-LATER_TRIES = 6
+SHORT_WAIT_S = 0.1
+MAX_LATER_ATTEMPTS = 6
 """Tries of a program, a second apart, within which its reservations must be released."""
 SLOW_COMMIT_S = 0.35
 """Longer than a front waits for an answer, shorter than a leader stays with a slow disk."""
 SLOW_PATH_S = 0.3
-RELAYED_S = 0.15
+RELAY_ANSWER_S = 0.15
 """A request that is silent on its direct path is answered through a relay within this time."""
-SLOW_RUNNER = 18.0
+SLOW_RUNNER_FACTOR = 18.0
 """A turn of three events takes some 2.5 s."""
-WITHDRAWN_S = 2.3
+WITHDRAWAL_S = 2.3
 """A begin that was not answered is withdrawn within this time."""
 
 
-def ask(
+def send_turn(
     site: SiteWorld,
     number: int,
     previous: str = "",
@@ -62,7 +62,7 @@
     return request
 
 
-def silence_voters(site: SiteWorld) -> None:
+def cut_voter_links(site: SiteWorld) -> None:
     """The leader reaches the other stores; nothing else passes between stores."""
     leader = site.leader()
     assert leader is not None
@@ -71,78 +71,78 @@
     site.network.cuts.update((one, other) for one in others for other in hosts if one != other)
 
 
-def ask_again(site: SiteWorld, stored: SiteRequest) -> list[Violation]:
+def continue_twice(site: SiteWorld, stored: SiteRequest) -> list[Violation]:
     """Go on from a stored turn twice, with more than the time between in which ends come."""
     found: list[Violation] = []
     for number in (1, 2):
-        last = ask(site, OUTAGES + number, stored.request_id)
-        site.run_for(LED_AGAIN_S)
+        last = send_turn(site, OUTAGES + number, stored.request_id)
+        site.run_for(NEW_LEADER_TIMEOUT_S)
         assert last.status, "the last turn is not answered"
-        found += not_served(last)
+        found += check_served(last)
     return found
 
 
-def not_served(last: SiteRequest) -> list[Violation]:
+def check_served(last: SiteRequest) -> list[Violation]:
     """What a program at rest sees: its budget holds the turn."""
     if last.status == 200:
         return []
     return [Violation(Rule.RELEASED, f"{last.request_id} got {last.status}")]
 
 
-def store_a_turn(site: SiteWorld) -> SiteRequest:
+def store_first_turn(site: SiteWorld) -> SiteRequest:
     """The program's first turn, answered whole."""
-    stored = ask(site, 0)
+    stored = send_turn(site, 0)
     site.run_for(ANSWER_S)
     assert stored.status == 200, "the first turn is not served"
     return stored
 
 
-def refuse_in_an_outage(site: SiteWorld, stored: SiteRequest, outage_s: float) -> None:
+def refuse_turns_in_outage(site: SiteWorld, stored: SiteRequest, outage_s: float) -> None:
     """Turns whose begins reach the voters' logs and whose callers are refused; the outage lasts."""
-    silence_voters(site)
-    refused = [ask(site, number, stored.request_id) for number in range(1, OUTAGES + 1)]
+    cut_voter_links(site)
+    refused = [send_turn(site, number, stored.request_id) for number in range(1, OUTAGES + 1)]
     site.run_for(outage_s)
     assert {request.status for request in refused} == {503}, "a begin was committed in time"
 
 
-def end_the_outage(site: SiteWorld) -> None:
+def end_outage(site: SiteWorld) -> None:
     """Stores reach each other again; return once one leads."""
     site.network.cuts.clear()
-    site.wait_for(site.is_led, LED_AGAIN_S)
+    site.wait_for(site.is_led, NEW_LEADER_TIMEOUT_S)
 
 
 def begins_are_committed_too_late(seed: int) -> list[Violation]:
     """A program goes on from a stored turn; its begins reach the voters' logs without a commit."""
     with world(seed) as site:
-        stored = store_a_turn(site)
+        stored = store_first_turn(site)
         for number in range(1, OUTAGES + 1):
-            silence_voters(site)
-            refused = ask(site, number, stored.request_id)
+            cut_voter_links(site)
+            refused = send_turn(site, number, stored.request_id)
             site.run_for(OUTAGE_S)
             assert refused.status == 503, "the begin was committed in time"
-            end_the_outage(site)
+            end_outage(site)
             site.run_for(ANSWER_S)
-        return [*ask_again(site, stored), *site.settle()]
+        return [*continue_twice(site, stored), *site.settle()]
 
 
-def no_begin_is_committed_for_long(seed: int) -> list[Violation]:
+def no_begin_is_committed_for_half_a_minute(seed: int) -> list[Violation]:
     """Begins reach the voters' logs, and their ends find no leader for half a minute."""
     with world(seed) as site:
-        stored = store_a_turn(site)
-        refuse_in_an_outage(site, stored, LONG_OUTAGE_S)
-        end_the_outage(site)
-        site.run_for(LED_AGAIN_S)
-        return [*ask_again(site, stored), *site.settle()]
+        stored = store_first_turn(site)
+        refuse_turns_in_outage(site, stored, LONG_OUTAGE_S)
+        end_outage(site)
+        site.run_for(NEW_LEADER_TIMEOUT_S)
+        return [*continue_twice(site, stored), *site.settle()]
 
 
-def the_next_try_meets_the_new_leader(seed: int, after_s: float) -> list[Violation]:
+def caller_retries_before_the_ends_arrive(seed: int, after_s: float) -> list[Violation]:
     """As above, but the caller asks as soon as a leader leads, before the ends have come."""
     with world(seed) as site:
-        stored = store_a_turn(site)
-        refuse_in_an_outage(site, stored, LONG_OUTAGE_S)
-        end_the_outage(site)
+        stored = store_first_turn(site)
+        refuse_turns_in_outage(site, stored, LONG_OUTAGE_S)
+        end_outage(site)
         site.run_for(after_s)
-        ask(site, OUTAGES + 1, stored.request_id)
+        send_turn(site, OUTAGES + 1, stored.request_id)
         site.run_for(ANSWER_S)
         return site.settle()
 
@@ -150,16 +150,16 @@
 def fronts_stop_before_their_ends(seed: int) -> list[Violation]:
     """All tries are refused, none runs; then every front loses power, and the caller asks again."""
     with world(seed) as site:
-        stored = store_a_turn(site)
-        refuse_in_an_outage(site, stored, OUTAGE_S)
+        stored = store_first_turn(site)
+        refuse_turns_in_outage(site, stored, OUTAGE_S)
         fronts = list(site.fronts.values())
         for front in fronts:
             site.kill(front)
         for front in fronts:
             site.restart(front)
-        end_the_outage(site)
-        site.run_for(LED_AGAIN_S)
-        return [*ask_again(site, stored), *site.settle()]
+        end_outage(site)
+        site.run_for(NEW_LEADER_TIMEOUT_S)
+        return [*continue_twice(site, stored), *site.settle()]
 
 
 def fronts_lose_power(site: SiteWorld) -> None:
@@ -171,34 +171,36 @@
         site.restart(front)
 
 
-def fronts_lose_power_during_an_outage(seed: int, after_s: float, dark_s: float) -> list[Violation]:
+def fronts_lose_power_during_an_outage(
+    seed: int, after_s: float, leaderless_s: float
+) -> list[Violation]:
     """Tries whose callers are cut or refused, at any moment of an outage of the turn log."""
     with world(seed) as site:
-        stored = store_a_turn(site)
-        silence_voters(site)
+        stored = store_first_turn(site)
+        cut_voter_links(site)
         for number in range(1, OUTAGES + 1):
-            ask(site, number, stored.request_id)
+            send_turn(site, number, stored.request_id)
         site.run_for(after_s)
         fronts_lose_power(site)
-        site.run_for(dark_s)
-        end_the_outage(site)
-        site.run_for(LED_AGAIN_S)
-        return [*ask_again(site, stored), *site.settle()]
+        site.run_for(leaderless_s)
+        end_outage(site)
+        site.run_for(NEW_LEADER_TIMEOUT_S)
+        return [*continue_twice(site, stored), *site.settle()]
 
 
-def a_program_asks_before_its_begins_are_withdrawn(seed: int) -> list[Violation]:
+def program_continues_before_its_begins_are_withdrawn(seed: int) -> list[Violation]:
     """Its reservations hold the budget for as long as a front might still end them itself."""
     with world(seed) as site:
-        stored = store_a_turn(site)
-        refuse_in_an_outage(site, stored, OUTAGE_S)
+        stored = store_first_turn(site)
+        refuse_turns_in_outage(site, stored, OUTAGE_S)
         fronts_lose_power(site)
-        end_the_outage(site)
-        for number in range(LATER_TRIES):
-            last = ask(site, OUTAGES + 1 + number, stored.request_id)
+        end_outage(site)
+        for number in range(MAX_LATER_ATTEMPTS):
+            last = send_turn(site, OUTAGES + 1 + number, stored.request_id)
             site.run_for(ANSWER_S)
             if last.status == 200:
                 break
-        return [*not_served(last), *site.settle()]
+        return [*check_served(last), *site.settle()]
 
 
 def an_answered_begin_follows_an_unanswered_one(seed: int) -> list[Violation]:
@@ -208,40 +210,40 @@
     their program asks for more than the rest of its budget.
     """
     with world(seed) as site:
-        stored = store_a_turn(site)
+        stored = store_first_turn(site)
         disks = [store.disk for store in site.stores.values() if store.disk is not None]
         usual_s = disks[0].commit_s
         for disk in disks:
             disk.commit_s = SLOW_COMMIT_S
         for runner in site.runners.values():
-            runner.troubles.slow = SLOW_RUNNER
+            runner.troubles.slow = SLOW_RUNNER_FACTOR
         for number in (1, 2):
-            ask(site, number, stored.request_id)
+            send_turn(site, number, stored.request_id)
         site.run_for(SLOW_COMMIT_S / 2)
         for disk in disks:
             disk.commit_s = usual_s
-        site.run_for(WITHDRAWN_S)
+        site.run_for(WITHDRAWAL_S)
         for number in (3, 4, 5):
-            ask(site, number, stored.request_id)
+            send_turn(site, number, stored.request_id)
         return site.settle()
 
 
 def answers_to_begins_are_lost(seed: int) -> list[Violation]:
     """The leader commits begins and answers them; nothing of it reaches the fronts for a while."""
     with world(seed) as site:
-        stored = store_a_turn(site)
+        stored = store_first_turn(site)
         leader = site.leader()
         assert leader is not None
         site.network.cuts.update((leader.host, front.host) for front in site.fronts.values())
-        refused = [ask(site, number, stored.request_id) for number in range(1, OUTAGES + 1)]
+        refused = [send_turn(site, number, stored.request_id) for number in range(1, OUTAGES + 1)]
         site.run_for(OUTAGE_S)
         assert {request.status for request in refused} == {503}, "an answer came"
         site.network.cuts.clear()
-        site.run_for(LED_AGAIN_S)
-        return [*ask_again(site, stored), *site.settle()]
+        site.run_for(NEW_LEADER_TIMEOUT_S)
+        return [*continue_twice(site, stored), *site.settle()]
 
 
-def drop_ends() -> contextlib.AbstractContextManager[object]:
+def drop_ends_and_withdrawals() -> contextlib.AbstractContextManager[object]:
     """Neither a front nor a store ends a turn that was not served."""
     stack = contextlib.ExitStack()
     stack.enter_context(mock.patch.object(TurnRecord, "finish_broken", lambda _record: None))
@@ -251,7 +253,7 @@
     return stack
 
 
-def reserved_in_the_other_region(seed: int) -> list[Violation]:
+def other_region_holds_reservations(seed: int) -> list[Violation]:
     """Begins of turns that nobody runs hold a budget, in the group of the other region.
 
     They are committed too late, and the fronts that sent them stand still, so their ends come after
@@ -259,41 +261,41 @@
     """
     with region_world(seed, TWO_REGIONS_WITH_TENANTS) as site:
         here, there = site.fronts_by_region()
-        stored = ask(site, 0, at=here[0])
+        stored = send_turn(site, 0, at=here[0])
         site.run_for(ANSWER_S)
         assert stored.status == 200, "the first turn is not served"
-        silence_voters(site)
+        cut_voter_links(site)
         for number, name in enumerate(there * BUDGET_TURNS):
-            ask(site, 1 + number, at=name)
-        site.run_for(SOON_S)
+            send_turn(site, 1 + number, at=name)
+        site.run_for(SHORT_WAIT_S)
         for name in there:
             site.fronts[name].process.paused = True
         site.run_for(OUTAGE_S)
-        end_the_outage(site)
-        for number in range(LATER_TRIES):
-            last = ask(site, 10 + number, stored.request_id, at=here[0])
+        end_outage(site)
+        for number in range(MAX_LATER_ATTEMPTS):
+            last = send_turn(site, 10 + number, stored.request_id, at=here[0])
             site.run_for(ANSWER_S)
             if last.status == 200:
                 break
         for name in there:
             site.fronts[name].process.resume(site.loop)
-        found = not_served(last)
+        found = check_served(last)
         return [*found, *site.settle()]
 
 
-def a_copy_arrives_after_the_refusal(seed: int) -> list[Violation]:
+def duplicate_begin_arrives_after_the_refusal(seed: int) -> list[Violation]:
     """A begin goes on a slow path and through a relay; the slow copy finds the budget free."""
     with world(seed) as site:
-        stored = store_a_turn(site)
+        stored = store_first_turn(site)
         leader = site.leader()
         assert leader is not None
         for runner in site.runners.values():
-            runner.troubles.slow = SLOW_RUNNER
-        others = [ask(site, number, stored.request_id, at="front-2") for number in (1, 2)]
-        site.run_for(SOON_S)
+            runner.troubles.slow = SLOW_RUNNER_FACTOR
+        others = [send_turn(site, number, stored.request_id, at="front-2") for number in (1, 2)]
+        site.run_for(SHORT_WAIT_S)
         site.network.between_s[site.fronts["front-1"].host, leader.host] = SLOW_PATH_S
-        refused = ask(site, 3, stored.request_id, at="front-1")
-        site.run_for(RELAYED_S)
+        refused = send_turn(site, 3, stored.request_id, at="front-1")
+        site.run_for(RELAY_ANSWER_S)
         assert refused.status == 503, "it was not refused"
         for other in others:
             site.leave(other)
@@ -301,10 +303,10 @@
         site.network.between_s.clear()
         for runner in site.runners.values():
             runner.troubles.slow = 1.0
-        return [*ask_again(site, stored), *site.settle()]
+        return [*continue_twice(site, stored), *site.settle()]
 
 
-def reservations_are_spent(use: BudgetUse, most_tokens: int, budget_tokens: int) -> Verdict:
+def count_reservations_as_spent(use: BudgetUse, most_tokens: int, budget_tokens: int) -> Verdict:
     """What is reserved counts as spent."""
     left_tokens = budget_tokens - use.spent_tokens - use.reserved_tokens
     return Verdict.SPENT if left_tokens < most_tokens else Verdict.HELD
@@ -313,13 +315,13 @@
 BUDGET_DEFECTS: dict[str, Defect] = {
     "reservations count as spent": Defect(
         Rule.SPENT,
-        a_program_asks_before_its_begins_are_withdrawn,
-        patch(BudgetUse, "judge", reservations_are_spent),
+        program_continues_before_its_begins_are_withdrawn,
+        patch(BudgetUse, "judge", count_reservations_as_spent),
     ),
     "reservations of the other region count as spent": Defect(
         Rule.SPENT,
-        reserved_in_the_other_region,
-        patch(BudgetUse, "judge", reservations_are_spent),
+        other_region_holds_reservations,
+        patch(BudgetUse, "judge", count_reservations_as_spent),
     ),
     "the end of a turn that was not served is dropped": Defect(
         Rule.RELEASED,
@@ -327,11 +329,11 @@
         patch(TurnRecord, "finish_broken", lambda _record: None),
     ),
     "the end of a turn that was not served is dropped, and its begin is not withdrawn": Defect(
-        Rule.RELEASED, begins_are_committed_too_late, drop_ends
+        Rule.RELEASED, begins_are_committed_too_late, drop_ends_and_withdrawals
     ),
     "a copy of a refused begin is granted": Defect(
         Rule.RELEASED,
-        a_copy_arrives_after_the_refusal,
+        duplicate_begin_arrives_after_the_refusal,
         patch(RefusedBegins, "find", lambda _refused, _begin, _now_s: None),
     ),
     "a reservation is released although one of its begins was answered": Defect(
--- a/tests/test_begins_are_ended.py
+++ b/tests/test_begins_are_ended.py
@@ -34,9 +34,9 @@
 from bendshed.wire import turns_pb2 as wire
 from tests.site_budget_defects import (
     begins_are_committed_too_late,
+    caller_retries_before_the_ends_arrive,
     fronts_stop_before_their_ends,
-    no_begin_is_committed_for_long,
-    the_next_try_meets_the_new_leader,
+    no_begin_is_committed_for_half_a_minute,
 )
 
 EVENTS = 3
@@ -122,12 +122,14 @@
     def test_nor_while_the_turn_log_is_away_for_long(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        self.assertEqual([no_begin_is_committed_for_long(seed) for seed in (1, 2)], [[], []])
+        self.assertEqual(
+            [no_begin_is_committed_for_half_a_minute(seed) for seed in (1, 2)], [[], []]
+        )
 
     def test_nor_when_the_next_try_meets_the_new_leader(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        played = [the_next_try_meets_the_new_leader(1, after_s) for after_s in (0.0, 0.2, 0.5)]
+        played = [caller_retries_before_the_ends_arrive(1, after_s) for after_s in (0.0, 0.2, 0.5)]
         self.assertEqual(played, [[], [], []])
 
     def test_nor_where_all_fronts_lost_power_before_their_ends(self) -> None:
--- a/tests/test_budget_shares.py
+++ b/tests/test_budget_shares.py
@@ -1,4 +1,4 @@
-"""A program's budget over groups: shares add up to it, whatever is lost, late, told twice."""
+"""Group shares of a program's budget add up to it despite lost, late or duplicate commands."""
 
 import random
 import unittest
@@ -18,20 +18,20 @@
 BUDGET = 601
 
 # Written by commit 4cc33f5: a group's snapshot with its membership, and two entries behind it.
-EARLIER_SNAPSHOT = (
+OLD_FORMAT_SNAPSHOT = (
     "080710031a0c0a0273310a0273320a02733322930108a40d120c0a01611a035b615d2090de0312110a01741a035b"
     "745d2084e2032a036f6e651a1d0a017010461a050a0162106420d4b3072a01613208656e67696e652d311a1b0a01"
     "71104620e4b6072a01743208656e67696e652d313a036f6e6522130a036f6e65120508dc0b1001120508a40d1003"
     "2a0d0a016e12036f6e65180320a40d320d0a016e12036f6e65180520a40d"
 )
-EARLIER_ENTRIES = (
+OLD_FORMAT_ENTRIES = (
     "08081003222708ec0e1a220a017012016220462a016130013a025b6242015d48e0d4035208656e67696e652d31",
     "08091003221908d00f12140a01701201631a016220d8042801306438e0d403",
 )
 
 
 @dataclass
-class Groups:
+class TwoGroups:
     """Two groups, and short ways to write their commands."""
 
     states: list[TurnLogState] = field(
@@ -43,7 +43,7 @@
         written = wire.TurnCommand(elapsed_ms=self.now_ms, group=group, **command)  # type: ignore[arg-type]
         return self.states[group].apply(written.SerializeToString())
 
-    def wanted(self, turn: str, most: int = 100, **changes: object) -> wire.BeginTurn:
+    def begin_of(self, turn: str, most: int = 100, **changes: object) -> wire.BeginTurn:
         begin = wire.BeginTurn(
             program_id="p",
             turn_id=turn,
@@ -57,7 +57,7 @@
         return begin
 
     def begin(self, group: int, turn: str, most: int = 100, **changes: object) -> wire.TurnReply:
-        return self.apply(group, begin=self.wanted(turn, most, **changes))
+        return self.apply(group, begin=self.begin_of(turn, most, **changes))
 
     def finish(self, group: int, turn: str, tokens: int = 50) -> None:
         finish = wire.FinishTurn(
@@ -65,46 +65,46 @@
         )
         self.apply(group, finish=finish)
 
-    def release(self, giver: int) -> wire.TurnReply:
+    def release(self, releasing_group: int) -> wire.TurnReply:
         ask = wire.ReleaseShare(
             program_id="p",
-            to_group=1 - giver,
+            to_group=1 - releasing_group,
             budget_tokens=BUDGET,
             num_groups=2,
             retention_ms=RETENTION_MS,
         )
-        return self.apply(giver, release=ask)
+        return self.apply(releasing_group, release=ask)
 
-    def take(self, taker: int, released: int) -> None:
-        told = wire.TakeShare(
+    def take(self, taking_group: int, released: int) -> None:
+        share = wire.TakeShare(
             program_id="p",
-            from_group=1 - taker,
+            from_group=1 - taking_group,
             released_tokens=released,
             retention_ms=RETENTION_MS,
         )
-        self.apply(taker, take=told)
+        self.apply(taking_group, take=share)
 
-    def move(self, giver: int) -> None:
-        self.take(1 - giver, self.release(giver).released_tokens)
+    def transfer(self, releasing_group: int) -> None:
+        self.take(1 - releasing_group, self.release(releasing_group).released_tokens)
 
 
 class ShareTest(unittest.TestCase):
-    def test_first_shares_add_up(self) -> None:
+    def test_first_shares_add_up_to_the_budget(self) -> None:
         for num_groups in range(1, 6):
             shares = [first_share(BUDGET, group, num_groups) for group in range(num_groups)]
             self.assertEqual(sum(shares), BUDGET)
 
-    def test_each_group_spends_its_share_without_a_word(self) -> None:
-        groups = Groups()
+    def test_each_group_spends_its_share_independently(self) -> None:
+        groups = TwoGroups()
         for group in range(2):
             answers = [groups.begin(group, f"t{n}").answer for n in range(4)]
             granted = wire.TURN_ANSWER_GRANTED
             self.assertEqual(answers, [granted] * 3 + [wire.TURN_ANSWER_OTHER_GROUP])
 
-    def test_what_is_released_is_gone_here_and_counts_there(self) -> None:
-        groups = Groups()
+    def test_released_tokens_move_to_the_other_group(self) -> None:
+        groups = TwoGroups()
         groups.begin(0, "a")
-        groups.move(1)
+        groups.transfer(1)
         reply = groups.begin(1, "b")
         self.assertEqual((reply.answer, reply.owner_group), (wire.TURN_ANSWER_OTHER_GROUP, 0))
         for number in range(5):
@@ -112,83 +112,83 @@
             self.assertEqual(reply.answer, wire.TURN_ANSWER_GRANTED)
         self.assertEqual(groups.begin(0, "z").answer, wire.TURN_ANSWER_BUDGET_SPENT)
 
-    def test_a_release_told_twice_or_late_counts_once(self) -> None:
-        groups = Groups()
+    def test_duplicate_or_late_release_counts_once(self) -> None:
+        groups = TwoGroups()
         first = groups.release(1).released_tokens
         self.assertEqual(groups.release(1).released_tokens, first)
-        for told in (first, first, 10):
-            groups.take(0, told)
+        for released_tokens in (first, first, 10):
+            groups.take(0, released_tokens)
         self.assertEqual(groups.states[0].programs["", "p"].taken, {1: first})
 
-    def test_a_release_that_was_lost_is_told_again(self) -> None:
-        groups = Groups()
+    def test_lost_release_is_repeated(self) -> None:
+        groups = TwoGroups()
         groups.release(1)
         self.assertEqual(groups.release(1).released_tokens, BUDGET // 2)
 
-    def test_turns_under_way_keep_their_tokens(self) -> None:
-        groups = Groups()
+    def test_running_turns_keep_their_tokens(self) -> None:
+        groups = TwoGroups()
         groups.begin(1, "a")
         self.assertEqual(groups.release(1).released_tokens, BUDGET // 2 - 100)
         groups.finish(1, "a", tokens=30)
         self.assertEqual(groups.release(1).released_tokens, BUDGET // 2 - 30)
 
-    def test_a_share_comes_back_to_the_group_that_keeps_the_chain(self) -> None:
-        groups = Groups()
+    def test_share_returns_to_the_group_that_stores_the_chain(self) -> None:
+        groups = TwoGroups()
         groups.begin(1, "a")
         groups.finish(1, "a")
-        groups.move(1)
+        groups.transfer(1)
         reply = groups.begin(1, "b", previous_turn="a")
         self.assertEqual((reply.answer, reply.owner_group), (wire.TURN_ANSWER_OTHER_GROUP, 1))
-        groups.move(0)
+        groups.transfer(0)
         reply = groups.begin(1, "b", previous_turn="a")
         self.assertEqual(reply.answer, wire.TURN_ANSWER_GRANTED)
 
-    def test_one_that_was_sent_on_is_not_sent_back(self) -> None:
-        groups = Groups()
-        groups.move(1)
+    def test_redirected_turn_is_not_redirected_back(self) -> None:
+        groups = TwoGroups()
+        groups.transfer(1)
         self.assertEqual(groups.begin(1, "a", is_sent_on=True).owner_group, 1)
 
-    def test_a_tenants_budget_is_whole_in_its_group(self) -> None:
-        groups = Groups()
+    def test_tenant_budget_is_not_shared_between_groups(self) -> None:
+        groups = TwoGroups()
         answers = [groups.begin(1, f"t{n}", tenant="one", num_groups=1).answer for n in range(7)]
         self.assertEqual(answers[5:], [wire.TURN_ANSWER_GRANTED, wire.TURN_ANSWER_BUDGET_SPENT])
 
-    def test_others_are_asked_when_the_share_runs_low_and_now_and_then(self) -> None:
-        groups = Groups()
-        begin = groups.wanted("a", most=10)
+    def test_other_shares_are_requested_when_low_and_periodically(self) -> None:
+        groups = TwoGroups()
+        begin = groups.begin_of("a", most=10)
         groups.begin(0, "a", most=10)
         self.assertFalse(groups.states[0].needs_other_shares(begin))
         groups.begin(0, "b", most=260)
         self.assertTrue(groups.states[0].needs_other_shares(begin))
-        groups.move(1)
+        groups.transfer(1)
         self.assertFalse(groups.states[0].needs_other_shares(begin))
         for turn in ("c", "d"):
             groups.now_ms += 2 * MIN_PROGRAM_RETENTION_MS // 3
             groups.begin(0, turn, most=10)
         self.assertTrue(groups.states[0].needs_other_shares(begin))
 
-    def test_who_released_remembers_it_longer_than_who_took_it_may_stay_silent(self) -> None:
-        groups = Groups()
+    def test_release_is_remembered_longer_than_the_pause_between_requests(self) -> None:
+        groups = TwoGroups()
         groups.begin(0, "a")
-        groups.move(1)
+        groups.transfer(1)
         groups.now_ms += (RELEASED_RETENTION_FACTOR - 1) * MIN_PROGRAM_RETENTION_MS
         self.assertEqual(groups.begin(1, "b").answer, wire.TURN_ANSWER_OTHER_GROUP)
 
-    def test_a_first_turn_is_previewed_if_its_share_holds_it(self) -> None:
-        groups = Groups()
+    def test_first_turn_is_previewed_if_the_share_holds_it(self) -> None:
+        groups = TwoGroups()
         state = groups.states[1]
         granted, spent = wire.TURN_ANSWER_GRANTED, wire.TURN_ANSWER_BUDGET_SPENT
-        self.assertEqual(state.preview(groups.wanted("a", most=150)).answer, granted)
-        self.assertEqual(state.preview(groups.wanted("a", most=151)).answer, spent)
-        self.assertEqual(state.preview(groups.wanted("a", most=300, num_groups=1)).answer, spent)
+        self.assertEqual(state.preview(groups.begin_of("a", most=150)).answer, granted)
+        self.assertEqual(state.preview(groups.begin_of("a", most=151)).answer, spent)
+        self.assertEqual(state.preview(groups.begin_of("a", most=300, num_groups=1)).answer, spent)
         groups.begin(1, "a", most=150)
         groups.take(1, 0)
-        self.assertEqual(state.preview(groups.wanted("b", most=150)).answer, spent)
+        self.assertEqual(state.preview(groups.begin_of("b", most=150)).answer, spent)
 
-    def test_shares_survive_a_snapshot(self) -> None:
-        groups = Groups()
+    def test_shares_survive_snapshot(self) -> None:
+        groups = TwoGroups()
         groups.begin(1, "a")
-        groups.move(1)
+        groups.transfer(1)
         for group in range(2):
             copy = TurnLogState(group)
             copy.restore(groups.states[group].snapshot())
@@ -200,9 +200,9 @@
     )
     def test_granted_tokens_never_exceed_budget(self, steps: list[tuple[int, int, int]]) -> None:
         """Begins, ends, releases and takes in any order, lost, late and doubled."""
-        groups = Groups()
+        groups = TwoGroups()
         granted: dict[tuple[int, str], int] = {}
-        told: list[tuple[int, int]] = []
+        releases: list[tuple[int, int]] = []
         for kind, group, number in steps:
             turn, most = f"t{number}", 40 + 20 * number
             if kind in (0, 1):
@@ -212,19 +212,19 @@
                 granted[group, turn] = min(granted[group, turn], 10 * number)
                 groups.finish(group, turn, granted[group, turn])
             elif kind == 3:
-                told.append((1 - group, groups.release(group).released_tokens))
-            elif kind in (4, 5) and told:
-                groups.take(*told[number % len(told)])
+                releases.append((1 - group, groups.release(group).released_tokens))
+            elif kind in (4, 5) and releases:
+                groups.take(*releases[number % len(releases)])
             self.assertLessEqual(sum(granted.values()), BUDGET)
 
 
-class EarlierLogTest(unittest.TestCase):
+class OldFormatTest(unittest.TestCase):
     """What commit 4cc33f5 wrote opens as the first group."""
 
-    def test_a_snapshot_and_the_entries_behind_it(self) -> None:
-        snapshot = consensus_pb2.Snapshot.FromString(bytes.fromhex(EARLIER_SNAPSHOT))
+    def test_snapshot_and_following_entries_are_read(self) -> None:
+        snapshot = consensus_pb2.Snapshot.FromString(bytes.fromhex(OLD_FORMAT_SNAPSHOT))
         entries = [
-            consensus_pb2.LogEntry.FromString(bytes.fromhex(text)) for text in EARLIER_ENTRIES
+            consensus_pb2.LogEntry.FromString(bytes.fromhex(text)) for text in OLD_FORMAT_ENTRIES
         ]
         stored = StoredGroup(0, 3, "", snapshot, entries)
         replica = RaftReplica("s1", stored, random.Random(1))
@@ -239,8 +239,8 @@
         self.assertEqual([piece.transcript for piece in reply.chain], [b"[a]", b"[b]"])
         self.assertEqual((reply.spent_tokens, reply.reserved_tokens), (140, 100))
 
-    def test_a_single_group_writes_the_same_bytes_as_before(self) -> None:
-        snapshot = consensus_pb2.Snapshot.FromString(bytes.fromhex(EARLIER_SNAPSHOT))
+    def test_single_group_snapshot_format_is_unchanged(self) -> None:
+        snapshot = consensus_pb2.Snapshot.FromString(bytes.fromhex(OLD_FORMAT_SNAPSHOT))
         state = TurnLogState(0)
         state.restore(snapshot.state)
         self.assertEqual(state.snapshot(), snapshot.state)
--- a/tests/test_refused_begins.py
+++ b/tests/test_refused_begins.py
@@ -29,7 +29,7 @@
     def is_refused(self, at_s: float = 1.0, has_left: bool = False) -> bool:
         return self.refused.find(begin_of(has_left=has_left), at_s) is not None
 
-    def test_a_copy_gets_the_same_answer(self) -> None:
+    def test_duplicate_begin_gets_the_same_refusal(self) -> None:
         self.note(wire.TURN_ANSWER_BUDGET_RESERVED)
         reply = self.refused.find(begin_of(), 1.0)
         assert reply is not None
@@ -37,26 +37,26 @@
         self.assertEqual(reply.retry_after_ms, 300)
         self.assertIsNone(self.refused.find(begin_of("other"), 1.0))
 
-    def test_for_a_time(self) -> None:
+    def test_refusal_expires(self) -> None:
         self.note(wire.TURN_ANSWER_BUDGET_SPENT)
         self.assertTrue(self.is_refused(REFUSAL_TTL_S - 0.1))
         self.assertFalse(self.is_refused(REFUSAL_TTL_S))
 
-    def test_a_granted_begin_is_not(self) -> None:
+    def test_granted_begin_is_not_remembered(self) -> None:
         self.note(wire.TURN_ANSWER_GRANTED)
         self.assertFalse(self.is_refused())
 
-    def test_nor_one_that_this_group_is_to_decide_on_again(self) -> None:
+    def test_only_referral_to_another_group_is_remembered(self) -> None:
         self.note(wire.TURN_ANSWER_OTHER_GROUP, owner_group=GROUP)
         self.assertFalse(self.is_refused())
         self.note(wire.TURN_ANSWER_OTHER_GROUP, owner_group=OTHER_GROUP)
         self.assertTrue(self.is_refused())
 
-    def test_nor_one_that_went_to_a_runner_meanwhile(self) -> None:
+    def test_refusal_is_not_repeated_for_a_dispatched_turn(self) -> None:
         self.note(wire.TURN_ANSWER_QUOTA_EXCEEDED)
         self.assertFalse(self.is_refused(has_left=True))
 
-    def test_they_are_bounded(self) -> None:
+    def test_number_of_refusals_is_bounded(self) -> None:
         self.note(wire.TURN_ANSWER_BUDGET_SPENT)
         spent = wire.TurnReply(answer=wire.TURN_ANSWER_BUDGET_SPENT)
         for number in range(MAX_REFUSALS):
--- a/tests/test_sim_runners.py
+++ b/tests/test_sim_runners.py
@@ -8,7 +8,7 @@
 import unittest
 
 from bendshed.rehearsal.site.sim_world import SiteWorld
-from tests.site_budget_defects import ANSWER_S, SLOW_RUNNER, ask
+from tests.site_budget_defects import ANSWER_S, SLOW_RUNNER_FACTOR, send_turn
 
 
 class CutAnswerTest(unittest.TestCase):
@@ -18,8 +18,8 @@
         world = SiteWorld.started(1)
         self.addCleanup(world.close)
         for runner in world.runners.values():
-            runner.troubles.slow = SLOW_RUNNER
-        turn = ask(world, 0)
+            runner.troubles.slow = SLOW_RUNNER_FACTOR
+        turn = send_turn(world, 0)
         world.wait_for(lambda: bool(turn.answer), 3 * ANSWER_S)
         begun = turn.answer
         hosts = [front.host for front in world.fronts.values()]
--- a/tests/test_unanswered_begins.py
+++ b/tests/test_unanswered_begins.py
@@ -47,7 +47,7 @@
     state.apply(wire.TurnCommand(finish=finish).SerializeToString())
 
 
-class UnansweredTest(unittest.TestCase):
+class WithdrawalTest(unittest.TestCase):
     """What the process that proposed some begins withdraws."""
 
     def setUp(self) -> None:
@@ -63,7 +63,7 @@
         apply(self.state, begin_of(proposal))
         self.applied_index = index
 
-    def test_a_reservation_that_outlives_the_fronts_own_end_is_withdrawn_again_and_again(
+    def test_withdrawal_is_repeated_until_the_reservation_is_gone(
         self,
     ) -> None:
         self.unanswered.record(begin_of(1), 5)
@@ -73,14 +73,14 @@
         self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S + WITHDRAWAL_RETRY_INTERVAL_S / 2), [])
         self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S + WITHDRAWAL_RETRY_INTERVAL_S), [[1]])
 
-    def test_all_begins_of_a_turn_are_withdrawn_at_once(self) -> None:
+    def test_all_begins_of_a_turn_are_withdrawn_together(self) -> None:
         for proposal, index in ((1, 5), (2, 6)):
             self.unanswered.record(begin_of(proposal), index)
             self.commit(proposal, index)
         self.due(0.0)
         self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S), [[1, 2]])
 
-    def test_an_entry_that_is_not_settled_is_waited_for(self) -> None:
+    def test_withdrawal_waits_until_the_log_entry_is_settled(self) -> None:
         self.unanswered.record(begin_of(1), 5)
         self.assertEqual(self.due(0.0), [])
         self.assertEqual(len(self.unanswered), 1)
@@ -88,13 +88,13 @@
         self.due(100.0)
         self.assertEqual(self.due(100.0 + FIRST_WITHDRAWAL_DELAY_S), [[1]])
 
-    def test_one_that_another_entry_replaced_is_forgotten(self) -> None:
+    def test_begin_whose_log_entry_was_replaced_is_forgotten(self) -> None:
         self.unanswered.record(begin_of(1), 5)
         self.applied_index = 5
         self.assertEqual(self.due(0.0), [])
         self.assertEqual(len(self.unanswered), 0)
 
-    def test_one_that_its_front_has_ended_is_forgotten(self) -> None:
+    def test_begin_ended_by_its_front_is_forgotten(self) -> None:
         self.unanswered.record(begin_of(1), 5)
         self.commit(1, 5)
         end(self.state)
@@ -102,7 +102,7 @@
         self.assertEqual(len(self.unanswered), 0)
 
 
-class LeaderTest(unittest.TestCase):
+class ReleaseTest(unittest.TestCase):
     """When a leader releases a reservation."""
 
     def setUp(self) -> None:
@@ -129,7 +129,7 @@
     def can_release(self) -> bool:
         return self.begins.can_release(TURN, self.state)
 
-    def test_once_every_begin_behind_it_is_withdrawn(self) -> None:
+    def test_reservation_is_released_once_all_its_begins_are_withdrawn(self) -> None:
         first, second = self.commit(), self.commit()
         self.assertEqual(turn_key(first), TURN)
         self.withdraw(first)
@@ -137,30 +137,30 @@
         self.withdraw(second)
         self.assertTrue(self.can_release())
 
-    def test_not_while_a_begin_may_still_be_answered(self) -> None:
+    def test_no_release_while_a_begin_may_still_be_answered(self) -> None:
         first = self.commit()
         self.withdraw(first)
-        under_way = self.propose()
+        in_flight = self.propose()
         self.assertFalse(self.can_release())
-        self.begins.settle(under_way)
+        self.begins.settle(in_flight)
         self.assertTrue(self.can_release())
 
-    def test_not_without_a_reservation(self) -> None:
+    def test_no_release_without_reservation(self) -> None:
         self.assertFalse(self.can_release())
 
-    def test_not_where_a_begin_has_no_number(self) -> None:
+    def test_no_release_with_an_unnumbered_begin(self) -> None:
         first = self.commit()
         apply(self.state, begin_of(UNNUMBERED))
         self.withdraw(first)
         self.assertFalse(self.can_release())
 
-    def test_not_by_what_was_said_in_an_earlier_term(self) -> None:
+    def test_withdrawals_of_an_earlier_term_do_not_count(self) -> None:
         first, second = self.commit(), self.commit()
         self.withdraw(first)
         self.withdraw(second, term=TERM + 1)
         self.assertFalse(self.can_release())
 
-    def test_numbers_of_two_terms_differ(self) -> None:
+    def test_proposal_numbers_of_two_terms_differ(self) -> None:
         other = begin_of()
         ProposedBegins().number(other, TERM + 1)
         self.assertNotEqual(self.propose().proposal, other.proposal)
@@ -176,7 +176,7 @@
         other.restore(state.snapshot())
         return other.programs["", "p"].granted["t"]
 
-    def test_numbers_are_restored(self) -> None:
+    def test_proposal_numbers_are_restored(self) -> None:
         self.assertEqual(self.restored(3, 4), {3, 4})
 
     def test_unnumbered_begins_stay_unnumbered(self) -> None:
@@ -194,6 +194,6 @@
     def test_turns_that_never_ran_do_not_spend_the_budget(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        for after_s, dark_s in ((0.1, 0.4), (0.4, 0.0), (0.7, 3.0), (1.4, 0.3)):
-            with self.subTest(after_s=after_s, dark_s=dark_s):
-                self.assertEqual(fronts_lose_power_during_an_outage(1, after_s, dark_s), [])
+        for after_s, leaderless_s in ((0.1, 0.4), (0.4, 0.0), (0.7, 3.0), (1.4, 0.3)):
+            with self.subTest(after_s=after_s, leaderless_s=leaderless_s):
+                self.assertEqual(fronts_lose_power_during_an_outage(1, after_s, leaderless_s), [])
