--- a/src/bendshed/turns/__init__.py
+++ b/src/bendshed/turns/__init__.py
@@ -1,1 +1,1 @@
-"""Turns of agent programs that callers continue by name: kept chains and token budgets."""
+"""Replicated log of agent program turns: stored turn chains and token budgets."""
--- a/src/bendshed/turns/codec.py
+++ b/src/bendshed/turns/codec.py
@@ -1,7 +1,7 @@
-"""Messages of the turn log, decoded once where they leave or reach a process. Pure.
+"""Encodes and decodes turn log messages at the process boundary; performs no I/O.
 
-Requests that are no turns, and the leader's replies to them, are values from here on. Commands keep
-their wire type: they are replicated as they came, and ``turns/state.py`` applies them.
+Requests outside turns, and the leader's replies to them, become dataclasses. Commands keep their
+wire type, because they are replicated unchanged and ``turns/state.py`` applies them.
 """
 
 from dataclasses import dataclass
@@ -16,11 +16,11 @@
     """A node's request to admit one call of a limited tenant.
 
     Attributes:
-        node: one incarnation of the requesting node.
-        admitted_total: the tenant's calls that it has admitted since its start.
-        reported_total: of these, those that it knows to be committed.
-        program_id: empty: the call belongs to none.
-        group: group of the turn log that counts the tenant.
+        node: the requesting node, identified per incarnation.
+        admitted_total: calls of the tenant that the node has admitted since it started.
+        reported_total: number of these that the node knows to be committed.
+        program_id: the call's program; empty: none.
+        group: group of the turn log that counts the tenant's usage.
 
     """
 
@@ -38,8 +38,8 @@
     """A call may run.
 
     Attributes:
-        counted_total: calls of the node that the leader has counted, this one included; 0: the
-            tenant is not limited there.
+        counted_total: calls of the node that the leader has counted, including this one; 0: the
+            leader has no limit for the tenant.
 
     """
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRejected:
-    """The tenant's quota has no room for the call until ``retry_after_ms`` from now."""
+    """The tenant's quota is used up; retry after ``retry_after_ms``."""
 
     retry_after_ms: int
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitGranted:
-    """One dispatch to a runner, within ``valid_ms`` of the request for it."""
+    """Permit for one dispatch to a runner, valid for ``valid_ms`` from the request for it."""
 
     runner_id: str
     valid_ms: int
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoRoom:
-    """Every eligible runner is cold and full until ``retry_after_ms`` from now."""
+    """Every eligible runner is cold and at capacity; retry after ``retry_after_ms``."""
 
     retry_after_ms: int
 
@@ -80,7 +80,7 @@
 
 
 def encode_call_request(request: CallRequest) -> wire.QuotaAsk:
-    """Write a request to admit a call."""
+    """Encode a request to admit a call."""
     return wire.QuotaAsk(
         tenant=request.tenant,
         node=request.node,
@@ -93,7 +93,7 @@
 
 
 def decode_call_request(payload: bytes) -> CallRequest:
-    """Read a request to admit a call."""
+    """Decode a request to admit a call."""
     message = wire.QuotaAsk.FromString(payload)
     return CallRequest(
         tenant=message.tenant,
@@ -107,24 +107,24 @@
 
 
 def encode_call_decision(decision: CallDecision) -> wire.TurnReply:
-    """Write the leader's decision on a call."""
+    """Encode the leader's decision on a call."""
     if isinstance(decision, CallRejected):
         return quota_exceeded_reply(decision.retry_after_ms)
     return wire.TurnReply(
         answer=wire.TURN_ANSWER_GRANTED,
-        spend_ceiling=decision.counted_total,  # the wire's name is that of an allowance
+        spend_ceiling=decision.counted_total,  # the wire field is shared with allowances
     )
 
 
 def decode_call_decision(reply: wire.TurnReply) -> CallDecision:
-    """Read the leader's decision on a call."""
+    """Decode the leader's decision on a call."""
     if reply.answer == wire.TURN_ANSWER_QUOTA_EXCEEDED:
         return CallRejected(reply.retry_after_ms)
     return CallAdmitted(reply.spend_ceiling)
 
 
 def decode_permit_decision(reply: wire.TurnReply) -> PermitDecision:
-    """Read the leader's decision on one dispatch."""
+    """Decode the leader's decision on one dispatch."""
     if reply.answer == wire.TURN_ANSWER_NO_ROOM:
         return NoRoom(reply.retry_after_ms)
     if not reply.runner_id:
@@ -133,17 +133,17 @@
 
 
 def quota_exceeded_reply(retry_after_ms: int) -> wire.TurnReply:
-    """The tenant's quota has no room."""
+    """Build the reply that the tenant's quota is used up."""
     return wire.TurnReply(answer=wire.TURN_ANSWER_QUOTA_EXCEEDED, retry_after_ms=retry_after_ms)
 
 
 def budget_use_of(reply: wire.TurnReply) -> BudgetUse:
-    """What is used of a budget in the group that replied."""
+    """Return the budget use in the group that replied."""
     return BudgetUse(reply.spent_tokens, reply.reserved_tokens)
 
 
 def apply_verdict(reply: wire.TurnReply, verdict: Verdict) -> None:
-    """Write into a refusal by the budget what it rests on; ``HELD`` leaves it as it is."""
+    """Set the reason of a refusal by budget in a reply; ``HELD`` leaves the reply unchanged."""
     if verdict is Verdict.SPENT:
         reply.answer = wire.TURN_ANSWER_BUDGET_SPENT
     elif verdict is Verdict.RESERVED:
@@ -152,15 +152,15 @@
 
 
 def no_room_reply(retry_after_ms: int) -> wire.TurnReply:
-    """Every eligible runner is cold and full."""
+    """Build the reply that every eligible runner is cold and at capacity."""
     return wire.TurnReply(answer=wire.TURN_ANSWER_NO_ROOM, retry_after_ms=retry_after_ms)
 
 
 def not_leader_reply(leader_id: str) -> wire.TurnReply:
-    """Another process leads the group; empty: which one is not known."""
+    """Build the reply of a process that does not lead the group; empty: leader unknown."""
     return wire.TurnReply(answer=wire.TURN_ANSWER_NOT_LEADER, leader_id=leader_id)
 
 
 def unavailable_reply() -> wire.TurnReply:
-    """Whether the command was committed is not known."""
+    """Build the reply that the outcome of the commit is unknown."""
     return wire.TurnReply(answer=wire.TURN_ANSWER_UNAVAILABLE)
--- a/src/bendshed/turns/methods.py
+++ b/src/bendshed/turns/methods.py
@@ -1,7 +1,7 @@
-"""Names that nodes and replica machines share: methods of the turn log, its first group, owned ids.
+"""Definitions that nodes and replica machines share: RPC methods of the turn log and key types.
 
-They are apart from the replica machines' modules, so that a node does not load those. That saves a
-tenth of a node's start, for which every caller waits after a loss of power.
+They are kept out of the replica machines' modules so that a node does not import those. This saves
+a tenth of a node's startup time, for which every caller waits after a power loss.
 """
 
 TURN_METHOD = "turns.command"
@@ -9,7 +9,7 @@
 QUOTA_METHOD = "turns.quota"
 RUNNER_METHOD = "turns.runner"
 TURN_GROUP = 0
-"""The first group of the turn log: the only one where operators declare no regions."""
+"""First group of the turn log, and the only one if operators declare no regions."""
 
 TenantScopedId = tuple[str, str]
-"""A tenant's name (empty: none) and an id of a program or turn: tenants never share an entry."""
+"""A tenant's name (empty: none) and a program or turn id, so that tenants never share an entry."""
--- a/src/bendshed/turns/metrics.py
+++ b/src/bendshed/turns/metrics.py
@@ -1,4 +1,4 @@
-"""What a replica of the turn log counts (prometheus_client)."""
+"""Prometheus metrics of a turn log replica."""
 
 from enum import StrEnum
 
@@ -8,16 +8,16 @@
 
 
 class CommandOutcome(StrEnum):
-    """How a command ended here."""
+    """Outcome of a command at this replica."""
 
     COMMITTED = "committed"
     NOT_LEADER = "not_leader"
     UNKNOWN = "unknown"
-    """Not seen to commit in time."""
+    """Not known to be committed within the time limit."""
 
 
 class PermitOutcome(StrEnum):
-    """What became of a permit request for a cold runner."""
+    """Decision on a permit request for a cold runner."""
 
     GRANTED = "granted"
     REFUSED = "refused"
@@ -27,9 +27,9 @@
     """Counters and histograms of one replica.
 
     Attributes:
-        commands: commands by how they ended.
+        commands: commands by outcome.
         cold_permits: permit requests for cold runners decided here, by decision.
-        commit_s: from a command's arrival at the leader to its being applied, in seconds.
+        commit_s: time from a command's arrival at the leader until it is applied, in seconds.
 
     """
 
@@ -52,9 +52,9 @@
         )
 
     def gauge(self, name: str, text: str) -> Gauge:
-        """Add a gauge; its owner gives it a function."""
+        """Add a gauge; the caller sets its function."""
         return Gauge(name, text, registry=self.registry)
 
     def labelled_gauge(self, name: str, text: str, label: str) -> Gauge:
-        """Add a gauge with one label; its owner gives each value a function."""
+        """Add a gauge with one label; the caller sets a function for each label value."""
         return Gauge(name, text, [label], registry=self.registry)
--- a/src/bendshed/turns/shares.py
+++ b/src/bendshed/turns/shares.py
@@ -1,7 +1,7 @@
-"""Takes over what other groups hold of a program's budget. Source: docs/design/0012.
+"""Transfers other groups' shares of a program's budget to this group. Source: docs/design/0012.
 
-It happens in the background once this group's share runs low, so that no turn waits for a distant
-group. A turn waits for it only where the share does not hold the turn.
+The transfer runs in the background once this group's share runs low, so that turns do not wait for
+a distant group. A turn waits for it only if the share does not cover the turn.
 """
 
 import asyncio
@@ -15,21 +15,21 @@
 from bendshed.wire import turns_pb2 as wire
 
 GatherKey = tuple[int, str, str]
-"""Group that takes, tenant, program."""
+"""Receiving group, tenant, program id."""
 
 SendCommand = Callable[[int, wire.TurnCommand], Awaitable[wire.TurnReply | None]]
-"""Commits a command in a group wherever it is led; ``None``: not known to be committed."""
+"""Commits a command at a group's leader; ``None``: not known to be committed."""
 
 log = PartLog("turns")
 
 
 @dataclass(frozen=True, slots=True)
 class GatheredShares:
-    """What the other groups said of a program's budget when their shares were taken over.
+    """Replies of the other groups when their shares of a program's budget were requested.
 
     Attributes:
-        is_complete: each of them answered.
-        use_elsewhere: what is used in those that answered.
+        is_complete: every group answered.
+        use_elsewhere: budget use in the groups that answered.
 
     """
 
@@ -37,10 +37,11 @@
     use_elsewhere: BudgetUse
 
     def classify_shortage(self, begin: wire.BeginTurn, reply: wire.TurnReply) -> Verdict:
-        """Why this group's share is short of a turn, by what all groups together use.
+        """Return why this group's share does not cover a turn, given the use in all groups.
 
-        ``HELD``: by none of them. Tokens that groups take from each other at once are on their way,
-        and for a moment no group holds them; a group that is silent may hold them too.
+        ``HELD``: neither spent nor reserved tokens explain it. While groups take shares from each
+        other at the same time, tokens in transit belong to no group for a moment; a group that did
+        not answer may hold them too.
         """
         if not self.is_complete:
             return Verdict.HELD
@@ -49,10 +50,10 @@
 
 
 class ShareGatherer:
-    """Requests the shares of the other groups; for each program one gathering at a time.
+    """Requests the other groups' shares, with one request per program in flight at a time.
 
     Attributes:
-        num_taken: releases of other groups that were counted here.
+        num_taken: number of shares released by other groups and added here.
 
     """
 
@@ -63,11 +64,11 @@
         self._gather_tasks: dict[GatherKey, asyncio.Task[GatheredShares]] = {}
 
     def gather_later(self, group_id: int, begin: wire.BeginTurn) -> None:
-        """Gather in the background."""
+        """Start gathering in the background."""
         self._gather_task(group_id, begin)
 
     async def gather(self, group_id: int, begin: wire.BeginTurn) -> GatheredShares:
-        """Wait until what the others released counts here."""
+        """Gather, and wait until the released tokens are added to this group's share."""
         return await asyncio.shield(self._gather_task(group_id, begin))
 
     def _gather_task(self, group_id: int, begin: wire.BeginTurn) -> "asyncio.Task[GatheredShares]":
@@ -100,7 +101,7 @@
     async def _transfer_share(
         self, group_id: int, other: int, begin: wire.BeginTurn
     ) -> wire.TurnReply | None:
-        """Take over what another group has released; return its reply once that counts here."""
+        """Transfer another group's share; return its reply once the tokens are added here."""
         release = wire.ReleaseShare(
             tenant=begin.tenant,
             program_id=begin.program_id,
--- a/src/bendshed/turns/state.py
+++ b/src/bendshed/turns/state.py
@@ -1,7 +1,8 @@
-"""The replicated state of the turn log: chains of stored turns, budgets of programs, usage. Pure.
+"""Replicated state machine of the turn log: stored turn chains, program budgets, tenant usage.
 
-Commands in, replies out. Time is the log's clock, which the commands carry. It never runs
-backwards and stops while no replica leads, so that nothing expires early.
+Applies committed commands and returns replies; performs no I/O. Time is the log's clock, which
+commands carry. It is monotonic and stops while the group has no leader, so that nothing expires
+early.
 """
 
 from collections.abc import Iterator
@@ -13,28 +14,29 @@
 from bendshed.wire import turns_pb2 as wire
 
 PROGRAM_RETENTION_FACTOR = 2
-"""A program's budget is stored this many retentions beyond its last turn."""
+"""A program's budget is stored for this many retention periods after its last turn."""
 MIN_PROGRAM_RETENTION_MS = 120_000
-"""The same at least, for routes with a short retention or none."""
+"""Minimum time to store a program's budget, for routes with a short retention or none."""
 RELEASED_RETENTION_FACTOR = 10
-"""A program that has released its share here is stored this many times as long as others. The group
-that took the share requests it again while the program runs; a group that had forgotten the release
-would give the same tokens twice."""
+"""Factor on the storage time of a program whose share this group has released. The group that took
+the share requests it again while the program runs; if this group had dropped its record of the
+release, it would release the same tokens twice."""
 EXPIRY_SWEEP_INTERVAL_MS = 1_000
-"""Expired turns and programs are removed once in this time of the log's clock."""
+"""Interval, by the log's clock, at which expired turns and programs are removed."""
 PREVIEW_MIN_TURNS = 4
-"""A begin is previewed as granted when the budget holds this many turns like it, so that turns of
-the same program that begin at once can hardly use it up."""
+"""A preview grants a begin only if the budget covers this many turns of its size, so that begins of
+the same program that run concurrently are unlikely to exhaust it."""
 COLLECT_SHARES_BELOW_TURNS = 6
-"""The other groups' shares are requested when this group's holds fewer turns like the last one:
-before previews end, and never for a program of few turns."""
+"""The other groups' shares are requested once this group's share covers fewer turns of the last
+one's size. It exceeds ``PREVIEW_MIN_TURNS``, so that shares arrive before previews stop being
+granted; a program of few turns never causes a request."""
 
 
 class TurnLogState:
-    """Everything that one group of the turn log replicates.
+    """State that one group of the turn log replicates.
 
-    Invariants: with a turn its whole chain is stored; a turn id is granted at most once and never
-    after it was closed.
+    Invariants: if a turn is stored, so is its whole chain; a turn id is granted at most once, and
+    never after it was closed.
     """
 
     def __init__(self, group_id: int = 0) -> None:
@@ -70,13 +72,13 @@
         return wire.TurnReply()
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Serialize the whole state."""
         return b"".join(self._snapshot_pieces())
 
     def _snapshot_pieces(self) -> Iterator[bytes]:
-        """Pieces that are one message when joined (repeated fields of protobuf concatenate).
+        """Yield parts that form one message when joined (protobuf concatenates repeated fields).
 
-        One message of all turns would hold every transcript once more.
+        Building a single message would hold a second copy of every transcript in memory.
         """
         yield wire.TurnLogSnapshot(clock_ms=self.clock_ms).SerializeToString()
         for (tenant, turn_id), turn in self.turns.items():
@@ -89,7 +91,7 @@
             yield piece.SerializeToString()
 
     def restore(self, state: bytes) -> None:
-        """Replace the state."""
+        """Replace the state by that of a snapshot."""
         snapshot = wire.TurnLogSnapshot.FromString(state)
         self.clock_ms = snapshot.clock_ms
         self.turns = {(row.tenant, row.turn_id): StoredTurn.of_wire(row) for row in snapshot.turns}
@@ -117,10 +119,10 @@
         return reply
 
     def preview(self, begin: wire.BeginTurn) -> wire.TurnReply:
-        """What a begin would be answered, with its chain; changes nothing.
+        """Return the expected reply to a begin, with its chain; read-only.
 
-        ``GRANTED`` only where the budget holds ``PREVIEW_MIN_TURNS``. The requesting node takes any
-        other answer from the commit.
+        It is ``GRANTED`` only if the budget covers ``PREVIEW_MIN_TURNS`` such turns. For any other
+        result the requesting node waits for the reply of the commit.
         """
         if self._is_previous_turn_missing(begin):
             return wire.TurnReply(answer=wire.TURN_ANSWER_UNKNOWN_TURN)
@@ -132,27 +134,27 @@
         return reply
 
     def _is_previous_turn_missing(self, begin: wire.BeginTurn) -> bool:
-        """Whether the turn continues one that is not stored for its tenant."""
+        """Whether the turn continues a turn that is not stored for its tenant."""
         previous = begin.previous_turn
         return bool(previous) and (begin.tenant, previous) not in self.turns
 
     def latest_runner_id(self, tenant: str, program_id: str) -> str:
-        """Runner of a program's latest turn; empty: unknown."""
+        """Return the runner of a program's latest turn; empty if unknown."""
         program = self.programs.get((tenant, program_id))
         return program.runner_id if program is not None else ""
 
     def is_program_started(self, begin: wire.BeginTurn) -> bool:
-        """Whether the turn's program has begun: its next turns come before new programs."""
+        """Whether the turn's program has started; its turns take precedence over new programs."""
         has_begun = (begin.tenant, begin.program_id) in self.programs
         return has_begun or bool(begin.previous_turn)
 
     def is_reserved(self, begin: wire.BeginTurn) -> bool:
-        """Whether this very turn was granted before."""
+        """Whether this turn was granted before and still holds its reservation."""
         program = self.programs.get((begin.tenant, begin.program_id))
         return program is not None and begin.turn_id in program.reserved
 
     def _add_uncached_chain(self, reply: wire.TurnReply, begin: wire.BeginTurn) -> None:
-        """Add what the requesting node has not cached of the chain."""
+        """Add the chain's transcripts, unless the requesting node has them cached."""
         if begin.previous_turn and begin.held_turn == begin.previous_turn:
             reply.held_turn = begin.held_turn
         else:
@@ -164,11 +166,11 @@
     def _insufficient_share_reply(
         self, program: ProgramBudget, begin: wire.BeginTurn
     ) -> wire.TurnReply:
-        """Answer a turn that this group's share does not hold: whether the whole budget does.
+        """Build the reply to a begin that this group's share of the budget does not cover.
 
-        ``OTHER_GROUP`` names the group that should take the turn. It is this one, which must take
-        over the others' shares first, if it stores the turn's chain, if another group has sent the
-        node here, or if no other holds this group's share.
+        ``OTHER_GROUP`` names the group that should grant the turn. It names this group, which must
+        first take over the others' shares, if the turn continues a chain stored here, if another
+        group redirected the node here, or if no other group has received this group's share.
         """
         if begin.num_groups <= 1 or program.is_spent(begin):
             return self._reply(wire.TURN_ANSWER_BUDGET_SPENT, program)
@@ -181,8 +183,8 @@
     def needs_other_shares(self, begin: wire.BeginTurn) -> bool:
         """Whether to request the other groups' shares of a granted turn's budget.
 
-        First when this group's share runs low, then once in the time for which a program is stored,
-        so that no group forgets what it has released.
+        The first request is due when this group's share runs low, further ones once per storage
+        time of a program, so that no group drops its record of what it has released.
         """
         if begin.num_groups <= 1 or not begin.has_budget:
             return False
@@ -193,10 +195,10 @@
             return not program.holds(begin, self.group_id, COLLECT_SHARES_BELOW_TURNS)
         return self.clock_ms - program.shares_taken_ms > _program_retention_ms(begin.retention_ms)
 
-    # --- shares of several groups --------------------------------------------------------
+    # --- budget shares of groups ---------------------------------------------------------
 
     def _release(self, request: wire.ReleaseShare) -> wire.TurnReply:
-        """Give up what the group holds of a budget and does not need, for good."""
+        """Permanently release the part of the group's share that it neither spent nor reserved."""
         scoped_id = (request.tenant, request.program_id)
         program = self._get_or_create_program(
             scoped_id, request.retention_ms, RELEASED_RETENTION_FACTOR
@@ -207,14 +209,14 @@
         return reply
 
     def _take(self, share: wire.TakeShare) -> wire.TurnReply:
-        """Count what another group has given up."""
+        """Add tokens that another group has released to this group's share."""
         program = self._get_or_create_program((share.tenant, share.program_id), share.retention_ms)
         program.take(share)
         program.shares_taken_ms = max(1, self.clock_ms)
         return self._reply(wire.TURN_ANSWER_GRANTED, program)
 
     def _chain(self, tenant: str, turn_id: str) -> list[wire.TurnPiece]:
-        """Transcripts up to and with a turn, oldest first."""
+        """Return the transcripts of a chain up to and including a turn, oldest first."""
         pieces = []
         while turn_id:
             turn = self.turns[tenant, turn_id]
@@ -250,7 +252,7 @@
         return self._reply(wire.TURN_ANSWER_GRANTED, program)
 
     def _store_turn(self, finish: wire.FinishTurn) -> None:
-        """Store the turn, and its chain for at least as long."""
+        """Store the turn and extend the expiry of its chain to at least the same time."""
         expires_ms = self.clock_ms + finish.retention_ms
         self.turns[finish.tenant, finish.turn_id] = StoredTurn(
             finish.previous_turn, finish.input + finish.output, expires_ms
@@ -274,9 +276,9 @@
         return program
 
     def _sweep(self) -> None:
-        """Remove what has expired; a chain's turns never expire before its newest one.
+        """Remove expired entries; a chain's turns never expire before its newest one.
 
-        When it runs follows from the replicated clock alone: a replica that was restored from a
+        Runs at times that depend on the replicated clock alone, so that a replica restored from a
         snapshot removes the same entries at the same command as all others.
         """
         now_ms = self.clock_ms
@@ -288,5 +290,5 @@
 
 
 def _program_retention_ms(retention_ms: int) -> int:
-    """How long a program's budget is stored beyond its latest turn."""
+    """Return how long a program's budget is stored after its latest turn, in ms."""
     return max(MIN_PROGRAM_RETENTION_MS, PROGRAM_RETENTION_FACTOR * retention_ms)
--- a/src/bendshed/turns/stored_turn.py
+++ b/src/bendshed/turns/stored_turn.py
@@ -1,4 +1,4 @@
-"""A turn that may be continued, as one group of the turn log stores it. Pure."""
+"""A stored turn that may be continued; one group of the turn log holds it."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True)
 class StoredTurn:
-    """One turn that may be continued.
+    """One stored turn that may be continued.
 
     Attributes:
-        previous_turn: the turn it continues; empty at the start of a chain.
+        previous_turn: id of the turn it continues; empty at the start of a chain.
         transcript: its input and output.
-        expires_ms: time of the log's clock until which it is stored, with its whole chain.
+        expires_ms: time by the log's clock until which the turn and its whole chain are stored.
 
     """
 
@@ -21,7 +21,7 @@
     expires_ms: int
 
     def to_wire(self, tenant: str, turn_id: str) -> wire.KeptTurn:
-        """Write it for a snapshot."""
+        """Encode the turn for a snapshot."""
         return wire.KeptTurn(
             tenant=tenant,
             turn_id=turn_id,
@@ -32,5 +32,5 @@
 
     @classmethod
     def of_wire(cls, row: wire.KeptTurn) -> "StoredTurn":
-        """Read it from a snapshot."""
+        """Decode a turn from a snapshot."""
         return cls(row.previous_turn, row.transcript, row.expires_ms)
