--- a/src/bendshed/turns/refused_begins.py
+++ b/src/bendshed/turns/refused_begins.py
@@ -1,8 +1,9 @@
-"""Begins that a leader has refused: another copy of the same begin gets the same answer. Pure.
+"""Remembers begins that the leader has refused, so that duplicates get the same answer; no I/O.
 
-A node sends a begin again when no answer came, and through a relay while the direct path is silent.
-A copy that arrives after its turn was refused to the caller would reserve tokens that no end ever
-releases. Owns: the latest refusals of one group, in the leader's memory alone.
+A node resends a begin that was not answered, and also sends it through a relay while the direct
+path is silent. A duplicate that is granted after the caller was told of the refusal would reserve
+tokens that no end ever releases. Owns the recent refusals of one group, kept only in the leader's
+memory.
 """
 
 from collections import OrderedDict
@@ -11,9 +12,9 @@
 from bendshed.wire import turns_pb2 as wire
 
 REFUSAL_TTL_S = 10.0
-"""A relay or a connection that stands still may hold a copy for some seconds."""
+"""A relay or a stalled connection may delay a duplicate for several seconds."""
 MAX_REFUSALS = 10_000
-"""Refusals remembered, some 300 bytes each; the oldest is forgotten first."""
+"""Maximum number of refusals remembered, about 300 bytes each; the oldest is dropped first."""
 FINAL_REFUSALS = (
     wire.TURN_ANSWER_UNKNOWN_TURN,
     wire.TURN_ANSWER_BUDGET_SPENT,
@@ -21,18 +22,18 @@
     wire.TURN_ANSWER_QUOTA_EXCEEDED,
     wire.TURN_ANSWER_NO_ROOM,
 )
-"""Refusals after which the turn is not begun in this group any more."""
+"""Refusals after which the requesting node does not begin the turn in this group again."""
 
 
 class RefusedBegins:
-    """Refusals that were answered within ``REFUSAL_TTL_S``."""
+    """Refusals answered within the last ``REFUSAL_TTL_S`` seconds."""
 
     def __init__(self, group_id: int) -> None:
         self._group_id = group_id
         self._refusals: OrderedDict[TurnKey, tuple[float, wire.TurnReply]] = OrderedDict()
 
     def record(self, begin: wire.BeginTurn, reply: wire.TurnReply, now_s: float) -> None:
-        """Remember an answer that refuses a begin for good."""
+        """Record a reply if it is a final refusal of a begin."""
         if not self._is_final(reply):
             return
         self._refusals[turn_key(begin)] = (now_s, reply)
@@ -41,9 +42,10 @@
             self._refusals.popitem(last=False)
 
     def find(self, begin: wire.BeginTurn, now_s: float) -> wire.TurnReply | None:
-        """Return the refusal of another copy; ``None``: none was refused lately.
+        """Return the refusal of the same begin; ``None``: it was not refused recently.
 
-        A turn that went to a runner meanwhile is decided on again, so that it is counted.
+        A turn that was dispatched to a runner in the meantime is decided again, so that it is
+        counted.
         """
         refused_s, reply = self._refusals.get(turn_key(begin), (-REFUSAL_TTL_S, None))
         is_recent = now_s - refused_s < REFUSAL_TTL_S
--- a/src/bendshed/turns/unanswered_begins.py
+++ b/src/bendshed/turns/unanswered_begins.py
@@ -1,10 +1,10 @@
-"""Begins that nobody was answered about: which reservations they hold, and when these go. Pure.
+"""Tracks begins that were never answered and releases the reservations they made; no I/O.
 
-A front hands out a turn's tokens only after an answer to one of the turn's begins. A begin that the
-process which proposed it did not answer while the front waited let nothing start, whatever becomes
-of its log entry. When none of the begins behind a reservation was answered, the reservation is
-released. What was answered, or was proposed by a process that has lost its memory, stays reserved
-until the turn's own end.
+A front delivers a turn's tokens only after an answer to one of the turn's begins. If the process
+that proposed a begin did not answer it while the front waited, the begin started no work, whether
+or not its log entry is committed later. A reservation is released when none of the begins behind it
+was answered. If one was answered, or was proposed by a process that has restarted since, the
+reservation stays until the turn's own end.
 """
 
 from collections import Counter, OrderedDict
@@ -16,27 +16,29 @@
 from bendshed.wire import turns_pb2 as wire
 
 FIRST_WITHDRAWAL_DELAY_S = 1.0
-"""A front that runs ends a refused turn itself within this time of the commit of its begin."""
+"""Delay before the first withdrawal. A running front ends a refused turn itself within this time
+after its begin was committed."""
 WITHDRAWAL_RETRY_INTERVAL_S = 1.0
-"""Pause between two withdrawals of the same begins."""
+"""Pause before the withdrawal of the same begins is sent again."""
 MAX_CONCURRENT_WITHDRAWALS = 64
-"""Withdrawals that are sent side by side."""
+"""Maximum number of withdrawals sent concurrently."""
 MAX_TRACKED_TURNS = 10_000
-"""Turns remembered, some 400 bytes each; the oldest is forgotten first and stays reserved."""
+"""Maximum number of turns remembered, about 400 bytes each. The oldest is dropped first; its
+reservation then stays until the turn's own end."""
 MAX_PROPOSALS_PER_TERM = 1 << 40
-"""More begins than a leader proposes in one term."""
+"""Upper bound on the begins that a leader proposes in one term."""
 
 TurnKey = tuple[str, str, str]
 """Tenant, program id, turn id."""
 
 
 def turn_key(message: wire.BeginTurn | wire.WithdrawBegin) -> TurnKey:
-    """The turn that a message is about."""
+    """Return the key of the turn that a message concerns."""
     return (message.tenant, message.program_id, message.turn_id)
 
 
 def granted_proposals(state: TurnLogState, turn: TurnKey) -> set[int]:
-    """Numbers of the begins behind a turn's reservation; empty: it has none."""
+    """Return the numbers of the begins behind a turn's reservation; empty: no reservation."""
     tenant, program_id, turn_id = turn
     program = state.programs.get((tenant, program_id))
     return program.granted.get(turn_id, set()) if program is not None else set()
@@ -44,11 +46,11 @@
 
 @dataclass(slots=True)
 class _UnansweredTurn:
-    """Begins of one turn.
+    """Unanswered begins of one turn.
 
     Attributes:
         log_indexes: log index by number of the begin.
-        due_s: steady time of the next withdrawal; ``None``: no entry is known to be granted.
+        due_s: monotonic time of the next withdrawal; ``None``: no begin is known to be granted.
 
     """
 
@@ -64,11 +66,11 @@
         self._turns: OrderedDict[TurnKey, _UnansweredTurn] = OrderedDict()
 
     def __len__(self) -> int:
-        """Turns whose begins may still hold a reservation."""
+        """Return the number of turns whose begins may still hold a reservation."""
         return len(self._turns)
 
     def record(self, begin: wire.BeginTurn, index: int) -> None:
-        """Remember a begin that will not be answered any more; ``index`` is its log entry's."""
+        """Record a begin that will not be answered any more, with the index of its log entry."""
         unanswered = self._turns.setdefault(turn_key(begin), _UnansweredTurn(begin.retention_ms))
         unanswered.log_indexes[begin.proposal] = index
         if len(self._turns) > MAX_TRACKED_TURNS:
@@ -77,12 +79,14 @@
     def due_withdrawals(
         self, state: TurnLogState, is_settled: Callable[[int], bool], now_s: float
     ) -> list[wire.WithdrawBegin]:
-        """Withdrawals to send now; forgets begins whose entries hold no reservation.
+        """Return withdrawals to send now, up to ``MAX_CONCURRENT_WITHDRAWALS``.
+
+        Drops begins whose settled log entries hold no reservation.
 
         Args:
-            state: of this process, with all settled entries applied.
-            is_settled: whether the log entry of an index is applied here, or another in its place.
-            now_s: steady time.
+            state: state of this process, with all settled entries applied.
+            is_settled: whether the log entry at an index, or one that replaced it, is applied here.
+            now_s: monotonic time.
 
         """
         return list(
@@ -124,10 +128,10 @@
 
 
 class ProposedBegins:
-    """Begins of a group's leader: their numbers, and which of them may still be answered.
+    """Numbers the begins that a group's leader proposes and tracks which may still be answered.
 
-    Invariant: ``can_release`` is true of a turn only if none of its begins was answered or will be.
-    The end that the leader proposes then stands behind all of them in the log.
+    Invariant: ``can_release`` is true for a turn only if none of its begins was or will be
+    answered. The end that the leader then proposes follows all of them in the log.
     """
 
     def __init__(self) -> None:
@@ -137,20 +141,20 @@
         self._withdrawn: OrderedDict[TurnKey, set[int]] = OrderedDict()
 
     def number(self, begin: wire.BeginTurn, term: int) -> None:
-        """Number a begin; numbers are unique among all leaders of a group."""
+        """Assign a proposal number to a begin, unique among all leaders of the group."""
         self._num_proposed += 1
         begin.proposal = term * MAX_PROPOSALS_PER_TERM + self._num_proposed
         self._num_in_flight[turn_key(begin)] += 1
 
     def settle(self, begin: wire.BeginTurn) -> None:
-        """A numbered begin is being answered, or will not be."""
+        """Record that a numbered begin is being answered now, or never will be."""
         turn = turn_key(begin)
         self._num_in_flight[turn] -= 1
         if not self._num_in_flight[turn]:
             del self._num_in_flight[turn]
 
     def withdraw(self, request: wire.WithdrawBegin, term: int) -> None:
-        """Note what the process that proposed some begins says: it has answered none of them."""
+        """Record that the process which proposed these begins has answered none of them."""
         if term != self._term:
             self._term = term
             self._withdrawn.clear()
@@ -160,11 +164,11 @@
             self._withdrawn.popitem(last=False)
 
     def can_release(self, turn: TurnKey, state: TurnLogState) -> bool:
-        """Whether a turn's reservation rests on withdrawn begins alone."""
+        """Whether all begins behind a turn's reservation are withdrawn and none is in flight."""
         granted = granted_proposals(state, turn)
         withdrawn = self._withdrawn.get(turn, set())
         return bool(granted) and granted <= withdrawn and not self._num_in_flight[turn]
 
     def forget(self, turn: TurnKey) -> None:
-        """A turn's reservation is gone."""
+        """Drop the withdrawals of a turn whose reservation is released."""
         self._withdrawn.pop(turn, None)
