--- a/src/bendshed/turns/client.py
+++ b/src/bendshed/turns/client.py
@@ -1,6 +1,6 @@
-"""A node's side of the turn log: reaches the leaders of its groups and caches transcripts.
+"""Client of the turn log in a node: sends requests to group leaders and caches transcripts.
 
-Owns: since when no replica has answered. Relies on ``consensus/group_client.py`` for who leads.
+Tracks since when no replica has answered. Relies on ``consensus/group_client.py`` to find leaders.
 """
 
 import asyncio
@@ -24,36 +24,36 @@
 log = PartLog("turns")
 
 COMMAND_ATTEMPT_TIMEOUT_S = 0.3
-"""Longest wait of one try for a commit, which takes some ms. A leader in another zone or region has
-more (``group_client.FAR_TRIPS``)."""
+"""Timeout of one attempt to commit, which takes a few ms. The timeout is longer for a leader in
+another zone or region (``group_client.FAR_TRIPS``)."""
 QUERY_ATTEMPT_TIMEOUT_S = 0.2
-"""The same for what is answered without a commit, or with one for a call."""
+"""Timeout of one attempt of a request that needs no commit, or of one to admit a call."""
 LOSS_LOG_DELAY_S = 0.3
-"""A loss of the turn log is logged after this long without any answer: a change of leaders in which
-single tries fail is none."""
+"""A loss of the turn log is logged after this long without any answer. A change of leaders, during
+which single attempts fail, is not a loss."""
 RETRY_MIN_PAUSE_S = 0.01
 RETRY_MAX_PAUSE_S = 0.05
-"""Bounds of the random pause between two tries, so that nodes do not retry in step."""
+"""Bounds of the random pause between attempts, so that nodes do not retry in lockstep."""
 FIND_LEADER_MIN_PAUSE_S = 0.03
 FIND_LEADER_PAUSE_FACTOR = 1.5
 FIND_LEADER_MAX_PAUSE_S = 0.4
-"""Pauses while a started node looks for the leader, each longer by the factor: there is a leader
-0.2 s after power at the earliest, and hundreds of nodes look for it then."""
+"""Backoff of a starting node that looks for the leader, growing by the factor. A group has one
+0.2 s after power returns at the earliest, and hundreds of nodes look for it then."""
 FIND_LEADER_ATTEMPTS = 3
-"""Replicas that are tried before each pause: half of them may lead nothing and know no leader."""
+"""Replicas tried before each pause: half of them may lead no group and know no leader."""
 
 
 RETRIED_ANSWERS = (wire.TURN_ANSWER_NOT_LEADER, wire.TURN_ANSWER_UNAVAILABLE)
-"""Answers after which a request is sent again."""
+"""Answers after which a request is retried."""
 
 
 class TurnClient:
-    """Sends requests to the leader of the group that they name; each may be repeated.
+    """Sends requests to the leader of the group that they name; each may safely be repeated.
 
     Attributes:
-        home_group: the group that serves this node's callers; only its silence is a loss.
-        lost_since_s: loop time of the first try that failed since the last reply; ``None``: the
-            last try was answered.
+        home_group: the group that serves this node's callers; only its silence counts as a loss.
+        lost_since_s: loop time of the first failed attempt since the last reply; ``None``: the last
+            attempt was answered.
 
     """
 
@@ -73,7 +73,7 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether neither replicas nor relays answer this node: a retry here is of no use."""
+        """Whether neither replicas nor relays answer this node, so that a retry here is useless."""
         return self._is_isolated()
 
     async def command(
@@ -82,9 +82,9 @@
         timeout_s: float,
         before_attempt: Callable[[], None] = lambda: None,
     ) -> wire.TurnReply:
-        """Commit a command; ``before_attempt`` may bring it up to date before each try.
+        """Commit a command; ``before_attempt`` may update it before each attempt.
 
-        Raise ``GroupUnavailable`` when no leader answered in time; the effect is unknown then.
+        Raise ``GroupUnavailable`` if no leader answered in time; the outcome is then unknown.
         """
 
         command.wait_ms = int(COMMAND_ATTEMPT_TIMEOUT_S * 1000)
@@ -104,7 +104,7 @@
         )
 
     async def preview(self, preview: wire.TurnPreview) -> wire.TurnReply | None:
-        """Request once what a begin would be answered; ``None``: no leader answered."""
+        """Request once the expected reply to a begin; ``None``: no leader answered."""
         payload = preview.SerializeToString()
         reply = await self._request(preview.group, PREVIEW_METHOD, payload, QUERY_ATTEMPT_TIMEOUT_S)
         if reply is not None and reply.answer == wire.TURN_ANSWER_NOT_LEADER:
@@ -112,9 +112,9 @@
         return reply
 
     async def admit_call(self, request: wire.QuotaAsk, timeout_s: float) -> wire.TurnReply | None:
-        """Request the admission of one call, across a change of leaders; ``None``: no answer.
+        """Request the admission of one call, retrying across leader changes; ``None``: no answer.
 
-        Repeating is safe: at worst the call counts twice for some seconds.
+        Retries are safe: at worst the call counts twice for some seconds.
         """
         return await self._request_until_decided(
             request.group,
@@ -129,7 +129,7 @@
     ) -> wire.TurnReply | None:
         """Request a permit for one dispatch to a runner that may be cold; ``None``: no answer.
 
-        Repeating is safe: at worst the dispatch counts twice for a second.
+        Retries are safe: at worst the dispatch counts twice for one second.
         """
         return await self._request_until_decided(
             request.group,
@@ -148,15 +148,15 @@
         timeout_s: float,
         min_left_s: float = 0.0,
     ) -> wire.TurnReply | None:
-        """Repeat a request until a group's leader decides; ``None``: it did not in time.
+        """Retry a request until a group's leader decides; ``None``: it did not decide in time.
 
         Args:
-            group: whose leader decides.
-            method: of the request.
-            payload: makes the content of each try.
-            attempt_timeout_s: of one try; a far leader has more.
-            timeout_s: of all tries.
-            min_left_s: with no more time than this left no further try begins.
+            group: group whose leader decides.
+            method: method of the request.
+            payload: builds the content of each attempt.
+            attempt_timeout_s: timeout of one attempt; longer for a distant leader.
+            timeout_s: timeout of all attempts together.
+            min_left_s: no further attempt is made with this much time left or less.
 
         """
         loop = asyncio.get_running_loop()
@@ -180,15 +180,15 @@
 
     @property
     def expected_round_trip_home_s(self) -> float:
-        """Round trip to the home group's supposed leader, in s; 0: no leader is known."""
+        """Expected round trip to the home group's presumed leader, in s; 0: no leader is known."""
         return self._groups.round_trip_to_leader_s(self.home_group)
 
     async def probe(self) -> None:
-        """Request an empty preview, which changes nothing; ``lost_since_s`` has the outcome."""
+        """Send an empty preview, which has no effect, to update ``lost_since_s``."""
         await self.preview(wire.TurnPreview(group=self.home_group))
 
     def _record_contact(self, was_answered: bool) -> None:
-        """Remember since when no replica answers, and log a loss once it has lasted."""
+        """Track since when no replica answers; log a loss once it has lasted, and its end."""
         now_s = asyncio.get_running_loop().time()
         if was_answered:
             if self._is_loss_logged:
@@ -205,7 +205,7 @@
     async def _request(
         self, group: int, method: str, payload: bytes, timeout_s: float, left_s: float = math.inf
     ) -> wire.TurnReply | None:
-        """Send one request to the supposed leader of a group; learn from the reply who leads."""
+        """Send one request to the presumed leader of a group; update the leader from the reply."""
         answer = await self._groups.request_leader(group, method, payload, timeout_s, left_s)
         if group == self.home_group:
             self._record_contact(answer is not None)
@@ -220,10 +220,9 @@
 
 
 class TranscriptCache:
-    """Whole transcripts (a chain's bytes up to one turn); the least recently used is dropped first.
+    """LRU cache of whole transcripts (a chain's bytes up to one turn), keyed by tenant and turn id.
 
-    A turn's transcript never changes, so a cached one is never wrong. A turn is named by its tenant
-    and its id.
+    A turn's transcript is immutable, so a cached one never becomes stale.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -232,7 +231,7 @@
         self._entries: OrderedDict[TenantScopedId, bytes] = OrderedDict()
 
     def get(self, turn: TenantScopedId) -> bytes | None:
-        """Return the transcript up to and with a turn, if cached."""
+        """Return the transcript up to and including a turn, if cached."""
         found = self._entries.get(turn)
         if found is not None:
             self._entries.move_to_end(turn)
--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -1,8 +1,8 @@
-"""Decides whether a request may be dispatched to cold runners, at the leader of the turn log.
+"""Decides at the turn log's leader whether a request may be dispatched to cold runners.
 
-Owns the permits of this process and the requests that it rejected lately. How many permits a leader
-may give is decided in `admission/cold_permits.py`, when rejected requests come back in
-`admission/retry_schedule.py`.
+Owns the permits granted by this process and the requests that it rejected recently.
+`admission/cold_permits.py` decides how many permits a leader may grant, and
+`admission/retry_schedule.py` when rejected requests retry.
 """
 
 from collections import OrderedDict
@@ -21,8 +21,8 @@
 PERMIT_MS = int(1000 * PERMIT_VALID_S)
 """Validity of a permit, in milliseconds from the request for it."""
 REJECTION_TTL_S = 2.0
-"""Time, in seconds, for which the rejection of a turn rejects its begin too, which may arrive
-afterwards; otherwise the program would count as begun when its client comes back."""
+"""Time, in seconds, for which the rejection of a turn's preview also rejects its begin, which may
+arrive later. Otherwise the program would count as started when its client retries."""
 
 log = PartLog("cold")
 
@@ -32,9 +32,9 @@
     """A request that may need a permit.
 
     Attributes:
-        program_id: its program; of a request without one, the request's own id.
-        is_new_program: nothing of the program has run yet, so it is rejected first.
-        chain: of a turn; empty: unknown.
+        program_id: id of its program, or the request's own id if it has none.
+        is_new_program: no turn of the program has run yet; such requests are rejected first.
+        chain: id of the turn's chain; empty: unknown.
 
     """
 
@@ -45,18 +45,19 @@
 
     @property
     def retry_key(self) -> tuple[str, str]:
-        """What comes back after a rejection, whatever id its next attempt has."""
+        """Identifies a rejected request when it is retried under a new request id."""
         return self.program_id, self.chain
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a request may run.
+    """Decision on where a request may run.
 
     Attributes:
-        runner_id: empty: no eligible runner is known here.
-        permit_ms: above 0: it may be dispatched there once, within this time from its request.
-        retry_after_ms: above 0: rejected, and when there is room again.
+        runner_id: the chosen runner; empty: no eligible runner is known here.
+        permit_ms: if positive, the request may be dispatched there once, within this time from its
+            request for the permit.
+        retry_after_ms: if positive, the request is rejected and may retry after this time.
 
     """
 
@@ -67,11 +68,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PermittedRunners:
-    """Runners that a request may be placed at now.
+    """Runners to which a request may be dispatched now.
 
     Attributes:
-        runners: warm ones, and cold ones with permits left.
-        cold: ids of the latter.
+        runners: warm runners, and cold ones with permits left.
+        cold: ids of those that need a permit.
 
     """
 
@@ -81,16 +82,16 @@
 
 @dataclass(slots=True)
 class ColdAdmission:
-    """Gives permits for cold runners, while this process leads.
+    """Grants permits for cold runners while this process leads a group.
 
-    Running programs that were rejected come back; until then the permits that they will need are
-    not given to new programs.
+    Rejected requests of running programs retry later; until then the permits that they will need
+    are withheld from new programs.
 
     Attributes:
-        tracker: which runners are cold.
-        terms: bound on requests to a cold runner.
-        num_leaders: groups of the turn log, whose leaders share the bound.
-        permit_counts: permits given lately.
+        tracker: knows which runners are cold.
+        terms: bound on the request rate to a cold runner.
+        num_leaders: number of turn log groups, whose leaders share the bound.
+        permit_counts: recently granted permits.
 
     """
 
@@ -109,8 +110,7 @@
     def permitted_runners(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
     ) -> PermittedRunners:
-        """Leave out the cold runners that have no permit left; a repeated request is decided
-        again."""
+        """Leave out cold runners without a permit left; a repeated request is decided again."""
         self._rejected.pop(request.request_id, None)
         if not self.tracker.has_cold:
             return PermittedRunners(runners)
@@ -124,8 +124,8 @@
     def permit_limited_runners(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
     ) -> PermittedRunners:
-        """Bound each runner, warm or not: the requesting node may know a runner to be cold that is
-        warm here."""
+        """Apply the bound to all runners: one that is warm here may be cold at the requesting
+        node."""
         has_room = self._runners_with_room(runners, request, now_s)
         return PermittedRunners(has_room, {runner.runner_id for runner in has_room})
 
@@ -136,7 +136,7 @@
         return [runner for runner in runners if self._room(runner, request, now_s) > reserved]
 
     def _reserved_for_others(self, request: PermitRequest, now_s: float) -> int:
-        """Permits that rejected requests of running programs will request again."""
+        """Return how many rejected requests of running programs are expected to retry."""
         if not request.is_new_program:
             return 0
         return self._retries[False].num_others(request.retry_key, int(1000 * now_s))
@@ -153,7 +153,7 @@
         avoided: Collection[str],
         now_s: float,
     ) -> str:
-        """Runner of a request whose load is unknown: a warm one first, then the fewest permits."""
+        """Choose a runner for a request of unknown load: warm ones first, then fewest permits."""
         rank = rendezvous_rank(request_id, [runner.runner_id for runner in runners])
 
         def cost(runner: ServiceRunner) -> tuple[bool, bool, int, bool, int]:
@@ -169,7 +169,7 @@
         return min(runners, key=cost).runner_id
 
     def grant(self, runner_id: str, request: PermitRequest, now_s: float) -> Placement:
-        """Permit one dispatch, and count it."""
+        """Grant and count a permit for one dispatch."""
         self.permit_counts.grant(runner_id, now_s)
         self._rejected.pop(request.request_id, None)
         self._retries[request.is_new_program].forget(request.retry_key)
@@ -188,7 +188,7 @@
     def reject(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
     ) -> Placement:
-        """Reject a request: it may come back when there is room behind those rejected before it."""
+        """Reject a request; its retry time allows for the requests rejected before it."""
         self.permit_counts.sweep(now_s)
         now_ms = int(1000 * now_s)
         retries = self._retries[request.is_new_program]
@@ -229,12 +229,12 @@
             self._rejected.popitem(last=False)
 
     def forget_rejection(self, request_id: str) -> None:
-        """Forget a rejection that no begin follows."""
+        """Drop a rejection that no begin will follow."""
         self._rejected.pop(request_id, None)
 
     def rejection_retry_ms(self, request_id: str, now_s: float) -> int:
-        """Retry time of a turn that was rejected within ``REJECTION_TTL_S``, in ms; 0: it was
-        not."""
+        """Return the retry time, in ms, of a turn rejected within ``REJECTION_TTL_S``; 0: it was
+        not rejected."""
         if not self._rejected:
             return 0
         at_s, retry_ms = self._rejected.get(request_id, (float("-inf"), 0))
--- a/src/bendshed/turns/group_locator.py
+++ b/src/bendshed/turns/group_locator.py
@@ -1,7 +1,7 @@
-"""Which group of the turn log a node requests first for a turn. Pure.
+"""Chooses the turn log group that a node contacts first for a turn; performs no I/O.
 
-Its answer is a hint: a group that does not hold a program's budget or a turn answers so, and the
-node requests another. Source: docs/design/0012.
+The choice is a hint: a group that does not hold a program's budget or a turn replies so, and the
+node contacts another group. Source: docs/design/0012.
 """
 
 from collections import OrderedDict
@@ -11,12 +11,13 @@
 from bendshed.turns.methods import TenantScopedId
 
 MAX_REMEMBERED_ENTRIES = 4096
-"""Programs, and turns, that are remembered away from the home group; some 300 bytes each."""
+"""Maximum number of programs, and of turns, remembered in groups other than the home group; about
+300 bytes each."""
 
 
 @dataclass(slots=True)
 class GroupLocator:
-    """Programs and stored turns that are not in the group that this node would request first.
+    """Remembers programs and stored turns that are not in this node's home group.
 
     Attributes:
         groups: all groups.
@@ -30,11 +31,11 @@
     _turns: "OrderedDict[TenantScopedId, int]" = field(default_factory=OrderedDict)
 
     def num_groups(self, tenant: str) -> int:
-        """Groups that share a program's budget; all of a tenant's is in one."""
+        """Return how many groups share a program's budget; a tenant's budget is in one group."""
         return 1 if tenant else self.groups.count
 
     def group_of(self, tenant: str, program_id: str, previous_turn: str) -> int:
-        """Group to request first: the tenant's, the previous turn's, the program's, else home."""
+        """Return the group to contact first: of the tenant, previous turn or program, else home."""
         if tenant:
             return self.groups.of_tenant(tenant)
         known = self._turns.get((tenant, previous_turn)) if previous_turn else None
@@ -43,21 +44,21 @@
         return known if known is not None else self.home
 
     def others(self, tenant: str, group: int) -> list[int]:
-        """Further groups that may store a turn which ``group`` does not."""
+        """Return further groups that may store a turn if ``group`` does not."""
         return [] if tenant else self.groups.others(group)
 
     def note_program(self, tenant: str, program_id: str, group: int) -> None:
-        """A group has granted a turn of the program."""
+        """Record that a group has granted a turn of the program."""
         self._note(self._programs, (tenant, program_id), group)
 
     def note_turn(self, tenant: str, turn_id: str, group: int) -> None:
-        """A group has stored a turn."""
+        """Record that a group has stored a turn."""
         self._note(self._turns, (tenant, turn_id), group)
 
     def _note(
         self, known: "OrderedDict[TenantScopedId, int]", scoped_id: TenantScopedId, group: int
     ) -> None:
-        """Remember what is away from home; the least recently noted is forgotten first."""
+        """Record an entry outside the home group; the least recently recorded is dropped first."""
         known.pop(scoped_id, None)
         if scoped_id[0] or group == self.home:
             return
--- a/src/bendshed/turns/group_peers.py
+++ b/src/bendshed/turns/group_peers.py
@@ -1,4 +1,4 @@
-"""A replica machine's requests to the leaders of groups that it does not lead itself."""
+"""Requests of a replica machine to the leaders of groups that it does not lead."""
 
 import asyncio
 import random
@@ -15,11 +15,11 @@
 
 EMPTIED_TIMEOUT_S = 0.3
 LEADER_LOOKUP_INTERVAL_S = 2.0
-"""The leader of another group is looked for this often, since one-way messages bring no answer."""
+"""Interval at which another group's leader is looked up, since one-way messages get no reply."""
 
 
 class GroupPeers:
-    """Sends requests to the leaders of other groups; who leads is remembered as a hint."""
+    """Sends requests to the leaders of other groups; remembers the leaders as hints."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
     async def command(self, command: wire.TurnCommand, timeout_s: float) -> wire.TurnReply | None:
         """Commit a command in its group; ``None``: no leader answered in time.
 
-        ``timeout_s`` is for a neighbour; a far leader has more.
+        ``timeout_s`` applies to a nearby leader and is extended for a distant one.
         """
         timeout_s += FAR_TRIPS * self._client.round_trip_to_leader_s(command.group)
         try:
@@ -55,7 +55,7 @@
             return None
 
     async def request_emptied(self, group_id: int, node_id: str) -> bool:
-        """Whether a group has let a machine go; ``False`` also where its leader does not answer."""
+        """Whether a group has removed a machine; ``False`` also if its leader does not answer."""
         request = wire.EmptiedAsk(group=group_id, node_id=node_id)
         answer = await self._client.request_leader(
             group_id, EMPTIED_METHOD, request.SerializeToString(), EMPTIED_TIMEOUT_S
@@ -70,7 +70,7 @@
         return reply.is_emptied
 
     def leader_address(self, group_id: int) -> Address | None:
-        """Address of a group's leader as last named; ``None``: it is being looked for."""
+        """Return the last known address of a group's leader; ``None``: the lookup is running."""
         now_s = asyncio.get_running_loop().time()
         if now_s - self._last_lookup_s.get(group_id, float("-inf")) > LEADER_LOOKUP_INTERVAL_S:
             self._last_lookup_s[group_id] = now_s
--- a/src/bendshed/turns/load_exchange.py
+++ b/src/bendshed/turns/load_exchange.py
@@ -1,4 +1,4 @@
-"""Leaders of different groups report the load that each placed at runners to each other."""
+"""Exchanges the load that group leaders have placed at runners between those leaders."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 
 LOADS_METHOD = "turns.loads"
 REPORT_INTERVAL_S = 0.25
-"""Time between reports, about the length of a turn; one report has 20 bytes a runner."""
+"""Interval between reports, about the length of a turn; a report has 20 bytes per runner."""
 
 
 class LoadExchange:
-    """Sends load from each process that leads a group to the leaders of the other groups.
+    """Sends load reports from each process that leads a group to the leaders of the other groups.
 
-    A process has one ``ClusterLoad`` for all groups that it leads, so these need no message. A lost
-    report costs accuracy until the next one.
+    A process has one ``ClusterLoad`` for all groups that it leads, so these exchange no messages. A
+    lost report reduces accuracy until the next one.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         transport.one_way_handlers[LOADS_METHOD] = self._receive_report
 
     async def run(self) -> None:
-        """Report until cancelled; returns at once where there is one group."""
+        """Send reports until cancelled; return at once if there is only one group."""
         while self._groups.count > 1:
             await asyncio.sleep(REPORT_INTERVAL_S)
             led_groups = self._host.led_groups()
@@ -50,7 +50,7 @@
                 )
 
     def _send_report(self, own_group: int, others: list[int]) -> None:
-        """Send the whole load; an empty one once, so that idle leaders send nothing."""
+        """Send the whole load; send an empty one only once, so that idle leaders send nothing."""
         own = self._cluster_load.own_loads()
         if not own and not self._has_reported:
             return
