--- a/src/bendshed/turns/led_group.py
+++ b/src/bendshed/turns/led_group.py
@@ -1,6 +1,7 @@
-"""One group of the turn log at the process that leads it.
+"""One group of the turn log, at the process that leads it.
 
-Owns the log's clock in this term and the group's quotas. Relies on ``consensus/host.py`` to commit.
+Owns the log's clock in the current term and the group's quotas. Commits through
+``consensus/host.py``.
 """
 
 import asyncio
@@ -24,18 +25,18 @@
 from bendshed.wire import turns_pb2 as wire
 
 COMMIT_TIMEOUT_S = 1.0
-"""A commit that takes longer is answered as unknown; the requesting node has retried by then."""
+"""A commit that takes longer is answered as unknown; by then the requesting node has retried."""
 
 log = PartLog("turns")
 
 
 @dataclass(slots=True)
 class _LeaderClock:
-    """Clock of the log in one term: committed time at its start plus steady time since.
+    """Clock of the log in one term: the committed time at its start plus the monotonic time since.
 
     Attributes:
-        base_ms: committed time when the first request of the term came.
-        base_s: loop time at which the term began, so that time passes without requests too.
+        base_ms: committed time at the first request of the term.
+        base_s: loop time at which the term began, so that time also passes without requests.
 
     """
 
@@ -51,10 +52,10 @@
     ``NotLeader`` where this process does not lead the group.
 
     Attributes:
-        group_id: which.
-        quotas: decisions on the tenants that the group counts.
-        unanswered: begins that this process proposed, also in earlier terms, and did not answer.
-        refused: begins that it refused as leader, also in earlier terms.
+        group_id: id of the group.
+        quotas: quota decisions for the tenants whose usage the group counts.
+        unanswered: begins that this process proposed but did not answer, also in earlier terms.
+        refused: begins that this process refused as leader, also in earlier terms.
 
     """
 
@@ -70,17 +71,17 @@
         self._proposed_begins = ProposedBegins()
 
     def begin_term(self, now_s: float) -> None:
-        """A term of this process begins."""
+        """Record that a term of this process as leader begins."""
         self._term_began_s = now_s
 
     def leader_state(self) -> tuple[TurnLogState, int]:
-        """Replicated state and term."""
+        """Return the replicated state and the term."""
         group = self._host.ready_group(self.group_id)
         assert isinstance(group.state, TurnLogState)
         return group.state, group.replica.term
 
     def elapsed_ms(self) -> int:
-        """Time of the log's clock, in ms."""
+        """Return the time of the log's clock, in ms."""
         state, term = self.leader_state()
         now_s = asyncio.get_running_loop().time()
         if self._clock is None or self._clock.term != term:
@@ -92,7 +93,8 @@
     ) -> wire.TurnReply:
         """Commit a command; a turn beyond its tenant's quota is rejected without a commit.
 
-        ``answer_by_s`` is the loop time after which nobody waits for the answer to a begin.
+        ``answer_by_s`` is the loop time after which the front no longer waits for the answer to a
+        begin.
 
         Raise ``NotLeader``, ``NotCommitted`` or ``CommitUnknown``.
         """
@@ -126,13 +128,15 @@
     async def _propose_begin(
         self, command: wire.TurnCommand, term: int, answer_by_s: float
     ) -> wire.TurnReply:
-        """Commit a begin; one that is committed too late for its front counts as unanswered."""
+        """Commit a begin; one committed after its front stopped waiting counts as unanswered."""
         begin = command.begin
         self._proposed_begins.number(begin, term)
         try:
             applied = await self._propose(command)
             if asyncio.get_running_loop().time() > answer_by_s:
-                raise CommitUnknown(f"group {self.group_id}: committed after its front gave up")
+                raise CommitUnknown(
+                    f"group {self.group_id}: committed after the front stopped waiting"
+                )
         except CommitUnknown as error:
             self.unanswered.record(begin, error.index)
             raise
@@ -141,7 +145,7 @@
         return applied
 
     def due_withdrawals(self) -> list[wire.WithdrawBegin]:
-        """Withdrawals of begins that this process proposed; the group's leader decides on them."""
+        """Return due withdrawals of this process's begins; the group's leader decides on them."""
         group = self._host.groups.get(self.group_id)
         if group is None:
             return []
@@ -162,7 +166,7 @@
         self._proposed_begins.withdraw(request, term)
         if not self._proposed_begins.can_release(turn, state):
             return wire.TurnReply()
-        # The end of a turn that handed on nothing: replicas of every build apply it alike.
+        # A turn end without any output: replicas of every build apply this command identically.
         end = wire.FinishTurn(
             tenant=request.tenant,
             program_id=request.program_id,
@@ -184,10 +188,10 @@
     def _classify_refusal(
         self, begin: wire.BeginTurn, reply: wire.TurnReply, state: TurnLogState
     ) -> None:
-        """Tell a budget that is spent from one that only reservations hold back, and until when."""
+        """Distinguish a spent budget from a reserved one, and set when to retry the latter."""
         name = (begin.tenant, begin.program_id)
         program = state.programs.get(name)
-        # Without the program a snapshot has replaced the state since: another process leads.
+        # The program is missing if a snapshot has replaced the state: another process leads now.
         reserved = program.reserved if program is not None else {}
         now_s = asyncio.get_running_loop().time()
         standing_tokens = self._reservations.standing_tokens(name, reserved, now_s)
@@ -198,7 +202,7 @@
             reply.retry_after_ms = STANDING_RETRY_AFTER_MS
 
     async def admit_call(self, call: CallRequest) -> CallDecision:
-        """Decide on a request that is no turn; an admitted one is committed before the answer.
+        """Decide on a request outside turns; an admitted one is committed before the answer.
 
         Raise ``NotLeader``, ``NotCommitted`` or ``CommitUnknown``.
         """
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -1,4 +1,4 @@
-"""A process that holds a replica of the turn log on its disk."""
+"""Composition of a replica process, which stores a replica of the turn log on its disk."""
 
 import asyncio
 import random
@@ -38,9 +38,11 @@
 from bendshed.turns.turn_placement import TurnPlacement
 
 TICK_S = 0.025
-"""Heartbeats go every 3 ticks; a follower stands for election after 10 to 20 silent ones."""
+"""Raft tick. Heartbeats are sent every 3 ticks; a follower without one for 10 to 20 ticks starts an
+election."""
 COMPACT_AFTER_ENTRIES = 60_000
-"""Entries without stored text are small; the host's bound on bytes comes first for the others."""
+"""Log compaction threshold for small entries, which store no text. For larger entries the host's
+limit in bytes is reached first."""
 HAND_OVER_TIMEOUT_S = 1.0
 HAND_OVER_POLL_INTERVAL_S = 0.02
 
@@ -49,11 +51,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaPlace:
-    """Which machine this is, and where.
+    """Identity and location of this machine.
 
     Attributes:
-        name: of the machine; it outlives its disk.
-        address: where peers reach it.
+        name: name of the machine, which stays the same when its disk is replaced.
+        address: address at which peers reach it.
         places: regions of all zones.
 
     """
@@ -66,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaPorts:
-    """What the process gives a replica machine to work with."""
+    """Adapters that the process provides to a replica machine."""
 
     storage: LogStorage
     catalog_storage: CatalogStorage
@@ -76,11 +78,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSettings:
-    """What the installation's settings say.
+    """Settings of the installation that a replica machine uses.
 
     Attributes:
-        num_voters: replicas of each group that vote.
-        times: how often the catalog is read, and how old it may be.
+        num_voters: number of voting replicas per group.
+        times: how often the catalog is read and how old it may be.
 
     """
 
@@ -94,16 +96,16 @@
 
 
 class TurnLogNode:
-    """Everything of a replica process but its shells.
+    """All parts of a replica process except its adapters.
 
     Attributes:
-        directory: the replica machines it knows.
-        neighbours: where other nodes are located.
-        host: its replicas of the turn log's groups.
-        supervisor: changes the members of groups that are led here.
-        catalog: what it knows of configuration and runners.
-        demand: which nodes rely on that, and how it reads the registry for them.
-        follower: requests the catalog of another machine, so that one reads the registry for all.
+        directory: the known replica machines.
+        neighbours: locations of other nodes.
+        host: this process's replicas of the turn log's groups.
+        supervisor: changes the membership of groups that this process leads.
+        catalog: the known configuration and runners.
+        demand: which nodes rely on the catalog, and how the registry is read for them.
+        follower: requests the catalog from another machine, so that one reads the registry for all.
 
     """
 
@@ -220,7 +222,7 @@
         self.catalog.zones.add_gauges(metrics)
 
     def _update_neighbours(self) -> None:
-        """Remember where replica machines are located."""
+        """Update the locations of replica machines."""
         for replica in self.directory.by_name.values():
             self.neighbours.put(replica.address.host, replica.zone)
 
@@ -232,7 +234,7 @@
         return [node.address for node in nodes if node != self.directory.own]
 
     def _election_order(self, group_id: int) -> StandingOrder:
-        """In which order a group's voters stand for election."""
+        """Return the order in which a group's voters start elections."""
         home_zones = self._groups.home_zones(group_id)
         if home_zones is None:
             return WITHIN_A_REGION
@@ -243,12 +245,12 @@
         return StandingOrder.over_regions(is_home)
 
     def set_registry_lost(self, is_lost: bool) -> None:
-        """Whether the registry answers this machine itself; else other nodes go elsewhere."""
+        """Record whether this machine has lost the registry; if so, nodes use other replicas."""
         self.catalog.set_lost(is_lost)
         self.follower.note_own_reading(is_lost)
 
     def take_zones(self, update: ZoneUpdate) -> None:
-        """The registry itself said which zones are closed."""
+        """Apply the closed zones as read from the registry itself."""
         self.catalog.take_zones(update)
         self.catalog.confirm(CatalogPart.ZONES, update.zones.at)
         self.follower.note_zones(update.zones.at)
@@ -279,7 +281,7 @@
         log.say("stopped", node=self.host.node_id)
 
     async def _hand_over(self) -> None:
-        """Let another replica lead before this one ends."""
+        """Transfer leadership to other replicas before this one stops."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + HAND_OVER_TIMEOUT_S
         while self.host.led_groups() and loop.time() < deadline_s:
--- a/src/bendshed/turns/quota_counting.py
+++ b/src/bendshed/turns/quota_counting.py
@@ -1,7 +1,6 @@
-"""Quotas at the leader of one group: finds a tenant's limit and lets the ledger decide.
+"""Tenant quotas at the leader of one group: looks up a tenant's limit and asks the ledger.
 
-Owns the ledger of one group. Relies on the catalog for the tenants in force. Source:
-docs/design/0007.
+Owns the ledger of one group. Reads the current tenants from the catalog. Source: docs/design/0007.
 """
 
 from bendshed.admission.quota_ledger import QuotaLedger, QuotaRequest, Rank
@@ -23,10 +22,10 @@
 
 
 class QuotaCounting:
-    """Decides by the newest configuration that this process has.
+    """Decides according to the newest configuration known to this process.
 
-    A tenant without a limit there is not limited, but its turns are counted all the same: a limit
-    that comes into force applies to the window before it too.
+    A tenant without a limit in it is not limited, but its turns are counted nevertheless, because a
+    new limit also applies to the window before it took effect.
     """
 
     def __init__(
@@ -41,13 +40,13 @@
     def admit_turn(
         self, begin: wire.BeginTurn, state: TurnLogState, term: int, now_ms: int, chain: str = ""
     ) -> wire.TurnReply | None:
-        """Reserve a place for a turn, or return the rejection; ``None``: it is admitted.
+        """Reserve quota for a turn, or return the rejection; ``None``: the turn is admitted.
 
         A turn that was dispatched on an earlier leader's reservation, and is not known to be
         committed, is counted and never rejected.
 
-        ``chain`` distinguishes the turns of sub-agents, which come back each by themselves. Only a
-        preview has it; its decision stays for the commit of the same turn.
+        ``chain`` distinguishes the turns of sub-agents, which retry independently. Only a preview
+        has it; the decision on the preview also applies to the commit of the same turn.
         """
         limit = self._limit(begin.tenant)
         if limit is None or state.is_reserved(begin):
@@ -65,13 +64,13 @@
         return quota_exceeded_reply(admission.retry_after_ms)
 
     def settle_turn(self, turn_id: str) -> None:
-        """A turn was committed, so that it is counted there, or will not run."""
+        """End a turn's reservation: it is committed and counted in the usage, or will not run."""
         self._ledger.settle_turn(turn_id)
 
     def admit_call(
         self, call: CallRequest, state: TurnLogState, term: int, now_ms: int
     ) -> CallDecision:
-        """Admit or reject one request that is no turn; ``settle_call`` ends its reservation."""
+        """Admit or reject one request outside turns; ``settle_call`` ends its reservation."""
         limit = self._limit(call.tenant)
         if limit is None:
             return CallAdmitted()
@@ -89,7 +88,7 @@
     def add_allowance(self, command: wire.TurnCommand, state: TurnLogState, term: int) -> None:
         """Add an allowance for the calls that follow a turn, if its tenant is far from its limit.
 
-        It is part of the command that ends the turn, so it is counted before its node has it.
+        It is part of the command that ends the turn, so it is counted before the node receives it.
         """
         node, tenant = command.spent.node, command.finish.tenant
         limit = self._limit(tenant)
@@ -103,16 +102,16 @@
             command.allowance.CopyFrom(allowance)
 
     def settle_call(self, tenant: str) -> None:
-        """An admitted call was committed, so that it is counted there, or was not."""
+        """End an admitted call's reservation, whether or not the call was committed."""
         self._ledger.settle_call(tenant)
 
     def settle_allowance(self, command: wire.TurnCommand) -> None:
-        """A command with an allowance was committed, or was not."""
+        """End the reservation of a command's allowance, whether or not it was committed."""
         if command.HasField("allowance"):
             self._ledger.settle_spare(command.allowance.node, command.allowance.tenant)
 
     def _limit(self, tenant: str) -> TenantLimit | None:
-        """The limit in force; ``None``: there is none."""
+        """Return the tenant's current limit; ``None``: it has none."""
         if not tenant:
             return None
         document = self._catalog.document
--- a/src/bendshed/turns/replica_gauges.py
+++ b/src/bendshed/turns/replica_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of a replica machine, read when metrics are scraped."""
+"""Gauges of a replica machine, evaluated when metrics are scraped."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaGauges:
-    """The parts that gauges read."""
+    """The objects that the gauges read."""
 
     host: GroupHost
     group_numbers: tuple[int, ...]
@@ -94,7 +94,7 @@
                 gauge.labels(str(number)).set_function(partial(self._read_group, read, number))
 
     def _read_group(self, read: Callable[[HostedGroup], float], number: int) -> float:
-        """Read a group of the turn log; 0 where this process holds no replica of it."""
+        """Read a value of a group; 0 if this process holds no replica of it."""
         group = self.host.groups.get(number)
         return float(read(group)) if group is not None else 0.0
 
@@ -104,7 +104,7 @@
         return float(max(zones.values(), default=0))
 
     def _round_trip_ms(self, kind: Distance) -> float:
-        """As measured; 0: no machine at this distance was."""
+        """Return the measured round trip; 0: no machine at this distance was measured."""
         return self.distance.measured_ms.get(kind, 0.0)
 
 
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -1,7 +1,7 @@
-"""The replica machines' side of the turn log: answers nodes for the groups that this process leads.
+"""Server of the turn log in a replica machine: handles requests for the groups that it leads.
 
-Owns the led groups and what their leader knows beyond the replicated state: quotas in admission and
-placements. Relies on ``consensus/host.py`` to commit.
+Owns the led groups and the leader's unreplicated state: pending quota admissions and placements.
+Commits through ``consensus/host.py``.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 SHARE_TIMEOUT_S = 0.25
-"""How long another group's leader has to release its share; the front behind it waits longer."""
+"""Timeout of another group's leader to release its share; the waiting front's timeout is longer."""
 NOT_DISPATCHED_ANSWERS = (
     wire.TURN_ANSWER_UNKNOWN_TURN,
     wire.TURN_ANSWER_BUDGET_SPENT,
@@ -43,12 +43,12 @@
 )
 """Answers to a begin after which the turn is not dispatched and its end is not reported."""
 MAX_TERMS_PER_GROUP = 1 << 48
-"""More terms than a group ever has, so that terms of two groups never have one number."""
+"""Upper bound on a group's terms, which keeps the numbers of different groups' terms distinct."""
 WITHDRAWAL_INTERVAL_S = 0.5
-"""Pause between two looks for begins that this process did not answer."""
+"""Interval between checks for begins that this process did not answer."""
 MAJORITY_CHECK_INTERVAL_S = 0.1
-"""Pause between two checks whether this process still hears a majority; below the gap after which
-permits stop (``cold_permits.LOOK_GAP_S``, 0.25 s)."""
+"""Interval between checks whether this process still reaches a majority. It is shorter than the gap
+after which no more permits are granted (``cold_permits.LOOK_GAP_S``, 0.25 s)."""
 
 CommitElsewhere = Callable[[wire.TurnCommand, float], Awaitable[wire.TurnReply | None]]
 """Commits a command in its group at another process; ``None``: no leader answered in time."""
@@ -61,10 +61,10 @@
 
 
 class TurnService:
-    """Answers requests of nodes, for each group that this process leads.
+    """Handles requests of nodes for each group that this process leads.
 
     Attributes:
-        shares: takes over other groups' shares of budgets.
+        shares: transfers other groups' shares of budgets to groups led here.
 
     """
 
@@ -88,14 +88,14 @@
         host.on_role_changed = self._on_role_changed
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Register the request handlers."""
         self._transport.handlers[TURN_METHOD] = self.handle_command
         self._transport.handlers[PREVIEW_METHOD] = self.preview
         self._transport.handlers[QUOTA_METHOD] = self.admit_call
         self._transport.handlers[RUNNER_METHOD] = self.place
 
     def _group(self, number: int) -> LedGroup:
-        """A group; raise ``NotLeader`` for one that this process does not know."""
+        """Return a group; raise ``NotLeader`` if this process does not know it."""
         group = self._groups.get(number)
         if group is None:
             raise NotLeader("")
@@ -104,7 +104,7 @@
     # --- commands ------------------------------------------------------------------------
 
     async def handle_command(self, payload: bytes) -> bytes:
-        """Commit one command and return the reply of applying it."""
+        """Commit one command and return the reply from applying it."""
         command = wire.TurnCommand.FromString(payload)
         self._extract_report(command)
         began_s = asyncio.get_running_loop().time()
@@ -128,7 +128,7 @@
         return reply.SerializeToString()
 
     async def _commit(self, command: wire.TurnCommand, answer_by_s: float) -> wire.TurnReply:
-        """Commit a command; a withdrawal is decided on, and a begin that was refused stays so."""
+        """Commit a command; decide on a withdrawal, and repeat the refusal of a refused begin."""
         group = self._group(command.group)
         if command.HasField("withdraw"):
             return await group.withdraw(command.withdraw)
@@ -145,12 +145,12 @@
     async def _commit_begin(
         self, group: LedGroup, command: wire.TurnCommand, answer_by_s: float
     ) -> wire.TurnReply:
-        """Commit a begin; one that its group's share does not hold takes the others' first.
+        """Commit a begin; if its group's share does not cover it, first take over the others'.
 
-        The answer is ``BUDGET_SPENT`` or ``BUDGET_RESERVED`` only when every other group has
-        answered and all together do not hold the turn. Else it stays ``OTHER_GROUP``: the
-        requesting node may reach a group that is silent, and what is on its way between groups
-        counts a moment later.
+        The answer is ``BUDGET_SPENT`` or ``BUDGET_RESERVED`` only if every other group has answered
+        and all shares together do not cover the turn. Otherwise it remains ``OTHER_GROUP``: the
+        requesting node may reach a group that did not answer here, and tokens in transit between
+        groups count a moment later.
         """
         state, _ = group.leader_state()
         refusal = self._rejected_by_preview(command.begin, state)
@@ -167,11 +167,11 @@
         return reply
 
     def _settle_begin(self, command: wire.TurnCommand, reply: wire.TurnReply) -> None:
-        """A begin was committed, or its turn will not run."""
+        """End the bookkeeping of a begin that was committed or whose turn will not run."""
         turn_id = command.begin.turn_id
         group = self._groups.get(command.group)
         if group is not None and reply.answer != wire.TURN_ANSWER_UNAVAILABLE:
-            # Otherwise it may be committed later: its reservation expires by itself.
+            # An unavailable begin may be committed later: its reservation expires by itself.
             group.quotas.settle_turn(turn_id)
         if reply.answer in NOT_DISPATCHED_ANSWERS:
             self._placement.cancel_turn(turn_id, asyncio.get_running_loop().time())
@@ -179,7 +179,7 @@
     async def _commit_at_leader(
         self, number: int, command: wire.TurnCommand
     ) -> wire.TurnReply | None:
-        """Commit a command between groups; ``None``: not known to be committed."""
+        """Commit a command at a group's leader; ``None``: not known to be committed."""
         if number not in self._host.led_groups():
             return await self._commit_elsewhere(command, SHARE_TIMEOUT_S)
         try:
@@ -199,10 +199,10 @@
                 )
             await asyncio.sleep(WITHDRAWAL_INTERVAL_S)
 
-    # --- what is not replicated ----------------------------------------------------------
+    # --- unreplicated requests -----------------------------------------------------------
 
     async def admit_call(self, payload: bytes) -> bytes:
-        """Admit or reject a request that is no turn; an admitted one is committed first."""
+        """Admit or reject a request outside turns; an admitted one is committed first."""
         call = decode_call_request(payload)
         try:
             reply = encode_call_decision(await self._group(call.group).admit_call(call))
@@ -214,9 +214,9 @@
         return reply.SerializeToString()
 
     async def preview(self, payload: bytes) -> bytes:
-        """Answer what a begin would be answered, from the committed state, without committing.
+        """Return the expected reply to a begin from the committed state, without committing.
 
-        The reply for a turn that may run names its runner too.
+        The reply for a turn that may run also names its runner.
         """
         preview = wire.TurnPreview.FromString(payload)
         try:
@@ -226,10 +226,10 @@
         return reply.SerializeToString()
 
     def _preview(self, preview: wire.TurnPreview) -> wire.TurnReply:
-        """Decide on a turn by its chain, its tenant's quota and the runners' room, in this order.
+        """Decide on a turn by its chain, its tenant's quota and runner capacity, in this order.
 
-        One that its budget may not hold goes through the same: the commit decides on the budget.
-        Raise ``NotLeader``.
+        A turn that its budget may not cover passes the same checks: the commit decides on the
+        budget. Raise ``NotLeader``.
         """
         group = self._group(preview.group)
         state, term = group.leader_state()
@@ -246,7 +246,7 @@
     def _place_previewed(
         self, preview: wire.TurnPreview, state: TurnLogState, reply: wire.TurnReply
     ) -> wire.TurnReply:
-        """Add the runner of a turn that may run to its reply."""
+        """Add the chosen runner to the reply for a turn that may run."""
         begin = preview.begin
         ran_at = state.latest_runner_id(begin.tenant, begin.program_id)
         is_new = not state.is_program_started(begin)
@@ -259,7 +259,7 @@
         return reply
 
     async def place(self, payload: bytes) -> bytes:
-        """Permit one dispatch that has no preview, or answer when there is room."""
+        """Permit one dispatch without a preview, or reply when to retry."""
         request = wire.RunnerAsk.FromString(payload)
         try:
             self._group(request.group).leader_state()
@@ -275,9 +275,9 @@
     def _rejected_by_preview(
         self, begin: wire.BeginTurn, state: TurnLogState
     ) -> wire.TurnReply | None:
-        """A preview's rejection applies to the begin that was sent beside it.
+        """Apply a preview's rejection to the begin that was sent along with it.
 
-        Else a program that did not run would count as under way.
+        Otherwise a program that did not run would count as started.
         """
         now_s = asyncio.get_running_loop().time()
         retry_ms = self._placement.cold.rejection_retry_ms(begin.turn_id, now_s)
@@ -286,16 +286,17 @@
         return no_room_reply(retry_ms)
 
     async def monitor_majority(self) -> None:
-        """Check periodically whether this process hears a majority; runs until cancelled."""
+        """Check periodically whether this process reaches a majority; runs until cancelled."""
         while True:
             self._check_majority()
             await asyncio.sleep(MAJORITY_CHECK_INTERVAL_S)
 
     def _check_majority(self) -> float:
-        """Check whether this process leads and hears a majority; return loop time.
+        """Check whether this process leads and reaches a majority; return the loop time.
 
-        A process that leads several groups counts all of its permits in one window, so it looks at
-        the first group only: when that changes it counts as a new leader, which permits less.
+        A process that leads several groups counts all of its permits in one window, so only the
+        first group is checked: when it changes, the process counts as a new leader, which may
+        grant fewer permits.
         """
         now_s = asyncio.get_running_loop().time()
         terms = [
@@ -307,7 +308,7 @@
         return now_s
 
     def _extract_report(self, command: wire.TurnCommand) -> None:
-        """Take what a turn's end reports of runners off its command: it is not replicated."""
+        """Remove the runner report from a turn's end and apply it; it is not replicated."""
         if not command.HasField("report"):
             return
         now_s = asyncio.get_running_loop().time()
@@ -321,7 +322,7 @@
 
 
 def _needs_gather(command: wire.TurnCommand, reply: wire.TurnReply) -> bool:
-    """Whether this group must take over the others' shares for a begin."""
+    """Whether this group must take over the other groups' shares for a begin."""
     is_other_group = reply.answer == wire.TURN_ANSWER_OTHER_GROUP
     return is_other_group and reply.owner_group == command.group
 
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -1,7 +1,7 @@
-"""Places turns at the leader of the turn log: decodes previews, calls the decisions, logs them.
+"""Places turns at the turn log's leader: decodes previews, delegates and logs decisions.
 
-Which runner is decided in `placement/cluster_load.py`, whether a cold one may be used in
-`turns/cold_admission.py`; eligible runners come from the catalog.
+`placement/cluster_load.py` chooses the runner, and `turns/cold_admission.py` decides whether a cold
+one may be used; eligible runners come from the catalog.
 """
 
 import random
@@ -21,11 +21,11 @@
 
 
 class TurnPlacement:
-    """Places turns, and learns from what nodes report of them.
+    """Places turns and updates the load from nodes' reports of ended turns.
 
     Attributes:
-        board: load of all nodes at each runner.
-        cold: permits for cold runners.
+        cluster_load: load of all nodes at each runner.
+        cold: admission to cold runners.
 
     """
 
@@ -44,13 +44,13 @@
     def place_turn(
         self, preview: wire.TurnPreview, ran_at: str, is_new_program: bool, now_s: float
     ) -> Placement:
-        """Place a turn, or reject it because all its runners are cold and full.
+        """Place a turn, or reject it because all its runners are cold and at capacity.
 
         Args:
-            preview: the turn.
-            ran_at: where the program's latest turn ran; empty: nowhere.
-            is_new_program: nothing of its program is known.
-            now_s: steady time.
+            preview: preview of the turn.
+            ran_at: runner of the program's latest turn; empty: none.
+            is_new_program: no turn of the program is known.
+            now_s: monotonic time.
 
         """
         self._drop_unlisted_runners()
@@ -68,7 +68,7 @@
         return Placement(runner_id)
 
     def place(self, ask: wire.RunnerAsk, now_s: float) -> Placement:
-        """Permit one dispatch of a request without a preview, also to a runner that is warm
+        """Permit one dispatch of a request without a preview, even to a runner that is warm
         here."""
         self._drop_unlisted_runners()
         demand = ask.demand
@@ -84,12 +84,12 @@
         permitted_runners = self.cold.permit_limited_runners(runners, request, now_s)
         if not permitted_runners.runners:
             placement = self.cold.reject(runners, request, now_s)
-            self.cold.forget_rejection(ask.request_id)  # no begin follows it
+            self.cold.forget_rejection(ask.request_id)  # no begin will follow
             return placement
         return self.cold.grant(self._place(ask, permitted_runners.runners, now_s), request, now_s)
 
     def _place(self, ask: wire.RunnerAsk, runners: Sequence[ServiceRunner], now_s: float) -> str:
-        """A turn by the cluster load; another request by permits, as its end is not reported."""
+        """Place a turn by cluster load, another request by permits: its end is not reported."""
         demand = ask.demand
         if not demand.parts:
             avoided = frozenset(demand.avoided)
@@ -101,7 +101,7 @@
     def _choose(
         self, demand: Demand, service: str, permitted_runners: PermittedRunners, now_s: float
     ) -> str:
-        """Id of the runner with the least cost; empty: no runner is eligible."""
+        """Return the id of the runner with the lowest cost; empty: no runner is eligible."""
         memory_tokens = self._memory_tokens(service)
         placed = self.cluster_load.place(
             demand, permitted_runners.runners, memory_tokens, now_s, permitted_runners.cold
@@ -125,12 +125,12 @@
         return placed.runner_id
 
     def end_turn(self, turn_id: str, report: wire.TurnReport, now_s: float) -> None:
-        """A turn has ended."""
+        """Remove an ended turn from the load."""
         ended = Ended(turn_id, report.runner_id, report.event_gap_us / 1000, report.failed)
         self.cluster_load.end(ended, now_s)
 
     def cancel_turn(self, turn_id: str, now_s: float) -> None:
-        """A turn that was placed was rejected after all."""
+        """Remove a placed turn from the load that was rejected afterwards."""
         self.cluster_load.end(Ended(turn_id), now_s)
 
     def _memory_tokens(self, service: str) -> int:
@@ -145,7 +145,7 @@
 
 
 def _decode_demand(begin: wire.BeginTurn, wire_demand: wire.TurnDemand, ran_at: str) -> Demand:
-    """Decode the wire's demand; its ``line`` is the id of the chain."""
+    """Decode a turn's demand; the wire field ``line`` is the id of the chain."""
     return Demand(
         turn_id=begin.turn_id,
         chain=wire_demand.line,
