--- a/src/bendshed/platform/settings.py
+++ b/src/bendshed/platform/settings.py
@@ -19,8 +19,8 @@
 from bendshed.catalog.times import CatalogTimes
 from bendshed.model.address import Address
 from bendshed.model.places import Places
-from bendshed.placement.cold_runners import ColdTerms
-from bendshed.placement.distance import LINK_TERMS, LINK_TERMS_CURE, LinkTerms
+from bendshed.placement.cold_runners import ColdRateLimit
+from bendshed.placement.distance import LINK_SETTING_NAMES, LINK_SETTINGS_HINT, LinkSettings
 from bendshed.placement.groups import TurnGroups
 from bendshed.platform.names import SETTINGS_VARIABLE
 from bendshed.policy import EVERYTHING, SWITCHES_CURE, Policy, unknown_switches
@@ -80,9 +80,9 @@
     evacMs: Milliseconds | None = None  # noqa: N815
 
     @property
-    def cold_terms(self) -> ColdTerms:
+    def cold_terms(self) -> ColdRateLimit:
         """How exact the rate of cold runners must be."""
-        return ColdTerms(self.coldOver, self.coldSlack)
+        return ColdRateLimit(self.coldOver, self.coldSlack)
 
     @property
     def zone_close_s(self) -> float | None:
@@ -119,7 +119,7 @@
     bounds: Bounds = Bounds()
     platform: MetadataStore
     policy: Policy = EVERYTHING
-    placement: LinkTerms = LinkTerms()
+    placement: LinkSettings = LinkSettings()
 
     @property
     def places(self) -> Places:
@@ -133,7 +133,7 @@
         Where a region may be lost no group is at home in one: most of its voters would go too.
         """
         is_regional = self.policy.regional_groups and not self.faultTolerance.regions
-        return TurnGroups.of(Places(self.zones), is_regional)
+        return TurnGroups.from_places(Places(self.zones), is_regional)
 
     @property
     def apply_s(self) -> float:
@@ -187,8 +187,8 @@
     for name in unknown_switches(policy):
         raise SiteSettingsInvalid(f"{path}: policy.{name}: unknown: {SWITCHES_CURE}")
     placement = content.get("placement") or {}
-    for name in set(placement) - LINK_TERMS:
-        raise SiteSettingsInvalid(f"{path}: placement.{name}: unknown: {LINK_TERMS_CURE}")
+    for name in set(placement) - LINK_SETTING_NAMES:
+        raise SiteSettingsInvalid(f"{path}: placement.{name}: unknown: {LINK_SETTINGS_HINT}")
     return {**content["site"], "policy": policy, "placement": placement}
 
 
--- a/src/bendshed/turns/client.py
+++ b/src/bendshed/turns/client.py
@@ -25,7 +25,7 @@
 
 COMMAND_ATTEMPT_TIMEOUT_S = 0.3
 """Timeout of one attempt to commit, which takes a few ms. The timeout is longer for a leader in
-another zone or region (``group_client.FAR_TRIPS``)."""
+another zone or region (``group_client.EXTRA_TIMEOUT_ROUND_TRIPS``)."""
 QUERY_ATTEMPT_TIMEOUT_S = 0.2
 """Timeout of one attempt of a request that needs no commit, or of one to admit a call."""
 LOSS_LOG_DELAY_S = 0.3
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -9,7 +9,7 @@
 from bendshed.catalog.replica_parts import CatalogSurroundings, ReplicaCatalogParts
 from bendshed.catalog.times import CatalogTimes
 from bendshed.consensus.directory import ReplicaDirectory
-from bendshed.consensus.election_timer import WITHIN_A_REGION, StandingOrder
+from bendshed.consensus.election_timer import SINGLE_REGION_ORDER, ElectionOrder
 from bendshed.consensus.host import GroupHost
 from bendshed.consensus.supervisor import ReplicaSupervisor
 from bendshed.logs import PartLog
@@ -17,8 +17,8 @@
 from bendshed.model.places import Distance, Places
 from bendshed.paths.echo import Echo
 from bendshed.paths.neighbours import Neighbours
-from bendshed.placement.cold_runners import ColdTerms
-from bendshed.placement.distance import DistanceCosts, LinkTerms
+from bendshed.placement.cold_runners import ColdRateLimit
+from bendshed.placement.distance import DistanceCosts, LinkSettings
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.placement.zones import ZoneUpdate
 from bendshed.policy import EVERYTHING, Policy
@@ -91,8 +91,8 @@
     policy: Policy = EVERYTHING
     quotas: QuotaTerms = EXACT
     groups: TurnGroups = ONE_GROUP
-    cold: ColdTerms = field(default_factory=ColdTerms)
-    links: LinkTerms = field(default_factory=LinkTerms)
+    cold: ColdRateLimit = field(default_factory=ColdRateLimit)
+    links: LinkSettings = field(default_factory=LinkSettings)
 
 
 class TurnLogNode:
@@ -158,8 +158,8 @@
             TurnLogState,
             self.directory.resolve,
             COMPACT_AFTER_ENTRIES,
-            is_candidate_at_once=policy.quick_election,
-            order_of=self._election_order,
+            campaigns_at_start=policy.quick_election,
+            election_order_of=self._election_order,
         )
 
     def _build_supervisor(
@@ -211,7 +211,7 @@
     def _add_gauges(self, metrics: TurnLogMetrics, placement: TurnPlacement) -> None:
         ReplicaGauges(
             self.host,
-            tuple(self._groups.numbers),
+            tuple(self._groups.ids),
             self.directory,
             self._service,
             placement.cluster_load,
@@ -227,22 +227,22 @@
             self.neighbours.put(replica.address.host, replica.zone)
 
     def _set_measured_distances(self, measured_ms: dict[Distance, float]) -> None:
-        self._distance.measured_ms = measured_ms
+        self._distance.measured_round_trip_ms = measured_ms
 
     def _other_replicas(self) -> list[Address]:
         nodes = self.directory.by_name.values()
-        return [node.address for node in nodes if node != self.directory.own]
+        return [node.address for node in nodes if node != self.directory.own_node]
 
-    def _election_order(self, group_id: int) -> StandingOrder:
+    def _election_order(self, group_id: int) -> ElectionOrder:
         """Return the order in which a group's voters start elections."""
         home_zones = self._groups.home_zones(group_id)
         if home_zones is None:
-            return WITHIN_A_REGION
+            return SINGLE_REGION_ORDER
 
         def is_home(node_id: str) -> bool:
             return node_id in self.directory.node_ids_in(home_zones)
 
-        return StandingOrder.over_regions(is_home)
+        return ElectionOrder.across_regions(is_home)
 
     def set_registry_lost(self, is_lost: bool) -> None:
         """Record whether this machine has lost the registry; if so, nodes use other replicas."""
@@ -252,8 +252,8 @@
     def take_zones(self, update: ZoneUpdate) -> None:
         """Apply the closed zones as read from the registry itself."""
         self.catalog.take_zones(update)
-        self.catalog.confirm(CatalogPart.ZONES, update.zones.at)
-        self.follower.note_zones(update.zones.at)
+        self.catalog.confirm(CatalogPart.ZONES, update.zones.revision)
+        self.follower.note_zones(update.zones.revision)
 
     def start(self) -> None:
         """Start all parts."""
@@ -285,5 +285,5 @@
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + HAND_OVER_TIMEOUT_S
         while self.host.led_groups() and loop.time() < deadline_s:
-            self.host.hand_over_all()
+            self.host.transfer_all_leadership()
             await asyncio.sleep(HAND_OVER_POLL_INTERVAL_S)
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -83,7 +83,7 @@
         self._metrics = metrics
         self._transport = transport
         self._commit_elsewhere = commit_elsewhere
-        self._groups = {number: LedGroup(number, host, make_quotas()) for number in groups.numbers}
+        self._groups = {number: LedGroup(number, host, make_quotas()) for number in groups.ids}
         self.shares = ShareGatherer(groups, self._commit_at_leader)
         host.on_role_changed = self._on_role_changed
 
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -13,7 +13,7 @@
 from bendshed.model.runner import ServiceRunner
 from bendshed.placement.cluster_load import ClusterLoad, NotPlaced
 from bendshed.placement.distance import DistanceCosts
-from bendshed.placement.turn_demand import Demand, Ended
+from bendshed.placement.turn_demand import EndedTurn, TurnDemand
 from bendshed.turns.cold_admission import ColdAdmission, PermitRequest, PermittedRunners, Placement
 from bendshed.wire import turns_pb2 as wire
 
@@ -99,7 +99,7 @@
         return self._choose(turn, demand.service, PermittedRunners(runners, cold), now_s)
 
     def _choose(
-        self, demand: Demand, service: str, permitted_runners: PermittedRunners, now_s: float
+        self, demand: TurnDemand, service: str, permitted_runners: PermittedRunners, now_s: float
     ) -> str:
         """Return the id of the runner with the lowest cost; empty: no runner is eligible."""
         memory_tokens = self._memory_tokens(service)
@@ -126,12 +126,12 @@
 
     def end_turn(self, turn_id: str, report: wire.TurnReport, now_s: float) -> None:
         """Remove an ended turn from the load."""
-        ended = Ended(turn_id, report.runner_id, report.event_gap_us / 1000, report.failed)
+        ended = EndedTurn(turn_id, report.runner_id, report.event_gap_us / 1000, report.failed)
         self.cluster_load.end(ended, now_s)
 
     def cancel_turn(self, turn_id: str, now_s: float) -> None:
         """Remove a placed turn from the load that was rejected afterwards."""
-        self.cluster_load.end(Ended(turn_id), now_s)
+        self.cluster_load.end(EndedTurn(turn_id), now_s)
 
     def _memory_tokens(self, service: str) -> int:
         document = self._catalog.document
@@ -144,17 +144,17 @@
             self.cluster_load.retain_only(self._catalog.runner_ids)
 
 
-def _decode_demand(begin: wire.BeginTurn, wire_demand: wire.TurnDemand, ran_at: str) -> Demand:
+def _decode_demand(begin: wire.BeginTurn, wire_demand: wire.TurnDemand, ran_at: str) -> TurnDemand:
     """Decode a turn's demand; the wire field ``line`` is the id of the chain."""
-    return Demand(
+    return TurnDemand(
         turn_id=begin.turn_id,
         chain=wire_demand.line,
         parts=[PromptPart(part.part_id, part.tokens) for part in wire_demand.parts],
-        most_tokens=begin.most_tokens,
-        left_s=wire_demand.left_ms / 1000,
+        max_answer_tokens=begin.most_tokens,
+        time_left_s=wire_demand.left_ms / 1000,
         connected=frozenset(wire_demand.connected),
         avoided=frozenset(wire_demand.avoided),
         zone=wire_demand.zone,
-        ran_at=ran_at,
+        last_runner=ran_at,
         body_bytes=wire_demand.body_bytes,
     )
--- a/tests/test_turn_groups.py
+++ b/tests/test_turn_groups.py
@@ -306,7 +306,7 @@
             assert machine.replica is not None
             for number, group in machine.replica.host.groups.items():
                 tenants = {tenant for tenant, _ in group.state.turns}  # type: ignore[attr-defined]
-                held = {self.layout.groups.of_tenant(tenant) for tenant in tenants}
+                held = {self.layout.groups.home_group_of_tenant(tenant) for tenant in tenants}
                 self.assertLessEqual(held, {number})
         self.assert_no_violations()
 
@@ -326,7 +326,7 @@
                 self.world.kill(leaving)
                 del self.world.stores[leaving.name]
                 self.world.run_for(2.0)
-                for number in self.layout.groups.numbers:
+                for number in self.layout.groups.ids:
                     replica = self.leader(number).replica
                     assert replica is not None
                     members = replica.host.groups[number].replica.membership
@@ -351,17 +351,17 @@
 class GroupsOfPlacesTest(unittest.TestCase):
     def test_zero_or_one_region_makes_one_group(self) -> None:
         for region_of in ({}, {"a": "r", "b": "r"}, {"a": "", "b": "r"}):
-            groups = TurnGroups.of(Places(region_of))
+            groups = TurnGroups.from_places(Places(region_of))
             self.assertEqual((groups.count, groups.home_zones(0)), (1, None))
 
     def test_one_group_per_region_in_name_order(self) -> None:
-        groups = TurnGroups.of(Places({"a": "west", "b": "east", "c": "west"}))
+        groups = TurnGroups.from_places(Places({"a": "west", "b": "east", "c": "west"}))
         self.assertEqual(groups.homes, ("east", "west"))
         self.assertEqual(groups.home_zones(1), {"a", "c"})
-        self.assertEqual([groups.at_home_in(zone) for zone in "abc"], [1, 0, 1])
+        self.assertEqual([groups.home_group_of_zone(zone) for zone in "abc"], [1, 0, 1])
 
     def test_regional_groups_can_be_disabled(self) -> None:
-        groups = TurnGroups.of(Places({"a": "west", "b": "east"}), is_regional=False)
+        groups = TurnGroups.from_places(Places({"a": "west", "b": "east"}), is_regional=False)
         self.assertEqual(groups.count, ONE_GROUP.count)
 
 
