--- a/tests/site_budget_defects.py
+++ b/tests/site_budget_defects.py
@@ -1,4 +1,4 @@
-"""Planted defects around budgets, and scenarios that must catch them."""
+"""Injected budget defects and the simulated scenarios that must detect them."""
 
 import contextlib
 from unittest import mock
@@ -22,21 +22,21 @@
 OUTAGE_S = 2.0
 """Longer than a turn waits for its begin."""
 LONG_OUTAGE_S = 30.0
-"""The turn log may be away for any length of time."""
+"""The turn log may be unavailable for any length of time."""
 NEW_LEADER_TIMEOUT_S = 5.0
 ANSWER_S = 1.0
 SHORT_WAIT_S = 0.1
 MAX_LATER_ATTEMPTS = 6
-"""Tries of a program, a second apart, within which its reservations must be released."""
+"""Attempts of a program, one per second, within which its reservations must be released."""
 SLOW_COMMIT_S = 0.35
-"""Longer than a front waits for an answer, shorter than a leader stays with a slow disk."""
+"""Longer than a front waits for an answer, shorter than a slow disk is tolerated in a leader."""
 SLOW_PATH_S = 0.3
 RELAY_ANSWER_S = 0.15
-"""A request that is silent on its direct path is answered through a relay within this time."""
+"""A request that gets no answer on its direct path is answered through a relay in this time."""
 SLOW_RUNNER_FACTOR = 18.0
-"""A turn of three events takes some 2.5 s."""
+"""Slowdown factor with which a turn of three events takes about 2.5 s."""
 WITHDRAWAL_S = 2.3
-"""A begin that was not answered is withdrawn within this time."""
+"""An unanswered begin is withdrawn within this time."""
 
 
 def send_turn(
@@ -45,7 +45,7 @@
     previous: str = "",
     at: str = "",
 ) -> SiteRequest:
-    """Send one turn of a program whose budget holds few; each time to another front, or to one."""
+    """Send a turn of a program with a small budget to front ``at``, or to the next one in turn."""
     request = SiteRequest(
         f"try-{number}",
         Kind.TURN,
@@ -63,7 +63,7 @@
 
 
 def cut_voter_links(site: SiteWorld) -> None:
-    """The leader reaches the other stores; nothing else passes between stores."""
+    """Cut all messages between stores except those sent by the leader."""
     leader = site.leader()
     assert leader is not None
     hosts = [store.host for store in site.stores.values()]
@@ -72,7 +72,7 @@
 
 
 def continue_twice(site: SiteWorld, stored: SiteRequest) -> list[Violation]:
-    """Go on from a stored turn twice, with more than the time between in which ends come."""
+    """Continue a stored turn twice, with a pause in which pending turn ends arrive."""
     found: list[Violation] = []
     for number in (1, 2):
         last = send_turn(site, OUTAGES + number, stored.request_id)
@@ -83,14 +83,14 @@
 
 
 def check_served(last: SiteRequest) -> list[Violation]:
-    """What a program at rest sees: its budget holds the turn."""
+    """Check that the last turn of an idle program, which its budget covers, was served."""
     if last.status == 200:
         return []
     return [Violation(Rule.RELEASED, f"{last.request_id} got {last.status}")]
 
 
 def store_first_turn(site: SiteWorld) -> SiteRequest:
-    """The program's first turn, answered whole."""
+    """Run the program's first turn to its end and return it."""
     stored = send_turn(site, 0)
     site.run_for(ANSWER_S)
     assert stored.status == 200, "the first turn is not served"
@@ -98,7 +98,7 @@
 
 
 def refuse_turns_in_outage(site: SiteWorld, stored: SiteRequest, outage_s: float) -> None:
-    """Turns whose begins reach the voters' logs and whose callers are refused; the outage lasts."""
+    """Send turns whose begins reach the voters' logs but are refused; the outage continues."""
     cut_voter_links(site)
     refused = [send_turn(site, number, stored.request_id) for number in range(1, OUTAGES + 1)]
     site.run_for(outage_s)
@@ -106,13 +106,13 @@
 
 
 def end_outage(site: SiteWorld) -> None:
-    """Stores reach each other again; return once one leads."""
+    """Reconnect the stores and wait for a leader."""
     site.network.cuts.clear()
     site.wait_for(site.is_led, NEW_LEADER_TIMEOUT_S)
 
 
 def begins_are_committed_too_late(seed: int) -> list[Violation]:
-    """A program goes on from a stored turn; its begins reach the voters' logs without a commit."""
+    """A program continues a stored turn; its begins reach the voters' logs without a commit."""
     with world(seed) as site:
         stored = store_first_turn(site)
         for number in range(1, OUTAGES + 1):
@@ -126,7 +126,7 @@
 
 
 def no_begin_is_committed_for_half_a_minute(seed: int) -> list[Violation]:
-    """Begins reach the voters' logs, and their ends find no leader for half a minute."""
+    """Begins reach the voters' logs, and their turn ends find no leader for half a minute."""
     with world(seed) as site:
         stored = store_first_turn(site)
         refuse_turns_in_outage(site, stored, LONG_OUTAGE_S)
@@ -136,7 +136,7 @@
 
 
 def caller_retries_before_the_ends_arrive(seed: int, after_s: float) -> list[Violation]:
-    """As above, but the caller asks as soon as a leader leads, before the ends have come."""
+    """The caller retries as soon as there is a leader, before the turn ends have arrived."""
     with world(seed) as site:
         stored = store_first_turn(site)
         refuse_turns_in_outage(site, stored, LONG_OUTAGE_S)
@@ -148,7 +148,7 @@
 
 
 def fronts_stop_before_their_ends(seed: int) -> list[Violation]:
-    """All tries are refused, none runs; then every front loses power, and the caller asks again."""
+    """All attempts are refused and none runs; all fronts lose power; the caller retries."""
     with world(seed) as site:
         stored = store_first_turn(site)
         refuse_turns_in_outage(site, stored, OUTAGE_S)
@@ -163,7 +163,7 @@
 
 
 def fronts_lose_power(site: SiteWorld) -> None:
-    """All at once, and they start again."""
+    """Kill all fronts at once and restart them."""
     fronts = list(site.fronts.values())
     for front in fronts:
         site.kill(front)
@@ -174,7 +174,7 @@
 def fronts_lose_power_during_an_outage(
     seed: int, after_s: float, leaderless_s: float
 ) -> list[Violation]:
-    """Tries whose callers are cut or refused, at any moment of an outage of the turn log."""
+    """Fronts lose power during a turn log outage, while attempts are pending or refused."""
     with world(seed) as site:
         stored = store_first_turn(site)
         cut_voter_links(site)
@@ -189,7 +189,7 @@
 
 
 def program_continues_before_its_begins_are_withdrawn(seed: int) -> list[Violation]:
-    """Its reservations hold the budget for as long as a front might still end them itself."""
+    """The budget stays reserved for as long as a front might still end the turns itself."""
     with world(seed) as site:
         stored = store_first_turn(site)
         refuse_turns_in_outage(site, stored, OUTAGE_S)
@@ -206,8 +206,8 @@
 def an_answered_begin_follows_an_unanswered_one(seed: int) -> list[Violation]:
     """Disks are slow for one commit: the first begins of two turns are late, the next are answered.
 
-    The turns stream for longer than a begin without an answer takes to be withdrawn; meanwhile
-    their program asks for more than the rest of its budget.
+    The turns stream for longer than it takes to withdraw an unanswered begin; meanwhile their
+    program requests more than the rest of its budget.
     """
     with world(seed) as site:
         stored = store_first_turn(site)
@@ -229,7 +229,7 @@
 
 
 def answers_to_begins_are_lost(seed: int) -> list[Violation]:
-    """The leader commits begins and answers them; nothing of it reaches the fronts for a while."""
+    """The leader commits and answers begins; its answers do not reach the fronts for a while."""
     with world(seed) as site:
         stored = store_first_turn(site)
         leader = site.leader()
@@ -244,7 +244,7 @@
 
 
 def drop_ends_and_withdrawals() -> contextlib.AbstractContextManager[object]:
-    """Neither a front nor a store ends a turn that was not served."""
+    """Defect: neither a front nor a store ends a turn that was not served."""
     stack = contextlib.ExitStack()
     stack.enter_context(mock.patch.object(TurnRecord, "finish_broken", lambda _record: None))
     stack.enter_context(
@@ -254,10 +254,10 @@
 
 
 def other_region_holds_reservations(seed: int) -> list[Violation]:
-    """Begins of turns that nobody runs hold a budget, in the group of the other region.
+    """Begins of turns that never run reserve the budget in the group of the other region.
 
-    They are committed too late, and the fronts that sent them stand still, so their ends come after
-    the program has asked again.
+    They are committed too late, and the fronts that sent them are paused, so the turn ends arrive
+    after the program has retried.
     """
     with region_world(seed, TWO_REGIONS_WITH_TENANTS) as site:
         here, there = site.fronts_by_region()
@@ -284,7 +284,7 @@
 
 
 def duplicate_begin_arrives_after_the_refusal(seed: int) -> list[Violation]:
-    """A begin goes on a slow path and through a relay; the slow copy finds the budget free."""
+    """A begin takes a slow path and a relay; the slow copy finds the budget free again."""
     with world(seed) as site:
         stored = store_first_turn(site)
         leader = site.leader()
@@ -307,7 +307,7 @@
 
 
 def count_reservations_as_spent(use: BudgetUse, most_tokens: int, budget_tokens: int) -> Verdict:
-    """What is reserved counts as spent."""
+    """Defect: reserved tokens count as spent."""
     left_tokens = budget_tokens - use.spent_tokens - use.reserved_tokens
     return Verdict.SPENT if left_tokens < most_tokens else Verdict.HELD
 
--- a/tests/test_budget_shares.py
+++ b/tests/test_budget_shares.py
@@ -17,7 +17,7 @@
 RETENTION_MS = 60_000
 BUDGET = 601
 
-# Written by commit 4cc33f5: a group's snapshot with its membership, and two entries behind it.
+# Written by commit 4cc33f5: a group's snapshot with its membership, and the two entries after it.
 OLD_FORMAT_SNAPSHOT = (
     "080710031a0c0a0273310a0273320a02733322930108a40d120c0a01611a035b615d2090de0312110a01741a035b"
     "745d2084e2032a036f6e651a1d0a017010461a050a0162106420d4b3072a01613208656e67696e652d311a1b0a01"
@@ -32,7 +32,7 @@
 
 @dataclass
 class TwoGroups:
-    """Two groups, and short ways to write their commands."""
+    """States of two groups and helpers to apply commands to them."""
 
     states: list[TurnLogState] = field(
         default_factory=lambda: [TurnLogState(number) for number in range(2)]
@@ -199,7 +199,7 @@
         st.lists(st.tuples(st.integers(0, 5), st.integers(0, 1), st.integers(0, 9)), max_size=40)
     )
     def test_granted_tokens_never_exceed_budget(self, steps: list[tuple[int, int, int]]) -> None:
-        """Begins, ends, releases and takes in any order, lost, late and doubled."""
+        """Holds for begins, ends, releases and takes in any order, lost, late or duplicate."""
         groups = TwoGroups()
         granted: dict[tuple[int, str], int] = {}
         releases: list[tuple[int, int]] = []
@@ -219,7 +219,7 @@
 
 
 class OldFormatTest(unittest.TestCase):
-    """What commit 4cc33f5 wrote opens as the first group."""
+    """Data written by commit 4cc33f5 is read as the first group."""
 
     def test_snapshot_and_following_entries_are_read(self) -> None:
         snapshot = consensus_pb2.Snapshot.FromString(bytes.fromhex(OLD_FORMAT_SNAPSHOT))
--- a/tests/test_refused_begins.py
+++ b/tests/test_refused_begins.py
@@ -1,9 +1,8 @@
-"""A late copy of a begin reserved tokens of a program although its turn had been refused.
+"""A late duplicate of a begin reserved tokens of a program although its turn had been refused.
 
-Seen: a program at rest was refused again and again by a reservation of a turn that never ran.
-
-Cause: a begin that was silent on its direct path went through a relay too. The relayed copy was
-refused; the direct one arrived once the budget was free again, was granted, and nobody ended it.
+An idle program was refused repeatedly because of a reservation for a turn that never ran. A begin
+that got no answer on its direct path was also sent through a relay. The relayed copy was refused;
+the direct one arrived when the budget was free again and was granted, and its turn was never ended.
 """
 
 import unittest
--- a/tests/test_turn_client.py
+++ b/tests/test_turn_client.py
@@ -1,4 +1,4 @@
-"""The fronts' side of the turn log: what is logged of a loss."""
+"""Turn log client in fronts: logging of a loss of the turn log and its end."""
 
 import unittest
 from unittest import mock
--- a/tests/test_turn_groups.py
+++ b/tests/test_turn_groups.py
@@ -1,4 +1,4 @@
-"""Two regions, a group of the turn log at home in each: one failure a test, under virtual time."""
+"""Two regions with one turn log group at home in each: one failure per test, in virtual time."""
 
 import unittest
 from collections import Counter
@@ -16,7 +16,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 FAR, NEAR = 0, 1
-"""Groups by the order of their regions' names."""
+"""Group ids, in the order of their regions' names."""
 ELECTION_S = 0.6
 PLAN = ProgramPlan(turns=3, tools=0)
 
@@ -102,7 +102,7 @@
         self.assertTrue(self.is_home(self.leader(FAR), FAR))
 
     def test_turn_does_not_wait_for_another_region(self) -> None:
-        """From the second on: the first finds out who leads."""
+        """Holds from the second turn on: the first one discovers the leader."""
         for region in ("near", "far"):
             with self.subTest(region=region):
                 for _ in range(8):
@@ -190,7 +190,7 @@
         self.assert_no_violations()
 
     def cut_stores_between_regions(self) -> None:
-        """Stores of two regions do not reach each other; fronts reach both."""
+        """Cut the stores of the two regions off from each other; fronts still reach both."""
         for one in self.world.stores.values():
             for other in self.world.stores.values():
                 if self.region(one) != self.region(other):
@@ -334,7 +334,7 @@
                 break
 
     def test_retirement_completes_under_load_despite_leader_loss(self) -> None:
-        """Distant voters always lag behind; the leader has no power from 0.3 to 3.3 s."""
+        """Distant voters always lag behind; the leader is down from 0.3 s to 3.3 s."""
         for _ in range(20):
             self.world.start_program(ProgramPlan(turns=60, tools=0), budget_tokens=100_000)
         self.world.run_for(1.0)
--- a/tests/test_turn_state.py
+++ b/tests/test_turn_state.py
@@ -1,4 +1,4 @@
-"""The turn log's replicated state: chains, budgets, retention; commands doubled and late."""
+"""Replicated state of the turn log: chains, budgets and retention, duplicate and late commands."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 class Log:
-    """A state with a clock, and short ways to write commands."""
+    """A turn log state with a clock and helpers to apply commands."""
 
     def __init__(self) -> None:
         self.state = TurnLogState()
@@ -224,7 +224,7 @@
     @settings(max_examples=200)
     @given(st.lists(st.tuples(st.booleans(), st.integers(0, 7), st.integers(1, 60))))
     def test_granted_tokens_never_exceed_budget(self, steps: list[tuple[bool, int, int]]) -> None:
-        """Whatever comes in whatever order, doubled or late: what may be handed_out out fits."""
+        """For commands in any order, duplicate or late, the tokens handed out fit the budget."""
         log = Log()
         most: dict[str, int] = {}
         handed_out: dict[str, int] = {}
@@ -253,7 +253,7 @@
         )
 
     def test_snapshot_of_earlier_version_without_tenants_is_restored(self) -> None:
-        """What an earlier version of the program wrote: no tenant anywhere, no usage."""
+        """Snapshots of an earlier version contain neither tenants nor usage."""
         stored = wire.KeptTurn(turn_id="a", transcript=b"[a]", expires_ms=RETENTION_MS)
         budget = wire.ProgramBudget(program_id="p", spent_tokens=60, expires_ms=RETENTION_MS)
         earlier = wire.TurnLogSnapshot(clock_ms=5, turns=[stored], programs=[budget])
@@ -264,7 +264,7 @@
         self.assertEqual(reply.spent_tokens, 60)
 
     def test_restored_state_expires_entries_with_the_others(self) -> None:
-        """A budget must not be fresh at the one replica that was restored between two sweeps."""
+        """A replica restored between two expiry sweeps must not start a budget anew on its own."""
         log, copy = Log(), Log()
         log.begin("a", budget=100, most=60)
         log.finish("a", tokens=60)
--- a/tests/test_unanswered_begins.py
+++ b/tests/test_unanswered_begins.py
@@ -1,11 +1,9 @@
-"""Reservations of turns that were refused stayed when their fronts lost power before the ends came.
+"""Reservations of refused turns leaked if their fronts lost power before they sent the turn ends.
 
-Seen: a program whose tries were all refused, none of which reached a runner, was answered 402 once
-its fronts were back.
-
-Cause: only the front knew that a begin was refused, and a front has no disk. The process that
-proposed the begin knows as much: it has answered nobody. It withdraws such begins, and the leader
-ends a turn once every begin behind its reservation is withdrawn.
+A program whose attempts were all refused, none of which reached a runner, got 402 once its fronts
+were back. Only the front knew that the begin was refused, and a front has no disk. The process that
+proposed the begin also knows that it did not answer: it withdraws such begins, and the leader ends
+a turn once every begin behind its reservation is withdrawn.
 """
 
 import logging
@@ -48,7 +46,7 @@
 
 
 class WithdrawalTest(unittest.TestCase):
-    """What the process that proposed some begins withdraws."""
+    """Withdrawals by the process that proposed the begins."""
 
     def setUp(self) -> None:
         self.state = TurnLogState()
@@ -103,7 +101,7 @@
 
 
 class ReleaseTest(unittest.TestCase):
-    """When a leader releases a reservation."""
+    """Conditions under which a leader releases a reservation."""
 
     def setUp(self) -> None:
         self.state = TurnLogState()
@@ -167,7 +165,7 @@
 
 
 class SnapshotTest(unittest.TestCase):
-    """The numbers outlive a snapshot, and one of an earlier build proves nothing."""
+    """Proposal numbers survive a snapshot; begins of an earlier build stay unnumbered."""
 
     def restored(self, *proposals: int) -> set[int]:
         state, other = TurnLogState(), TurnLogState()
@@ -185,10 +183,10 @@
 
 
 class FrontsLosePowerTest(unittest.TestCase):
-    """At other moments of an outage, with other times until a leader is back.
+    """Fronts lose power at several moments of an outage, with several times until a leader is back.
 
-    A front waits 0.3 s for one answer. A leader that commits within that time has answered: whether
-    the front still lived cannot be known, and its turn counts at its most.
+    A front waits 0.3 s for one answer. A leader that commits within that time has answered; it
+    cannot know whether the front was still up, so the turn stays reserved at its maximum.
     """
 
     def test_turns_that_never_ran_do_not_spend_the_budget(self) -> None:
