--- a/src/bendshed/services/turn_record.py
+++ b/src/bendshed/services/turn_record.py
@@ -122,5 +122,5 @@
     def _cache_transcript(self) -> None:
         """Turns that continue this one through the same node find its chain here."""
         turn = (self._tenant, self.request.request_id)
-        self.ports.group_locator.note_turn(*turn, self._reservation.group)
+        self.ports.group_locator.record_turn(*turn, self._reservation.group)
         self.ports.transcripts.put(turn, self.body + self._output.content)
--- a/src/bendshed/services/turn_reservation.py
+++ b/src/bendshed/services/turn_reservation.py
@@ -97,7 +97,7 @@
         tenant = self.codec.tenant
         if is_granted(reply):
             self._is_reserved = True
-            self.ports.group_locator.note_program(tenant, self._begin.program_id, self.group)
+            self.ports.group_locator.record_program(tenant, self._begin.program_id, self.group)
             return None
         # Nothing is reserved; a turn that was dispatched all the same is counted by its end.
         is_counted = bool(tenant) and self.attempts.may_have_run
--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -89,14 +89,14 @@
 
     Attributes:
         tracker: knows which runners are cold.
-        terms: bound on the request rate to a cold runner.
+        rate_limit: bound on the request rate to a cold runner.
         num_leaders: number of turn log groups, whose leaders share the bound.
         permit_counts: recently granted permits.
 
     """
 
     tracker: ColdRunnerTracker
-    terms: ColdRateLimit
+    rate_limit: ColdRateLimit
     metrics: TurnLogMetrics
     num_leaders: int = 1
     permit_counts: ColdPermitCounts = field(init=False)
@@ -104,7 +104,7 @@
     _retries: dict[bool, RetrySchedule] = field(init=False)
 
     def __post_init__(self) -> None:
-        self.permit_counts = ColdPermitCounts(self.terms, self.num_leaders)
+        self.permit_counts = ColdPermitCounts(self.rate_limit, self.num_leaders)
         self._retries = {is_new: RetrySchedule() for is_new in (True, False)}
 
     def permitted_runners(
--- a/src/bendshed/turns/group_locator.py
+++ b/src/bendshed/turns/group_locator.py
@@ -47,15 +47,15 @@
         """Return further groups that may store a turn if ``group`` does not."""
         return [] if tenant else self.groups.other_ids(group)
 
-    def note_program(self, tenant: str, program_id: str, group: int) -> None:
+    def record_program(self, tenant: str, program_id: str, group: int) -> None:
         """Record that a group has granted a turn of the program."""
-        self._note(self._programs, (tenant, program_id), group)
+        self._record(self._programs, (tenant, program_id), group)
 
-    def note_turn(self, tenant: str, turn_id: str, group: int) -> None:
+    def record_turn(self, tenant: str, turn_id: str, group: int) -> None:
         """Record that a group has stored a turn."""
-        self._note(self._turns, (tenant, turn_id), group)
+        self._record(self._turns, (tenant, turn_id), group)
 
-    def _note(
+    def _record(
         self, known: "OrderedDict[TenantScopedId, int]", scoped_id: TenantScopedId, group: int
     ) -> None:
         """Record an entry outside the home group; the least recently recorded is dropped first."""
--- a/src/bendshed/turns/led_group.py
+++ b/src/bendshed/turns/led_group.py
@@ -130,7 +130,7 @@
     ) -> wire.TurnReply:
         """Commit a begin; one committed after its front stopped waiting counts as unanswered."""
         begin = command.begin
-        self._proposed_begins.number(begin, term)
+        self._proposed_begins.assign_number(begin, term)
         try:
             applied = await self._propose(command)
             if asyncio.get_running_loop().time() > answer_by_s:
--- a/src/bendshed/turns/replica_gauges.py
+++ b/src/bendshed/turns/replica_gauges.py
@@ -62,11 +62,11 @@
         )
         for name, text, read in readings:
             metrics.gauge(name, text).set_function(partial(_as_float, read))
-        trips = metrics.labelled_gauge(
+        round_trips = metrics.labelled_gauge(
             "bendshed_round_trip_ms", "Median round trip to replica machines", "distance"
         )
         for kind in Distance:
-            trips.labels(kind.value).set_function(partial(self._round_trip_ms, kind))
+            round_trips.labels(kind.value).set_function(partial(self._round_trip_ms, kind))
 
     def _add_group_gauges(self, metrics: TurnLogMetrics) -> None:
         readings: dict[str, tuple[str, Callable[[HostedGroup], float]]] = {
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -92,7 +92,7 @@
         self._transport.handlers[TURN_METHOD] = self.handle_command
         self._transport.handlers[PREVIEW_METHOD] = self.preview
         self._transport.handlers[QUOTA_METHOD] = self.admit_call
-        self._transport.handlers[RUNNER_METHOD] = self.place
+        self._transport.handlers[RUNNER_METHOD] = self.permit_dispatch
 
     def _group(self, number: int) -> LedGroup:
         """Return a group; raise ``NotLeader`` if this process does not know it."""
@@ -248,24 +248,24 @@
     ) -> wire.TurnReply:
         """Add the chosen runner to the reply for a turn that may run."""
         begin = preview.begin
-        ran_at = state.latest_runner_id(begin.tenant, begin.program_id)
+        last_runner = state.latest_runner_id(begin.tenant, begin.program_id)
         is_new = not state.is_program_started(begin)
         has_cold = self._placement.cold.tracker.has_cold
         now_s = self._check_majority() if has_cold else asyncio.get_running_loop().time()
-        placement = self._placement.place_turn(preview, ran_at, is_new, now_s)
+        placement = self._placement.place_turn(preview, last_runner, is_new, now_s)
         if placement.retry_after_ms:
             return no_room_reply(placement.retry_after_ms)
         reply.runner_id, reply.permit_ms = placement.runner_id, placement.permit_ms
         return reply
 
-    async def place(self, payload: bytes) -> bytes:
+    async def permit_dispatch(self, payload: bytes) -> bytes:
         """Permit one dispatch without a preview, or reply when to retry."""
         request = wire.RunnerAsk.FromString(payload)
         try:
             self._group(request.group).leader_state()
         except NotLeader as error:
             return not_leader_reply(error.leader_id).SerializeToString()
-        placement = self._placement.place(request, self._check_majority())
+        placement = self._placement.permit_dispatch(request, self._check_majority())
         if placement.retry_after_ms:
             return no_room_reply(placement.retry_after_ms).SerializeToString()
         reply = wire.TurnReply(answer=wire.TURN_ANSWER_GRANTED)
--- a/src/bendshed/turns/state.py
+++ b/src/bendshed/turns/state.py
@@ -94,7 +94,9 @@
         """Replace the state by that of a snapshot."""
         snapshot = wire.TurnLogSnapshot.FromString(state)
         self.clock_ms = snapshot.clock_ms
-        self.turns = {(row.tenant, row.turn_id): StoredTurn.of_wire(row) for row in snapshot.turns}
+        self.turns = {
+            (row.tenant, row.turn_id): StoredTurn.from_wire(row) for row in snapshot.turns
+        }
         self.programs = {
             (row.tenant, row.program_id): ProgramBudget.of_wire(row) for row in snapshot.programs
         }
--- a/src/bendshed/turns/stored_turn.py
+++ b/src/bendshed/turns/stored_turn.py
@@ -31,6 +31,6 @@
         )
 
     @classmethod
-    def of_wire(cls, row: wire.KeptTurn) -> "StoredTurn":
+    def from_wire(cls, row: wire.KeptTurn) -> "StoredTurn":
         """Decode a turn from a snapshot."""
         return cls(row.previous_turn, row.transcript, row.expires_ms)
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -42,13 +42,13 @@
         self._runners_at = 0
 
     def place_turn(
-        self, preview: wire.TurnPreview, ran_at: str, is_new_program: bool, now_s: float
+        self, preview: wire.TurnPreview, last_runner: str, is_new_program: bool, now_s: float
     ) -> Placement:
         """Place a turn, or reject it because all its runners are cold and at capacity.
 
         Args:
             preview: preview of the turn.
-            ran_at: runner of the program's latest turn; empty: none.
+            last_runner: runner of the program's latest turn; empty: none.
             is_new_program: no turn of the program is known.
             now_s: monotonic time.
 
@@ -61,13 +61,13 @@
         permitted_runners = self.cold.permitted_runners(runners, request, now_s)
         if runners and not permitted_runners.runners:
             return self.cold.reject(runners, request, now_s)
-        demand = _decode_demand(preview.begin, preview.demand, ran_at)
+        demand = _decode_demand(preview.begin, preview.demand, last_runner)
         runner_id = self._choose(demand, preview.demand.service, permitted_runners, now_s)
         if runner_id in permitted_runners.cold:
             return self.cold.grant(runner_id, request, now_s)
         return Placement(runner_id)
 
-    def place(self, ask: wire.RunnerAsk, now_s: float) -> Placement:
+    def permit_dispatch(self, ask: wire.RunnerAsk, now_s: float) -> Placement:
         """Permit one dispatch of a request without a preview, even to a runner that is warm
         here."""
         self._drop_unlisted_runners()
@@ -86,9 +86,13 @@
             placement = self.cold.reject(runners, request, now_s)
             self.cold.forget_rejection(ask.request_id)  # no begin will follow
             return placement
-        return self.cold.grant(self._place(ask, permitted_runners.runners, now_s), request, now_s)
+        return self.cold.grant(
+            self._choose_permitted(ask, permitted_runners.runners, now_s), request, now_s
+        )
 
-    def _place(self, ask: wire.RunnerAsk, runners: Sequence[ServiceRunner], now_s: float) -> str:
+    def _choose_permitted(
+        self, ask: wire.RunnerAsk, runners: Sequence[ServiceRunner], now_s: float
+    ) -> str:
         """Place a turn by cluster load, another request by permits: its end is not reported."""
         demand = ask.demand
         if not demand.parts:
@@ -144,7 +148,9 @@
             self.cluster_load.retain_only(self._catalog.runner_ids)
 
 
-def _decode_demand(begin: wire.BeginTurn, wire_demand: wire.TurnDemand, ran_at: str) -> TurnDemand:
+def _decode_demand(
+    begin: wire.BeginTurn, wire_demand: wire.TurnDemand, last_runner: str
+) -> TurnDemand:
     """Decode a turn's demand; the wire field ``line`` is the id of the chain."""
     return TurnDemand(
         turn_id=begin.turn_id,
@@ -155,6 +161,6 @@
         connected=frozenset(wire_demand.connected),
         avoided=frozenset(wire_demand.avoided),
         zone=wire_demand.zone,
-        last_runner=ran_at,
+        last_runner=last_runner,
         body_bytes=wire_demand.body_bytes,
     )
--- a/src/bendshed/turns/unanswered_begins.py
+++ b/src/bendshed/turns/unanswered_begins.py
@@ -140,7 +140,7 @@
         self._num_in_flight: Counter[TurnKey] = Counter()
         self._withdrawn: OrderedDict[TurnKey, set[int]] = OrderedDict()
 
-    def number(self, begin: wire.BeginTurn, term: int) -> None:
+    def assign_number(self, begin: wire.BeginTurn, term: int) -> None:
         """Assign a proposal number to a begin, unique among all leaders of the group."""
         self._num_proposed += 1
         begin.proposal = term * MAX_PROPOSALS_PER_TERM + self._num_proposed
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -168,7 +168,7 @@
         ask = wire.RunnerAsk(request_id=f"r{self.num_turns}", is_new_program=is_new)
         ask.demand.service = "s"
         ask.demand.tried.extend(tried)
-        placed = self.advice.place(ask, self.clock.now_s)
+        placed = self.advice.permit_dispatch(ask, self.clock.now_s)
         return wire.TurnReply(
             runner_id=placed.runner_id,
             permit_ms=placed.permit_ms,
--- a/tests/test_unanswered_begins.py
+++ b/tests/test_unanswered_begins.py
@@ -109,7 +109,7 @@
 
     def propose(self) -> wire.BeginTurn:
         begin = begin_of()
-        self.begins.number(begin, TERM)
+        self.begins.assign_number(begin, TERM)
         return begin
 
     def commit(self) -> wire.BeginTurn:
@@ -160,7 +160,7 @@
 
     def test_proposal_numbers_of_two_terms_differ(self) -> None:
         other = begin_of()
-        ProposedBegins().number(other, TERM + 1)
+        ProposedBegins().assign_number(other, TERM + 1)
         self.assertNotEqual(self.propose().proposal, other.proposal)
 
 
