--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -117,17 +117,21 @@
         cold = [runner for runner in runners if self.tracker.is_cold(runner.runner_id)]
         if not cold:
             return PermittedRunners(runners)
-        has_room = {runner.runner_id for runner in self._runners_with_room(cold, request, now_s)}
-        is_full = {runner.runner_id for runner in cold} - has_room
-        return PermittedRunners([r for r in runners if r.runner_id not in is_full], has_room)
+        ids_with_room = {
+            runner.runner_id for runner in self._runners_with_room(cold, request, now_s)
+        }
+        full_ids = {runner.runner_id for runner in cold} - ids_with_room
+        return PermittedRunners([r for r in runners if r.runner_id not in full_ids], ids_with_room)
 
     def permit_limited_runners(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
     ) -> PermittedRunners:
         """Apply the bound to all runners: one that is warm here may be cold at the requesting
         node."""
-        has_room = self._runners_with_room(runners, request, now_s)
-        return PermittedRunners(has_room, {runner.runner_id for runner in has_room})
+        runners_with_room = self._runners_with_room(runners, request, now_s)
+        return PermittedRunners(
+            runners_with_room, {runner.runner_id for runner in runners_with_room}
+        )
 
     def _runners_with_room(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -185,9 +185,9 @@
     def _build_placement(
         self, settings: ReplicaSettings, rng: random.Random, metrics: TurnLogMetrics
     ) -> TurnPlacement:
-        known = self.catalog.catalog
-        cold = ColdAdmission(known.cold, settings.cold, metrics, settings.groups.count)
-        return TurnPlacement(known, cold, rng, self._distance)
+        catalog = self.catalog.catalog
+        cold = ColdAdmission(catalog.cold, settings.cold, metrics, settings.groups.count)
+        return TurnPlacement(catalog, cold, rng, self._distance)
 
     def _build_service(
         self,
@@ -197,13 +197,13 @@
         placement: TurnPlacement,
         peers: GroupPeers,
     ) -> TurnService:
-        known = self.catalog.catalog
+        catalog = self.catalog.catalog
         return TurnService(
             self.host,
             transport,
             metrics,
             placement,
-            lambda: QuotaCounting(known, settings.quotas, settings.policy.programs_first),
+            lambda: QuotaCounting(catalog, settings.quotas, settings.policy.programs_first),
             settings.groups,
             peers.command,
         )
--- a/src/bendshed/turns/replica_gauges.py
+++ b/src/bendshed/turns/replica_gauges.py
@@ -61,7 +61,7 @@
             ),
         )
         for name, text, read in readings:
-            metrics.gauge(name, text).set_function(partial(_as_float, read))
+            metrics.gauge(name, text).set_function(partial(_read_as_float, read))
         round_trips = metrics.labelled_gauge(
             "bendshed_round_trip_ms", "Median round trip to replica machines", "distance"
         )
@@ -108,5 +108,5 @@
         return self.distance.measured_round_trip_ms.get(kind, 0.0)
 
 
-def _as_float(read: Callable[[], float]) -> float:
+def _read_as_float(read: Callable[[], float]) -> float:
     return float(read())
--- a/tests/test_turn_groups.py
+++ b/tests/test_turn_groups.py
@@ -348,7 +348,7 @@
         self.world.wait_for(lambda: self.world.registry.retirements[leaving.name], 6.0)
 
 
-class GroupsOfPlacesTest(unittest.TestCase):
+class TurnGroupsFromPlacesTest(unittest.TestCase):
     def test_zero_or_one_region_makes_one_group(self) -> None:
         for region_of in ({}, {"a": "r", "b": "r"}, {"a": "", "b": "r"}):
             groups = TurnGroups.from_places(Places(region_of))
--- a/tests/test_turn_state.py
+++ b/tests/test_turn_state.py
@@ -11,7 +11,7 @@
 RETENTION_MS = 60_000
 
 
-class Log:
+class TurnLog:
     """A turn log state with a clock and helpers to apply commands."""
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
 
 class ChainTest(unittest.TestCase):
     def test_chain_is_returned_oldest_first(self) -> None:
-        log = Log()
+        log = TurnLog()
         for turn, previous in (("a", ""), ("b", "a"), ("c", "b")):
             log.begin(turn, previous)
             log.finish(turn, previous)
@@ -70,7 +70,7 @@
         self.assertEqual([piece.transcript for piece in reply.chain], [b"[a]", b"[b]", b"[c]"])
 
     def test_cached_transcript_is_not_sent_again(self) -> None:
-        log = Log()
+        log = TurnLog()
         log.begin("a")
         log.finish("a")
         reply = log.begin("b", "a", held="a")
@@ -78,25 +78,25 @@
         self.assertEqual(len(log.begin("c", "a", held="z").chain), 1)
 
     def test_unknown_previous_turn_reserves_nothing(self) -> None:
-        log = Log()
+        log = TurnLog()
         self.assertEqual(log.begin("b", "a").answer, wire.TURN_ANSWER_UNKNOWN_TURN)
         self.assertEqual(log.begin("c", budget=100).answer, wire.TURN_ANSWER_GRANTED)
 
     def test_broken_turn_is_not_stored(self) -> None:
-        log = Log()
+        log = TurnLog()
         log.begin("a")
         log.finish("a", outcome=wire.TURN_OUTCOME_BROKEN)
         self.assertEqual(log.begin("b", "a").answer, wire.TURN_ANSWER_UNKNOWN_TURN)
 
     def test_another_program_may_continue_turn(self) -> None:
-        log = Log()
+        log = TurnLog()
         log.begin("a")
         log.finish("a")
         other = wire.BeginTurn(program_id="q", turn_id="b", previous_turn="a", most_tokens=1)
         self.assertEqual(log.apply(begin=other).answer, wire.TURN_ANSWER_GRANTED)
 
     def test_chain_is_stored_as_long_as_its_newest_turn(self) -> None:
-        log = Log()
+        log = TurnLog()
         log.begin("a")
         log.finish("a")
         log.now_ms = RETENTION_MS - 1000
@@ -108,7 +108,7 @@
         self.assertEqual(log.begin("d", "b").answer, wire.TURN_ANSWER_UNKNOWN_TURN)
 
     def test_clock_never_runs_backwards(self) -> None:
-        log = Log()
+        log = TurnLog()
         log.now_ms = 5000
         log.begin("a")
         log.now_ms = 1000
@@ -117,7 +117,7 @@
 
 
 class TenantTest(unittest.TestCase):
-    def begin(self, log: Log, tenant: str, turn: str, previous: str = "") -> wire.TurnReply:
+    def begin(self, log: TurnLog, tenant: str, turn: str, previous: str = "") -> wire.TurnReply:
         return log.apply(
             begin=wire.BeginTurn(
                 tenant=tenant,
@@ -131,7 +131,7 @@
             )
         )
 
-    def finish(self, log: Log, tenant: str, turn: str) -> None:
+    def finish(self, log: TurnLog, tenant: str, turn: str) -> None:
         finish = wire.FinishTurn(
             tenant=tenant,
             program_id="p",
@@ -144,7 +144,7 @@
         log.apply(finish=finish)
 
     def test_turn_of_another_tenant_is_unknown(self) -> None:
-        log = Log()
+        log = TurnLog()
         self.begin(log, "one", "a")
         self.finish(log, "one", "a")
         self.assertEqual(self.begin(log, "two", "b", "a").answer, wire.TURN_ANSWER_UNKNOWN_TURN)
@@ -154,13 +154,13 @@
         self.assertEqual(self.begin(log, "one", "b", "a").answer, wire.TURN_ANSWER_GRANTED)
 
     def test_same_program_id_of_two_tenants_is_two_programs(self) -> None:
-        log = Log()
+        log = TurnLog()
         self.assertEqual(self.begin(log, "one", "a").answer, wire.TURN_ANSWER_GRANTED)
         self.assertEqual(self.begin(log, "two", "b").answer, wire.TURN_ANSWER_GRANTED)
         self.assertEqual(self.begin(log, "one", "c").answer, wire.TURN_ANSWER_BUDGET_SPENT)
 
     def test_same_turn_id_of_two_tenants_is_two_turns(self) -> None:
-        log = Log()
+        log = TurnLog()
         for tenant in ("one", "two"):
             self.begin(log, tenant, "a")
             self.finish(log, tenant, "a")
@@ -170,20 +170,20 @@
     def test_dispatched_turn_without_begin_is_counted_at_its_end(self) -> None:
         for was_sent, counted in ((True, 1), (False, 0)):
             with self.subTest(was_sent=was_sent):
-                log = Log()
+                log = TurnLog()
                 finish = wire.FinishTurn(tenant="a", program_id="p", turn_id="t", was_sent=was_sent)
                 log.apply(finish=finish)
                 log.apply(finish=finish)
                 self.assertEqual(log.state.usage.in_window("a", 0, 5_000), counted)
 
     def test_reserved_turn_is_not_counted_again_at_its_end(self) -> None:
-        log = Log()
+        log = TurnLog()
         self.begin(log, "a", "t")
         log.apply(finish=wire.FinishTurn(tenant="a", program_id="p", turn_id="t", was_sent=True))
         self.assertEqual(log.state.usage.in_window("a", 0, 5_000), 1)
 
     def test_usage_counts_turn_once_and_survives_snapshot(self) -> None:
-        log, copy = Log(), Log()
+        log, copy = TurnLog(), TurnLog()
         for _ in range(2):
             self.begin(log, "one", "a")
         report = wire.SpentReport(node="n", spent=[wire.TenantSpent(tenant="one", total=3)])
@@ -197,7 +197,7 @@
 
 class BudgetTest(unittest.TestCase):
     def test_running_turns_reserve_their_maximum(self) -> None:
-        log = Log()
+        log = TurnLog()
         self.assertEqual(log.begin("a", budget=250).answer, wire.TURN_ANSWER_GRANTED)
         self.assertEqual(log.begin("b", budget=250).answer, wire.TURN_ANSWER_GRANTED)
         self.assertEqual(log.begin("c", budget=250).answer, wire.TURN_ANSWER_BUDGET_SPENT)
@@ -205,18 +205,18 @@
         self.assertEqual(log.begin("d", budget=250).answer, wire.TURN_ANSWER_GRANTED)
 
     def test_duplicate_begin_reserves_once(self) -> None:
-        log = Log()
+        log = TurnLog()
         log.begin("a")
         self.assertEqual(log.begin("a").reserved_tokens, 100)
 
     def test_duplicate_finish_charges_once(self) -> None:
-        log = Log()
+        log = TurnLog()
         log.begin("a")
         log.finish("a")
         self.assertEqual(log.finish("a").spent_tokens, 50)
 
     def test_begin_after_its_finish_is_refused(self) -> None:
-        log = Log()
+        log = TurnLog()
         log.finish("a", tokens=0, outcome=wire.TURN_OUTCOME_NOTHING_HANDED_ON)
         self.assertEqual(log.begin("a").answer, wire.TURN_ANSWER_CLOSED)
         self.assertEqual(log.begin("b").reserved_tokens, 100)
@@ -225,7 +225,7 @@
     @given(st.lists(st.tuples(st.booleans(), st.integers(0, 7), st.integers(1, 60))))
     def test_granted_tokens_never_exceed_budget(self, steps: list[tuple[bool, int, int]]) -> None:
         """For commands in any order, duplicate or late, the tokens handed out fit the budget."""
-        log = Log()
+        log = TurnLog()
         most: dict[str, int] = {}
         handed_out: dict[str, int] = {}
         for is_begin, number, tokens in steps:
@@ -243,7 +243,7 @@
 
 class SnapshotTest(unittest.TestCase):
     def test_latest_runner_survives_snapshot(self) -> None:
-        log, copy = Log(), Log()
+        log, copy = TurnLog(), TurnLog()
         for turn, runner in (("t1", "a"), ("t2", "b"), ("t3", "")):
             finish = wire.FinishTurn(program_id="p", turn_id=turn, runner_id=runner)
             log.apply(finish=finish)
@@ -257,7 +257,7 @@
         stored = wire.KeptTurn(turn_id="a", transcript=b"[a]", expires_ms=RETENTION_MS)
         budget = wire.ProgramBudget(program_id="p", spent_tokens=60, expires_ms=RETENTION_MS)
         earlier = wire.TurnLogSnapshot(clock_ms=5, turns=[stored], programs=[budget])
-        log = Log()
+        log = TurnLog()
         log.state.restore(earlier.SerializeToString())
         reply = log.begin("b", "a", budget=200)
         self.assertEqual([piece.transcript for piece in reply.chain], [b"[a]"])
@@ -265,7 +265,7 @@
 
     def test_restored_state_expires_entries_with_the_others(self) -> None:
         """A replica restored between two expiry sweeps must not start a budget anew on its own."""
-        log, copy = Log(), Log()
+        log, copy = TurnLog(), TurnLog()
         log.begin("a", budget=100, most=60)
         log.finish("a", tokens=60)
         expires_ms = log.state.programs["", "p"].expires_ms
@@ -277,7 +277,7 @@
             self.assertEqual(log.state.snapshot(), copy.state.snapshot())
 
     def test_restored_state_answers_identically(self) -> None:
-        log, copy = Log(), Log()
+        log, copy = TurnLog(), TurnLog()
         log.now_ms = 1234
         log.begin("a")
         log.finish("a")
