--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -143,11 +143,13 @@
         """Return how many rejected requests of running programs are expected to retry."""
         if not request.is_new_program:
             return 0
-        return self._retries[False].num_others(request.retry_key, int(1000 * now_s))
+        return self._retries[False].num_expected_others(request.retry_key, int(1000 * now_s))
 
     def _room(self, runner: ServiceRunner, request: PermitRequest, now_s: float) -> int:
         rate = self.tracker.rate_of(runner.runner_id)
-        return self.permit_counts.room(runner.runner_id, rate, request.is_new_program, now_s)
+        return self.permit_counts.num_available(
+            runner.runner_id, rate, request.is_new_program, now_s
+        )
 
     def least_loaded(
         self,
@@ -184,7 +186,7 @@
             runner=runner_id,
             is_new_program=request.is_new_program,
             granted=self.permit_counts.num_granted(runner_id, now_s),
-            most=self.permit_counts.most(self.tracker.rate_of(runner_id), False, now_s),
+            most=self.permit_counts.max_permits(self.tracker.rate_of(runner_id), False, now_s),
             cold_for_ms=self.tracker.left_ms(runner_id),
         )
         return Placement(runner_id, PERMIT_MS)
@@ -196,7 +198,7 @@
         self.permit_counts.sweep(now_s)
         now_ms = int(1000 * now_s)
         retries = self._retries[request.is_new_program]
-        num_before = retries.num_others(request.retry_key, now_ms)
+        num_before = retries.num_expected_others(request.retry_key, now_ms)
         retry_ms = self._retry_after_ms(runners, request, num_before, now_s)
         retries.note(request.retry_key, now_ms + retry_ms)
         self._note_rejected(request.request_id, retry_ms, now_s)
@@ -206,7 +208,7 @@
             request=request.request_id,
             is_new_program=request.is_new_program,
             runners=len(runners),
-            share=self.permit_counts.touch.share(now_s),
+            share=self.permit_counts.leadership.share(now_s),
             retry_after_ms=retry_ms,
         )
         return Placement(retry_after_ms=retry_ms)
@@ -223,7 +225,9 @@
         least_ms = min(
             self.permit_counts.wait_ms(r, rate, is_new, now_s) for r, rate in rates.items()
         )
-        per_window = sum(self.permit_counts.most(rate, is_new, now_s) for rate in rates.values())
+        per_window = sum(
+            self.permit_counts.max_permits(rate, is_new, now_s) for rate in rates.values()
+        )
         return cold_retry_after_ms(least_ms, num_before, per_window, WINDOW_MS)
 
     def _note_rejected(self, request_id: str, retry_ms: int, now_s: float) -> None:
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -4,7 +4,7 @@
 import random
 from dataclasses import dataclass, field
 
-from bendshed.admission.quota_limits import EXACT, QuotaTerms
+from bendshed.admission.quota_limits import NO_TOLERANCE, QuotaTolerance
 from bendshed.catalog.confirmations import CatalogPart
 from bendshed.catalog.replica_parts import CatalogSurroundings, ReplicaCatalogParts
 from bendshed.catalog.times import CatalogTimes
@@ -16,7 +16,7 @@
 from bendshed.model.address import Address
 from bendshed.model.places import Distance, Places
 from bendshed.paths.echo import Echo
-from bendshed.paths.neighbours import Neighbours
+from bendshed.paths.host_locations import HostLocations
 from bendshed.placement.cold_runners import ColdRateLimit
 from bendshed.placement.distance import DistanceCosts, LinkSettings
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
@@ -89,7 +89,7 @@
     num_voters: int
     times: CatalogTimes
     policy: Policy = EVERYTHING
-    quotas: QuotaTerms = EXACT
+    quotas: QuotaTolerance = NO_TOLERANCE
     groups: TurnGroups = ONE_GROUP
     cold: ColdRateLimit = field(default_factory=ColdRateLimit)
     links: LinkSettings = field(default_factory=LinkSettings)
@@ -100,7 +100,7 @@
 
     Attributes:
         directory: the known replica machines.
-        neighbours: locations of other nodes.
+        host_locations: locations of other nodes.
         host: this process's replicas of the turn log's groups.
         supervisor: changes the membership of groups that this process leads.
         catalog: the known configuration and runners.
@@ -119,15 +119,17 @@
     ) -> None:
         self._groups = settings.groups
         self.directory = ReplicaDirectory()
-        self.neighbours = Neighbours(location.zone, location.places)
-        self.directory.on_change.append(self._update_neighbours)
+        self.host_locations = HostLocations(location.zone, location.places)
+        self.directory.on_change.append(self._update_host_locations)
         self.host = self._build_host(ports, settings.policy, rng)
-        peers = GroupPeers(ports.transport, rng, settings.groups, self.directory, self.neighbours)
+        peers = GroupPeers(
+            ports.transport, rng, settings.groups, self.directory, self.host_locations
+        )
         self.supervisor = self._build_supervisor(location, ports, settings, peers)
         surroundings = CatalogSurroundings(
             ports.transport,
             self.directory,
-            self.neighbours,
+            self.host_locations,
             location.address,
             ports.catalog_storage,
         )
@@ -139,7 +141,7 @@
         self.follower = self._catalog_parts.follower
         self._distance = DistanceCosts(location.places, settings.links)
         self._echo = Echo(
-            ports.transport, self._other_replicas, self.neighbours, self._set_measured_distances
+            ports.transport, self._other_replicas, self.host_locations, self._set_measured_distances
         )
         placement = self._build_placement(settings, rng, metrics)
         self._service = self._build_service(ports.transport, settings, metrics, placement, peers)
@@ -216,15 +218,15 @@
             self._service,
             placement.cluster_load,
             self.catalog.catalog,
-            self._echo.watch,
+            self._echo.reachability,
             self._distance,
         ).add_to(metrics)
         self.catalog.zones.add_gauges(metrics)
 
-    def _update_neighbours(self) -> None:
+    def _update_host_locations(self) -> None:
         """Update the locations of replica machines."""
         for replica in self.directory.by_name.values():
-            self.neighbours.put(replica.address.host, replica.zone)
+            self.host_locations.put(replica.address.host, replica.zone)
 
     def _set_measured_distances(self, measured_ms: dict[Distance, float]) -> None:
         self._distance.measured_round_trip_ms = measured_ms
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -48,7 +48,7 @@
 """Interval between checks for begins that this process did not answer."""
 MAJORITY_CHECK_INTERVAL_S = 0.1
 """Interval between checks whether this process still reaches a majority. It is shorter than the gap
-after which no more permits are granted (``cold_permits.LOOK_GAP_S``, 0.25 s)."""
+after which no more permits are granted (``cold_permits.MAX_UPDATE_GAP_S``, 0.25 s)."""
 
 CommitElsewhere = Callable[[wire.TurnCommand, float], Awaitable[wire.TurnReply | None]]
 """Commits a command in its group at another process; ``None``: no leader answered in time."""
@@ -304,7 +304,9 @@
             for number, group in self._host.groups.items()
             if group.replica.is_ready_leader and group.replica.has_majority
         ]
-        self._placement.cold.permit_counts.touch.look(min(terms, default=0), bool(terms), now_s)
+        self._placement.cold.permit_counts.leadership.update(
+            min(terms, default=0), bool(terms), now_s
+        )
         return now_s
 
     def _extract_report(self, command: wire.TurnCommand) -> None:
--- a/src/bendshed/turns/shares.py
+++ b/src/bendshed/turns/shares.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from bendshed.admission.budget_use import BudgetUse, Verdict
+from bendshed.admission.budget_use import BudgetStatus, BudgetUse
 from bendshed.logs import PartLog
 from bendshed.placement.groups import TurnGroups
 from bendshed.turns.codec import budget_use_of
@@ -36,17 +36,17 @@
     is_complete: bool
     use_elsewhere: BudgetUse
 
-    def classify_shortage(self, begin: wire.BeginTurn, reply: wire.TurnReply) -> Verdict:
+    def classify_shortage(self, begin: wire.BeginTurn, reply: wire.TurnReply) -> BudgetStatus:
         """Return why this group's share does not cover a turn, given the use in all groups.
 
-        ``HELD``: neither spent nor reserved tokens explain it. While groups take shares from each
-        other at the same time, tokens in transit belong to no group for a moment; a group that did
-        not answer may hold them too.
+        ``SUFFICIENT``: neither spent nor reserved tokens explain it. While groups take shares from
+        each other at the same time, tokens in transit belong to no group for a moment; a group that
+        did not answer may hold them too.
         """
         if not self.is_complete:
-            return Verdict.HELD
+            return BudgetStatus.SUFFICIENT
         used = budget_use_of(reply) + self.use_elsewhere
-        return used.judge(begin.most_tokens, begin.budget_tokens)
+        return used.status_for_turn(begin.most_tokens, begin.budget_tokens)
 
 
 class ShareGatherer:
--- a/tests/site_budget_defects.py
+++ b/tests/site_budget_defects.py
@@ -3,7 +3,7 @@
 import contextlib
 from unittest import mock
 
-from bendshed.admission.budget_use import BudgetUse, Verdict
+from bendshed.admission.budget_use import BudgetStatus, BudgetUse
 from bendshed.rehearsal.site.documents import WIDE
 from bendshed.rehearsal.site.layout import TWO_REGIONS_WITH_TENANTS
 from bendshed.rehearsal.site.oracle import Rule, Violation
@@ -306,22 +306,24 @@
         return [*continue_twice(site, stored), *site.settle()]
 
 
-def count_reservations_as_spent(use: BudgetUse, most_tokens: int, budget_tokens: int) -> Verdict:
+def count_reservations_as_spent(
+    use: BudgetUse, most_tokens: int, budget_tokens: int
+) -> BudgetStatus:
     """Defect: reserved tokens count as spent."""
     left_tokens = budget_tokens - use.spent_tokens - use.reserved_tokens
-    return Verdict.SPENT if left_tokens < most_tokens else Verdict.HELD
+    return BudgetStatus.SPENT if left_tokens < most_tokens else BudgetStatus.SUFFICIENT
 
 
 BUDGET_DEFECTS: dict[str, Defect] = {
     "reservations count as spent": Defect(
         Rule.SPENT,
         program_continues_before_its_begins_are_withdrawn,
-        patch(BudgetUse, "judge", count_reservations_as_spent),
+        patch(BudgetUse, "status_for_turn", count_reservations_as_spent),
     ),
     "reservations of the other region count as spent": Defect(
         Rule.SPENT,
         other_region_holds_reservations,
-        patch(BudgetUse, "judge", count_reservations_as_spent),
+        patch(BudgetUse, "status_for_turn", count_reservations_as_spent),
     ),
     "the end of a turn that was not served is dropped": Defect(
         Rule.RELEASED,
