--- a/src/bendshed/services/group_search.py
+++ b/src/bendshed/services/group_search.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from bendshed.logs import PartLog
-from bendshed.turns.codec import apply_verdict
+from bendshed.turns.codec import apply_budget_status
 from bendshed.turns.group_locator import GroupLocator
 from bendshed.turns.shares import ShareGatherer
 from bendshed.wire import turns_pb2 as wire
@@ -45,7 +45,7 @@
             gathered = await self.shares.gather(self.group, self.begin)
             reply = await self._commit(self.group)
             if reply is not None and _is_short(reply):
-                apply_verdict(reply, gathered.classify_shortage(self.begin, reply))
+                apply_budget_status(reply, gathered.classify_shortage(self.begin, reply))
         return reply
 
     async def _find_chain(self, reply: Reply) -> Reply:
--- a/src/bendshed/turns/codec.py
+++ b/src/bendshed/turns/codec.py
@@ -142,11 +142,11 @@
     return BudgetUse(reply.spent_tokens, reply.reserved_tokens)
 
 
-def apply_verdict(reply: wire.TurnReply, verdict: BudgetStatus) -> None:
+def apply_budget_status(reply: wire.TurnReply, status: BudgetStatus) -> None:
     """Set the reason of a refusal by budget in a reply; ``SUFFICIENT`` changes nothing."""
-    if verdict is BudgetStatus.SPENT:
+    if status is BudgetStatus.SPENT:
         reply.answer = wire.TURN_ANSWER_BUDGET_SPENT
-    elif verdict is BudgetStatus.RESERVED:
+    elif status is BudgetStatus.RESERVED:
         reply.answer = wire.TURN_ANSWER_BUDGET_RESERVED
         reply.retry_after_ms = RESERVED_RETRY_AFTER_MS
 
--- a/src/bendshed/turns/led_group.py
+++ b/src/bendshed/turns/led_group.py
@@ -15,7 +15,7 @@
     CallAdmitted,
     CallDecision,
     CallRequest,
-    apply_verdict,
+    apply_budget_status,
     budget_use_of,
 )
 from bendshed.turns.quota_counting import QuotaCounting
@@ -196,7 +196,7 @@
         now_s = asyncio.get_running_loop().time()
         standing_tokens = self._reservations.standing_tokens(name, reserved, now_s)
         use = budget_use_of(reply)
-        apply_verdict(reply, use.status_for_turn(begin.most_tokens, begin.budget_tokens))
+        apply_budget_status(reply, use.status_for_turn(begin.most_tokens, begin.budget_tokens))
         free_tokens = begin.budget_tokens - use.spent_tokens - standing_tokens
         if reply.answer == wire.TURN_ANSWER_BUDGET_RESERVED and free_tokens < begin.most_tokens:
             reply.retry_after_ms = STANDING_RETRY_AFTER_MS
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -14,7 +14,7 @@
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.ports.transport import Transport
 from bendshed.turns.codec import (
-    apply_verdict,
+    apply_budget_status,
     decode_call_request,
     encode_call_decision,
     no_room_reply,
@@ -161,7 +161,7 @@
             gathered = await self.shares.gather(command.group, command.begin)
             reply = await group.commit(command, answer_by_s)
             if _needs_gather(command, reply):
-                apply_verdict(reply, gathered.classify_shortage(command.begin, reply))
+                apply_budget_status(reply, gathered.classify_shortage(command.begin, reply))
         if reply.answer == wire.TURN_ANSWER_GRANTED and state.needs_other_shares(command.begin):
             self.shares.gather_later(command.group, command.begin)
         return reply
