--- a/src/bendshed/turns/led_group.py
+++ b/src/bendshed/turns/led_group.py
@@ -1,6 +1,7 @@
-"""One group of the turn log at the process that leads it.
+"""One group of the turn log, at the process that leads it.
 
-Owns the log's clock in this term and the group's quotas. Relies on ``consensus/host.py`` to commit.
+Owns the log's clock in the current term and the group's quotas. Commits through
+``consensus/host.py``.
 """
 
 import asyncio
@@ -14,28 +15,28 @@
     CallAdmitted,
     CallDecision,
     CallRequest,
-    apply_verdict,
+    apply_budget_status,
     budget_use_of,
 )
 from bendshed.turns.quota_counting import QuotaCounting
 from bendshed.turns.refused_begins import RefusedBegins
 from bendshed.turns.state import TurnLogState
-from bendshed.turns.unanswered_begins import ProposedBegins, UnansweredBegins, turn_of
+from bendshed.turns.unanswered_begins import ProposedBegins, UnansweredBegins, turn_key
 from bendshed.wire import turns_pb2 as wire
 
 COMMIT_TIMEOUT_S = 1.0
-"""A commit that takes longer is answered as unknown; the requesting node has retried by then."""
+"""A commit that takes longer is answered as unknown; by then the requesting node has retried."""
 
 log = PartLog("turns")
 
 
 @dataclass(slots=True)
 class _LeaderClock:
-    """Clock of the log in one term: committed time at its start plus steady time since.
+    """Clock of the log in one term: the committed time at its start plus the monotonic time since.
 
     Attributes:
-        base_ms: committed time when the first request of the term came.
-        base_s: loop time at which the term began, so that time passes without requests too.
+        base_ms: committed time at the first request of the term.
+        base_s: loop time at which the term began, so that time also passes without requests.
 
     """
 
@@ -47,14 +48,14 @@
 class LedGroup:
     """Commits commands of one group.
 
-    ``led``, ``elapsed_ms``, ``commit``, ``withdraw`` and ``admit_call`` raise ``NotLeader`` where
-    this process does not lead the group.
+    ``leader_state``, ``elapsed_ms``, ``commit``, ``withdraw`` and ``admit_call`` raise
+    ``NotLeader`` where this process does not lead the group.
 
     Attributes:
-        group_id: which.
-        quotas: decisions on the tenants that the group counts.
-        unanswered: begins that this process proposed, also in earlier terms, and did not answer.
-        refused: begins that it refused as leader, also in earlier terms.
+        group_id: id of the group.
+        quotas: quota decisions for the tenants whose usage the group counts.
+        unanswered: begins that this process proposed but did not answer, also in earlier terms.
+        refused: begins that this process refused as leader, also in earlier terms.
 
     """
 
@@ -63,28 +64,28 @@
         self.quotas = quotas
         self._host = host
         self._clock: _LeaderClock | None = None
-        self._leads_since_s = 0.0
+        self._term_began_s = 0.0
         self._reservations = StandingReservations()
         self.unanswered = UnansweredBegins()
         self.refused = RefusedBegins(group_id)
-        self._begins = ProposedBegins()
+        self._proposed_begins = ProposedBegins()
 
-    def note_leading(self, now_s: float) -> None:
-        """A term of this process begins."""
-        self._leads_since_s = now_s
+    def begin_term(self, now_s: float) -> None:
+        """Record that a term of this process as leader begins."""
+        self._term_began_s = now_s
 
-    def led(self) -> tuple[TurnLogState, int]:
-        """Replicated state and term."""
+    def leader_state(self) -> tuple[TurnLogState, int]:
+        """Return the replicated state and the term."""
         group = self._host.ready_group(self.group_id)
         assert isinstance(group.state, TurnLogState)
         return group.state, group.replica.term
 
     def elapsed_ms(self) -> int:
-        """Time of the log's clock, in ms."""
-        state, term = self.led()
+        """Return the time of the log's clock, in ms."""
+        state, term = self.leader_state()
         now_s = asyncio.get_running_loop().time()
         if self._clock is None or self._clock.term != term:
-            self._clock = _LeaderClock(term, state.clock_ms, self._leads_since_s)
+            self._clock = _LeaderClock(term, state.clock_ms, self._term_began_s)
         return self._clock.base_ms + int((now_s - self._clock.base_s) * 1000)
 
     async def commit(
@@ -92,12 +93,13 @@
     ) -> wire.TurnReply:
         """Commit a command; a turn beyond its tenant's quota is rejected without a commit.
 
-        ``answer_by_s`` is the loop time after which nobody waits for the answer to a begin.
+        ``answer_by_s`` is the loop time after which the front no longer waits for the answer to a
+        begin.
 
         Raise ``NotLeader``, ``NotCommitted`` or ``CommitUnknown``.
         """
         command.elapsed_ms = self.elapsed_ms()
-        state, term = self.led()
+        state, term = self.leader_state()
         if command.HasField("begin"):
             refusal = self.quotas.admit_turn(command.begin, state, term, command.elapsed_ms)
             if refusal is not None:
@@ -113,7 +115,7 @@
             self.quotas.settle_allowance(command)
         applied.spend_ceiling = command.allowance.ceiling
         if applied.answer == wire.TURN_ANSWER_BUDGET_SPENT:
-            self._judge_refusal(command.begin, applied, state)
+            self._classify_refusal(command.begin, applied, state)
         return applied
 
     async def _propose(self, command: wire.TurnCommand) -> wire.TurnReply:
@@ -126,41 +128,45 @@
     async def _propose_begin(
         self, command: wire.TurnCommand, term: int, answer_by_s: float
     ) -> wire.TurnReply:
-        """Commit a begin; one that is committed too late for its front counts as unanswered."""
+        """Commit a begin; one committed after its front stopped waiting counts as unanswered."""
         begin = command.begin
-        self._begins.number(begin, term)
+        self._proposed_begins.assign_number(begin, term)
         try:
             applied = await self._propose(command)
             if asyncio.get_running_loop().time() > answer_by_s:
-                raise CommitUnknown(f"group {self.group_id}: committed after its front gave up")
+                raise CommitUnknown(
+                    f"group {self.group_id}: committed after the front stopped waiting"
+                )
         except CommitUnknown as error:
-            self.unanswered.note(begin, error.index)
+            self.unanswered.record(begin, error.index)
             raise
         finally:
-            self._begins.settle(begin)
+            self._proposed_begins.settle(begin)
         return applied
 
     def due_withdrawals(self) -> list[wire.WithdrawBegin]:
-        """Withdrawals of begins that this process proposed; the group's leader decides on them."""
+        """Return due withdrawals of this process's begins; the group's leader decides on them."""
         group = self._host.groups.get(self.group_id)
         if group is None:
             return []
         assert isinstance(group.state, TurnLogState)
         applied_index = group.replica.applied_index
         now_s = asyncio.get_running_loop().time()
-        return self.unanswered.due(group.state, lambda index: index <= applied_index, now_s)
+        return self.unanswered.due_withdrawals(
+            group.state, lambda index: index <= applied_index, now_s
+        )
 
     async def withdraw(self, request: wire.WithdrawBegin) -> wire.TurnReply:
         """Release a turn's reservation if no begin of the turn was answered.
 
         Raise ``NotLeader``, ``NotCommitted`` or ``CommitUnknown``.
         """
-        state, term = self.led()
-        turn = turn_of(request)
-        self._begins.withdraw(request, term)
-        if not self._begins.can_release(turn, state):
+        state, term = self.leader_state()
+        turn = turn_key(request)
+        self._proposed_begins.withdraw(request, term)
+        if not self._proposed_begins.can_release(turn, state):
             return wire.TurnReply()
-        # The end of a turn that handed on nothing: replicas of every build apply it alike.
+        # A turn end without any output: replicas of every build apply this command identically.
         end = wire.FinishTurn(
             tenant=request.tenant,
             program_id=request.program_id,
@@ -169,7 +175,7 @@
             retention_ms=request.retention_ms,
         )
         reply = await self.commit(wire.TurnCommand(finish=end, group=self.group_id))
-        self._begins.forget(turn)
+        self._proposed_begins.forget(turn)
         log.say(
             "reservation released: no begin of the turn was answered",
             request=request.turn_id,
@@ -179,28 +185,28 @@
         )
         return reply
 
-    def _judge_refusal(
+    def _classify_refusal(
         self, begin: wire.BeginTurn, reply: wire.TurnReply, state: TurnLogState
     ) -> None:
-        """Tell a budget that is spent from one that only reservations hold back, and until when."""
+        """Distinguish a spent budget from a reserved one, and set when to retry the latter."""
         name = (begin.tenant, begin.program_id)
         program = state.programs.get(name)
-        # Without the program a snapshot has replaced the state since: another process leads.
+        # The program is missing if a snapshot has replaced the state: another process leads now.
         reserved = program.reserved if program is not None else {}
         now_s = asyncio.get_running_loop().time()
         standing_tokens = self._reservations.standing_tokens(name, reserved, now_s)
         use = budget_use_of(reply)
-        apply_verdict(reply, use.status_for_turn(begin.most_tokens, begin.budget_tokens))
+        apply_budget_status(reply, use.status_for_turn(begin.most_tokens, begin.budget_tokens))
         free_tokens = begin.budget_tokens - use.spent_tokens - standing_tokens
         if reply.answer == wire.TURN_ANSWER_BUDGET_RESERVED and free_tokens < begin.most_tokens:
             reply.retry_after_ms = STANDING_RETRY_AFTER_MS
 
     async def admit_call(self, call: CallRequest) -> CallDecision:
-        """Decide on a request that is no turn; an admitted one is committed before the answer.
+        """Decide on a request outside turns; an admitted one is committed before the answer.
 
         Raise ``NotLeader``, ``NotCommitted`` or ``CommitUnknown``.
         """
-        state, term = self.led()
+        state, term = self.leader_state()
         decision = self.quotas.admit_call(call, state, term, self.elapsed_ms())
         if isinstance(decision, CallAdmitted) and decision.counted_total:
             spent = wire.TenantSpent(
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -1,4 +1,4 @@
-"""A process that holds a replica of the turn log on its disk."""
+"""Composition of a replica process, which stores a replica of the turn log on its disk."""
 
 import asyncio
 import random
@@ -38,22 +38,24 @@
 from bendshed.turns.turn_placement import TurnPlacement
 
 TICK_S = 0.025
-"""Heartbeats go every 3 ticks; a follower stands for election after 10 to 20 silent ones."""
+"""Raft tick. Heartbeats are sent every 3 ticks; a follower without one for 10 to 20 ticks starts an
+election."""
 COMPACT_AFTER_ENTRIES = 60_000
-"""Entries without stored text are small; the host's bound on bytes comes first for the others."""
-HAND_OVER_S = 1.0
-HAND_OVER_CHECK_S = 0.02
+"""Log compaction threshold for small entries, which store no text. For larger entries the host's
+limit in bytes is reached first."""
+HAND_OVER_TIMEOUT_S = 1.0
+HAND_OVER_POLL_INTERVAL_S = 0.02
 
 log = PartLog("replica")
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaPlace:
-    """Which machine this is, and where.
+    """Identity and location of this machine.
 
     Attributes:
-        name: of the machine; it outlives its disk.
-        address: where peers reach it.
+        name: name of the machine, which stays the same when its disk is replaced.
+        address: address at which peers reach it.
         places: regions of all zones.
 
     """
@@ -66,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaPorts:
-    """What the process gives a replica machine to work with."""
+    """Adapters that the process provides to a replica machine."""
 
     storage: LogStorage
     catalog_storage: CatalogStorage
@@ -75,12 +77,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaTerms:
-    """What the installation's settings say.
+class ReplicaSettings:
+    """Settings of the installation that a replica machine uses.
 
     Attributes:
-        num_voters: replicas of each group that vote.
-        times: how often the catalog is read, and how old it may be.
+        num_voters: number of voting replicas per group.
+        times: how often the catalog is read and how old it may be.
 
     """
 
@@ -94,53 +96,57 @@
 
 
 class TurnLogNode:
-    """Everything of a replica process but its shells.
+    """All parts of a replica process except its adapters.
 
     Attributes:
-        directory: the replica machines it knows.
-        host_locations: where other nodes are located.
-        host: its replicas of the turn log's groups.
-        supervisor: changes the members of groups that are led here.
-        catalog: what it knows of configuration and runners.
-        demand: which nodes rely on that, and how it reads the registry for them.
-        follower: requests the catalog of another machine, so that one reads the registry for all.
+        directory: the known replica machines.
+        host_locations: locations of other nodes.
+        host: this process's replicas of the turn log's groups.
+        supervisor: changes the membership of groups that this process leads.
+        catalog: the known configuration and runners.
+        demand: which nodes rely on the catalog, and how the registry is read for them.
+        follower: requests the catalog from another machine, so that one reads the registry for all.
 
     """
 
     def __init__(
         self,
-        place: ReplicaPlace,
+        location: ReplicaPlace,
         ports: ReplicaPorts,
-        terms: ReplicaTerms,
+        settings: ReplicaSettings,
         rng: random.Random,
         metrics: TurnLogMetrics,
     ) -> None:
-        self._groups = terms.groups
+        self._groups = settings.groups
         self.directory = ReplicaDirectory()
-        self.host_locations = HostLocations(place.zone, place.places)
-        self.directory.on_change.append(self._note_replicas)
-        self.host = self._build_host(ports, terms.policy, rng)
-        peers = GroupPeers(ports.transport, rng, terms.groups, self.directory, self.host_locations)
-        self.supervisor = self._build_supervisor(place, ports, terms, peers)
-        around = CatalogSurroundings(
+        self.host_locations = HostLocations(location.zone, location.places)
+        self.directory.on_change.append(self._update_host_locations)
+        self.host = self._build_host(ports, settings.policy, rng)
+        peers = GroupPeers(
+            ports.transport, rng, settings.groups, self.directory, self.host_locations
+        )
+        self.supervisor = self._build_supervisor(location, ports, settings, peers)
+        surroundings = CatalogSurroundings(
             ports.transport,
             self.directory,
             self.host_locations,
-            place.address,
+            location.address,
             ports.catalog_storage,
         )
-        self._catalog_parts = ReplicaCatalogParts(around, terms.times, terms.policy, rng)
+        self._catalog_parts = ReplicaCatalogParts(
+            surroundings, settings.times, settings.policy, rng
+        )
         self.catalog = self._catalog_parts.catalog
         self.demand = self._catalog_parts.demand
         self.follower = self._catalog_parts.follower
-        self._distance = DistanceCosts(place.places, terms.links)
+        self._distance = DistanceCosts(location.places, settings.links)
         self._echo = Echo(
-            ports.transport, self._other_replicas, self.host_locations, self._take_distances
+            ports.transport, self._other_replicas, self.host_locations, self._set_measured_distances
         )
-        placement = self._build_placement(terms, rng, metrics)
-        self._service = self._build_service(ports.transport, terms, metrics, placement, peers)
-        self._loads = LoadExchange(
-            ports.transport, self.host, terms.groups, peers, placement.cluster_load
+        placement = self._build_placement(settings, rng, metrics)
+        self._service = self._build_service(ports.transport, settings, metrics, placement, peers)
+        self._load_exchange = LoadExchange(
+            ports.transport, self.host, settings.groups, peers, placement.cluster_load
         )
         self._tasks: list[asyncio.Task[None]] = []
         self._add_gauges(metrics, placement)
@@ -155,11 +161,15 @@
             self.directory.resolve,
             COMPACT_AFTER_ENTRIES,
             campaigns_at_start=policy.quick_election,
-            election_order_of=self._standing_order,
+            election_order_of=self._election_order,
         )
 
     def _build_supervisor(
-        self, place: ReplicaPlace, ports: ReplicaPorts, terms: ReplicaTerms, peers: GroupPeers
+        self,
+        location: ReplicaPlace,
+        ports: ReplicaPorts,
+        settings: ReplicaSettings,
+        peers: GroupPeers,
     ) -> ReplicaSupervisor:
         return ReplicaSupervisor(
             self.host,
@@ -167,36 +177,36 @@
             ports.transport,
             ports.registry,
             self.directory,
-            ReplicaNode(place.name, self.host.node_id, place.address, place.zone),
+            ReplicaNode(location.name, self.host.node_id, location.address, location.zone),
             TICK_S,
-            terms.num_voters,
-            terms.groups,
+            settings.num_voters,
+            settings.groups,
             peers.request_emptied,
         )
 
     def _build_placement(
-        self, terms: ReplicaTerms, rng: random.Random, metrics: TurnLogMetrics
+        self, settings: ReplicaSettings, rng: random.Random, metrics: TurnLogMetrics
     ) -> TurnPlacement:
-        known = self.catalog.catalog
-        cold = ColdAdmission(known.cold, terms.cold, metrics, terms.groups.count)
-        return TurnPlacement(known, cold, rng, self._distance)
+        catalog = self.catalog.catalog
+        cold = ColdAdmission(catalog.cold, settings.cold, metrics, settings.groups.count)
+        return TurnPlacement(catalog, cold, rng, self._distance)
 
     def _build_service(
         self,
         transport: Transport,
-        terms: ReplicaTerms,
+        settings: ReplicaSettings,
         metrics: TurnLogMetrics,
         placement: TurnPlacement,
         peers: GroupPeers,
     ) -> TurnService:
-        known = self.catalog.catalog
+        catalog = self.catalog.catalog
         return TurnService(
             self.host,
             transport,
             metrics,
             placement,
-            lambda: QuotaCounting(known, terms.quotas, terms.policy.programs_first),
-            terms.groups,
+            lambda: QuotaCounting(catalog, settings.quotas, settings.policy.programs_first),
+            settings.groups,
             peers.command,
         )
 
@@ -213,20 +223,20 @@
         ).add_to(metrics)
         self.catalog.zones.add_gauges(metrics)
 
-    def _note_replicas(self) -> None:
-        """Remember where replica machines are located."""
+    def _update_host_locations(self) -> None:
+        """Update the locations of replica machines."""
         for replica in self.directory.by_name.values():
             self.host_locations.put(replica.address.host, replica.zone)
 
-    def _take_distances(self, measured_ms: dict[Distance, float]) -> None:
+    def _set_measured_distances(self, measured_ms: dict[Distance, float]) -> None:
         self._distance.measured_round_trip_ms = measured_ms
 
     def _other_replicas(self) -> list[Address]:
         nodes = self.directory.by_name.values()
         return [node.address for node in nodes if node != self.directory.own_node]
 
-    def _standing_order(self, group_id: int) -> ElectionOrder:
-        """In which order a group's voters stand for election."""
+    def _election_order(self, group_id: int) -> ElectionOrder:
+        """Return the order in which a group's voters start elections."""
         home_zones = self._groups.home_zones(group_id)
         if home_zones is None:
             return SINGLE_REGION_ORDER
@@ -236,13 +246,13 @@
 
         return ElectionOrder.across_regions(is_home)
 
-    def note_registry(self, is_lost: bool) -> None:
-        """Whether the registry answers this machine itself; else other nodes go elsewhere."""
+    def set_registry_lost(self, is_lost: bool) -> None:
+        """Record whether this machine has lost the registry; if so, nodes use other replicas."""
         self.catalog.set_lost(is_lost)
         self.follower.note_own_reading(is_lost)
 
     def take_zones(self, update: ZoneUpdate) -> None:
-        """The registry itself said which zones are closed."""
+        """Apply the closed zones as read from the registry itself."""
         self.catalog.take_zones(update)
         self.catalog.confirm(CatalogPart.ZONES, update.zones.revision)
         self.follower.note_zones(update.zones.revision)
@@ -255,8 +265,8 @@
         self._catalog_parts.start()
         self._tasks = [
             *(start_loop(loop, "catalog") for loop in self._catalog_parts.loops()),
-            start_loop(self._loads.run(), "loads"),
-            start_loop(self._service.follow_lead(), "turns"),
+            start_loop(self._load_exchange.run(), "loads"),
+            start_loop(self._service.monitor_majority(), "turns"),
             start_loop(self._service.withdraw_unanswered(), "turns"),
             start_loop(self._echo.run(), "regions"),
         ]
@@ -273,9 +283,9 @@
         log.say("stopped", node=self.host.node_id)
 
     async def _hand_over(self) -> None:
-        """Let another replica lead before this one ends."""
+        """Transfer leadership to other replicas before this one stops."""
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + HAND_OVER_S
-        while self.host.led_groups() and loop.time() < until_s:
+        deadline_s = loop.time() + HAND_OVER_TIMEOUT_S
+        while self.host.led_groups() and loop.time() < deadline_s:
             self.host.transfer_all_leadership()
-            await asyncio.sleep(HAND_OVER_CHECK_S)
+            await asyncio.sleep(HAND_OVER_POLL_INTERVAL_S)
--- a/tests/test_budget_use.py
+++ b/tests/test_budget_use.py
@@ -41,7 +41,7 @@
     def status(self, here: BudgetUse, elsewhere: BudgetUse, has_all: bool = True) -> BudgetStatus:
         begin = wire.BeginTurn(most_tokens=MAX_TOKENS, budget_tokens=BUDGET)
         reply = wire.TurnReply(spent_tokens=here.spent_tokens, reserved_tokens=here.reserved_tokens)
-        return GatheredShares(has_all, elsewhere).judge(begin, reply)
+        return GatheredShares(has_all, elsewhere).classify_shortage(begin, reply)
 
     def test_tokens_spent_in_all_groups_count(self) -> None:
         self.assertEqual(self.status(BudgetUse(11, 0), BudgetUse(10, 0)), BudgetStatus.SPENT)
