--- a/src/bendshed/consensus/sqlite_storage.py
+++ b/src/bendshed/consensus/sqlite_storage.py
@@ -1,10 +1,10 @@
-"""Durable group logs in one SQLite file, one transaction per group commit.
+"""Durable logs of all groups in one SQLite file, one transaction per commit.
 
-The write-ahead log would map a shared-memory file; with exclusive locking set first SQLite
+The write-ahead log would map a shared-memory file; because exclusive locking is set first, SQLite
 keeps that index in private memory instead. ``synchronous=FULL`` makes each commit durable.
-Every record carries a checksum: a bad record at the end of a log is a torn tail and is cut; a bad
-one in the middle raises ``StorageCorrupt``. Then the file is set aside and the node starts empty
-under a new identity (``quarantine``), so that what it forgot cannot count in any vote.
+Every record carries a checksum: a bad record at the end of a log is a torn write and is truncated;
+a bad one before the end raises ``StorageCorrupt``. The file is then quarantined and the node starts
+empty under a new identity (``quarantine``), so that the lost state cannot affect any vote.
 """
 
 import asyncio
@@ -36,9 +36,9 @@
     checksum INTEGER NOT NULL, PRIMARY KEY (group_id, entry_index)) WITHOUT ROWID;
 """
 
-FORMER_SCHEMA_TABLE = "groups"
-"""Until December 2026 a group's hard state and snapshot were one row, so that each vote wrote the
-whole snapshot again."""
+LEGACY_TABLE = "groups"
+"""Until December 2026 a group's hard state and snapshot shared one row, so each vote rewrote the
+whole snapshot."""
 MIGRATION = """
 INSERT OR IGNORE INTO hard_states SELECT group_id, term, voted_for FROM groups;
 INSERT OR IGNORE INTO snapshots SELECT group_id, snapshot, checksum FROM groups;
@@ -61,7 +61,7 @@
         self._writer = ThreadPoolExecutor(max_workers=1, thread_name_prefix="log-writer")
         self._database = self._writer.submit(self._open).result()
         self._node_id = self._writer.submit(self._read_identity).result()
-        self._checked: list[StoredGroup] | None = None
+        self._preloaded: list[StoredGroup] | None = None
 
     def _open(self) -> sqlite3.Connection:
         database = sqlite3.connect(self._path, isolation_level=None)
@@ -69,7 +69,7 @@
         database.execute("PRAGMA journal_mode=WAL")
         database.execute("PRAGMA synchronous=FULL")
         database.executescript(SCHEMA)
-        if self._has_table(database, FORMER_SCHEMA_TABLE):
+        if self._has_table(database, LEGACY_TABLE):
             database.executescript(f"BEGIN IMMEDIATE;{MIGRATION}COMMIT;")
         return database
 
@@ -91,14 +91,14 @@
         return self._node_id
 
     def check(self) -> None:
-        """Read all groups in advance for the next ``load``; raise like it."""
-        self._checked = self.load()
+        """Read all groups in advance for the next ``load``, and raise the same errors."""
+        self._preloaded = self.load()
 
     def load(self) -> list[StoredGroup]:
-        """Read all groups; see the module for what happens to bad records."""
-        checked, self._checked = self._checked, None
-        if checked is not None:
-            return checked
+        """Read all groups; the module docstring describes the handling of bad records."""
+        preloaded, self._preloaded = self._preloaded, None
+        if preloaded is not None:
+            return preloaded
         try:
             return self._writer.submit(self._load).result()
         except sqlite3.DatabaseError as error:
@@ -129,7 +129,7 @@
         return Snapshot.FromString(content)
 
     def _load_entries(self, group_id: int) -> list[LogEntry]:
-        """Read a log row by row, so that it is held once; a bad record may only be the last."""
+        """Read a log row by row, so that memory holds it once; only the last record may be bad."""
         rows = self._database.execute(
             "SELECT entry_index, entry, checksum FROM entries WHERE group_id=? "
             "ORDER BY entry_index",
@@ -198,7 +198,7 @@
         )
 
     def is_bootstrapped(self) -> bool:
-        """Whether this folder has taken part in the first placement."""
+        """Whether this folder has taken part in the initial placement."""
         return self._writer.submit(self._read_bootstrapped).result()
 
     def _read_bootstrapped(self) -> bool:
@@ -206,7 +206,7 @@
         return bool(row[0])
 
     def mark_bootstrapped(self) -> None:
-        """Remember that the first placement was carried out here."""
+        """Record that the initial placement was carried out here."""
         self._writer.submit(self._database.execute, "UPDATE identity SET bootstrapped=1").result()
 
     def close(self) -> None:
@@ -216,40 +216,40 @@
 
 
 def quarantine(folder: Path) -> Path:
-    """Set a corrupt file aside; the next ``SqliteLogStorage`` is a new, empty identity."""
+    """Rename a corrupt file; the next ``SqliteLogStorage`` starts empty with a new identity."""
     path = folder / "log.sqlite"
     number = 1
-    while (aside := folder / f"log.sqlite.corrupt-{number}").exists():
+    while (quarantined := folder / f"log.sqlite.corrupt-{number}").exists():
         number += 1
-    path.rename(aside)
+    path.rename(quarantined)
     for leftover in ("log.sqlite-wal", "log.sqlite-shm"):
         (folder / leftover).unlink(missing_ok=True)
-    return aside
+    return quarantined
 
 
 def open_or_replace(folder: Path) -> SqliteLogStorage:
-    """Open a folder's log; a corrupt one is set aside and replaced by an empty one."""
+    """Open a folder's log; a corrupt one is quarantined and replaced by an empty one."""
     try:
         storage = SqliteLogStorage(folder)
     except sqlite3.OperationalError:
-        raise  # a full or failing disk says nothing of its content
+        raise  # a full or failing disk does not imply corrupt content
     except sqlite3.DatabaseError as error:
-        return _replace(folder, error)
+        return _replace_corrupt(folder, error)
     try:
         storage.check()
     except sqlite3.OperationalError:
         raise
     except (StorageCorrupt, sqlite3.DatabaseError) as error:
         storage.close()
-        return _replace(folder, error)
+        return _replace_corrupt(folder, error)
     return storage
 
 
-def _replace(folder: Path, error: Exception) -> SqliteLogStorage:
-    aside = quarantine(folder)
+def _replace_corrupt(folder: Path, error: Exception) -> SqliteLogStorage:
+    quarantined = quarantine(folder)
     log.say(
         "log corrupt: starting empty under a new identity",
         reason=str(error),
-        kept_as=str(aside),
+        kept_as=str(quarantined),
     )
     return SqliteLogStorage(folder)
--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -21,7 +21,7 @@
     NoRoom,
     NoRunner,
     PermitDecision,
-    PermitGiven,
+    PermitGranted,
     decode_permit_decision,
 )
 from bendshed.wire import turns_pb2 as wire
@@ -111,7 +111,7 @@
                 ErrorKind.TURN_LOG_UNAVAILABLE, "all runners are cold, and nobody permits a sending"
             )
         match decision:
-            case PermitGiven():
+            case PermitGranted():
                 self._count(PermitResult.PERMITTED)
                 expiry = TimedPermit(requested_s + decision.valid_ms / 1000)
                 return RunnerPermit(decision.runner_id, expiry)
@@ -140,7 +140,7 @@
             demand=demand,
             is_new_program=request.turn is None and not request.program_id,
         )
-        reply = await self._client.place(message, self._timeout_s(demand.left_ms / 1000))
+        reply = await self._client.request_permit(message, self._timeout_s(demand.left_ms / 1000))
         log.say(
             "permit requested: no warm runner was eligible",
             request=request.request_id,
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -1,7 +1,7 @@
-"""The replica machines' side of the turn log: answers nodes for the groups that this process leads.
+"""Server of the turn log in a replica machine: handles requests for the groups that it leads.
 
-Owns the led groups and what their leader knows beyond the replicated state: quotas in admission and
-placements. Relies on ``consensus/host.py`` to commit.
+Owns the led groups and the leader's unreplicated state: pending quota admissions and placements.
+Commits through ``consensus/host.py``.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.ports.transport import Transport
 from bendshed.turns.codec import (
-    apply_verdict,
+    apply_budget_status,
     decode_call_request,
     encode_call_decision,
     no_room_reply,
@@ -23,7 +23,7 @@
 )
 from bendshed.turns.led_group import LedGroup
 from bendshed.turns.methods import PREVIEW_METHOD, QUOTA_METHOD, RUNNER_METHOD, TURN_METHOD
-from bendshed.turns.metrics import CommandEnd, TurnLogMetrics
+from bendshed.turns.metrics import CommandOutcome, TurnLogMetrics
 from bendshed.turns.quota_counting import QuotaCounting
 from bendshed.turns.shares import ShareGatherer
 from bendshed.turns.state import TurnLogState
@@ -31,8 +31,8 @@
 from bendshed.wire import turns_pb2 as wire
 
 SHARE_TIMEOUT_S = 0.25
-"""How long another group's leader has to release its share; the front behind it waits longer."""
-NOT_TO_RUN = (
+"""Timeout of another group's leader to release its share; the waiting front's timeout is longer."""
+NOT_DISPATCHED_ANSWERS = (
     wire.TURN_ANSWER_UNKNOWN_TURN,
     wire.TURN_ANSWER_BUDGET_SPENT,
     wire.TURN_ANSWER_BUDGET_RESERVED,
@@ -42,29 +42,29 @@
     wire.TURN_ANSWER_NO_ROOM,
 )
 """Answers to a begin after which the turn is not dispatched and its end is not reported."""
-TERMS_OF_A_GROUP = 1 << 48
-"""More terms than a group ever has, so that terms of two groups never have one number."""
-WITHDRAW_INTERVAL_S = 0.5
-"""Pause between two looks for begins that this process did not answer."""
-LOOK_S = 0.1
-"""Pause between two checks whether this process still hears a majority; below the gap after which
-permits stop (``cold_permits.MAX_UPDATE_GAP_S``, 0.25 s)."""
-
-SendToGroup = Callable[[wire.TurnCommand, float], Awaitable[wire.TurnReply | None]]
+MAX_TERMS_PER_GROUP = 1 << 48
+"""Upper bound on a group's terms, which keeps the numbers of different groups' terms distinct."""
+WITHDRAWAL_INTERVAL_S = 0.5
+"""Interval between checks for begins that this process did not answer."""
+MAJORITY_CHECK_INTERVAL_S = 0.1
+"""Interval between checks whether this process still reaches a majority. It is shorter than the gap
+after which no more permits are granted (``cold_permits.MAX_UPDATE_GAP_S``, 0.25 s)."""
+
+CommitElsewhere = Callable[[wire.TurnCommand, float], Awaitable[wire.TurnReply | None]]
 """Commits a command in its group at another process; ``None``: no leader answered in time."""
 
 log = PartLog("turns")
 
 
-async def _reach_nobody(_command: wire.TurnCommand, _timeout_s: float) -> wire.TurnReply | None:
+async def _no_other_leader(_command: wire.TurnCommand, _timeout_s: float) -> wire.TurnReply | None:
     return None
 
 
 class TurnService:
-    """Answers requests of nodes, for each group that this process leads.
+    """Handles requests of nodes for each group that this process leads.
 
     Attributes:
-        shares: takes over other groups' shares of budgets.
+        shares: transfers other groups' shares of budgets to groups led here.
 
     """
 
@@ -76,26 +76,26 @@
         placement: TurnPlacement,
         make_quotas: Callable[[], QuotaCounting],
         groups: TurnGroups = ONE_GROUP,
-        send_to_group: SendToGroup = _reach_nobody,
+        commit_elsewhere: CommitElsewhere = _no_other_leader,
     ) -> None:
         self._host = host
         self._placement = placement
         self._metrics = metrics
         self._transport = transport
-        self._send_elsewhere = send_to_group
+        self._commit_elsewhere = commit_elsewhere
         self._groups = {number: LedGroup(number, host, make_quotas()) for number in groups.ids}
-        self.shares = ShareGatherer(groups, self._send)
-        host.on_role_changed = self._note_role
+        self.shares = ShareGatherer(groups, self._commit_at_leader)
+        host.on_role_changed = self._on_role_changed
 
     def start(self) -> None:
-        """Begin to answer."""
-        self._transport.handlers[TURN_METHOD] = self.answer
+        """Register the request handlers."""
+        self._transport.handlers[TURN_METHOD] = self.handle_command
         self._transport.handlers[PREVIEW_METHOD] = self.preview
         self._transport.handlers[QUOTA_METHOD] = self.admit_call
-        self._transport.handlers[RUNNER_METHOD] = self.place
+        self._transport.handlers[RUNNER_METHOD] = self.permit_dispatch
 
     def _group(self, number: int) -> LedGroup:
-        """A group; raise ``NotLeader`` for one that this process does not know."""
+        """Return a group; raise ``NotLeader`` if this process does not know it."""
         group = self._groups.get(number)
         if group is None:
             raise NotLeader("")
@@ -103,32 +103,32 @@
 
     # --- commands ------------------------------------------------------------------------
 
-    async def answer(self, payload: bytes) -> bytes:
-        """Commit one command and return the reply of applying it."""
+    async def handle_command(self, payload: bytes) -> bytes:
+        """Commit one command and return the reply from applying it."""
         command = wire.TurnCommand.FromString(payload)
-        self._take_report(command)
+        self._extract_report(command)
         began_s = asyncio.get_running_loop().time()
         answer_by_s = began_s + command.wait_ms / 1000 if command.wait_ms else math.inf
         command.ClearField("wait_ms")
-        end = CommandEnd.COMMITTED
+        end = CommandOutcome.COMMITTED
         try:
             reply = await self._commit(command, answer_by_s)
         except NotLeader as error:
-            end = CommandEnd.NOT_LEADER
+            end = CommandOutcome.NOT_LEADER
             reply = not_leader_reply(error.leader_id)
         except (CommitUnknown, NotCommitted) as error:
-            end = CommandEnd.UNKNOWN
-            _log_uncommitted(command.group, error)
+            end = CommandOutcome.UNKNOWN
+            _log_unknown_commit(command.group, error)
             reply = unavailable_reply()
         if command.HasField("begin"):
             self._settle_begin(command, reply)
         self._metrics.commands.labels(end.value).inc()
-        if end is CommandEnd.COMMITTED:
+        if end is CommandOutcome.COMMITTED:
             self._metrics.commit_s.observe(asyncio.get_running_loop().time() - began_s)
         return reply.SerializeToString()
 
     async def _commit(self, command: wire.TurnCommand, answer_by_s: float) -> wire.TurnReply:
-        """Commit a command; a withdrawal is decided on, and a begin that was refused stays so."""
+        """Commit a command; decide on a withdrawal, and repeat the refusal of a refused begin."""
         group = self._group(command.group)
         if command.HasField("withdraw"):
             return await group.withdraw(command.withdraw)
@@ -139,51 +139,53 @@
         if refused is not None:
             return refused
         reply = await self._commit_begin(group, command, answer_by_s)
-        group.refused.note(begin, reply, asyncio.get_running_loop().time())
+        group.refused.record(begin, reply, asyncio.get_running_loop().time())
         return reply
 
     async def _commit_begin(
         self, group: LedGroup, command: wire.TurnCommand, answer_by_s: float
     ) -> wire.TurnReply:
-        """Commit a begin; one that its group's share does not hold takes the others' first.
+        """Commit a begin; if its group's share does not cover it, first take over the others'.
 
-        The answer is ``BUDGET_SPENT`` or ``BUDGET_RESERVED`` only when every other group has
-        answered and all together do not hold the turn. Else it stays ``OTHER_GROUP``: the
-        requesting node may reach a group that is silent, and what is on its way between groups
-        counts a moment later.
+        The answer is ``BUDGET_SPENT`` or ``BUDGET_RESERVED`` only if every other group has answered
+        and all shares together do not cover the turn. Otherwise it remains ``OTHER_GROUP``: the
+        requesting node may reach a group that did not answer here, and tokens in transit between
+        groups count a moment later.
         """
-        state, _ = group.led()
-        refusal = self._refused_by_preview(command.begin, state)
+        state, _ = group.leader_state()
+        refusal = self._rejected_by_preview(command.begin, state)
         if refusal is not None:
             return refusal
         reply = await group.commit(command, answer_by_s)
-        if _must_gather(command, reply):
+        if _needs_gather(command, reply):
             gathered = await self.shares.gather(command.group, command.begin)
             reply = await group.commit(command, answer_by_s)
-            if _must_gather(command, reply):
-                apply_verdict(reply, gathered.judge(command.begin, reply))
-        if reply.answer == wire.TURN_ANSWER_GRANTED and state.wants_shares(command.begin):
+            if _needs_gather(command, reply):
+                apply_budget_status(reply, gathered.classify_shortage(command.begin, reply))
+        if reply.answer == wire.TURN_ANSWER_GRANTED and state.needs_other_shares(command.begin):
             self.shares.gather_later(command.group, command.begin)
         return reply
 
     def _settle_begin(self, command: wire.TurnCommand, reply: wire.TurnReply) -> None:
-        """A begin was committed, or its turn will not run."""
+        """End the bookkeeping of a begin that was committed or whose turn will not run."""
         turn_id = command.begin.turn_id
         group = self._groups.get(command.group)
         if group is not None and reply.answer != wire.TURN_ANSWER_UNAVAILABLE:
-            # Otherwise it may be committed later: its reservation expires by itself.
+            # An unavailable begin may be committed later: its reservation expires by itself.
             group.quotas.settle_turn(turn_id)
-        if reply.answer in NOT_TO_RUN:
-            self._placement.take_refusal(turn_id, asyncio.get_running_loop().time())
+        if reply.answer in NOT_DISPATCHED_ANSWERS:
+            self._placement.cancel_turn(turn_id, asyncio.get_running_loop().time())
 
-    async def _send(self, number: int, command: wire.TurnCommand) -> wire.TurnReply | None:
-        """Commit a command between groups; ``None``: not known to be committed."""
+    async def _commit_at_leader(
+        self, number: int, command: wire.TurnCommand
+    ) -> wire.TurnReply | None:
+        """Commit a command at a group's leader; ``None``: not known to be committed."""
         if number not in self._host.led_groups():
-            return await self._send_elsewhere(command, SHARE_TIMEOUT_S)
+            return await self._commit_elsewhere(command, SHARE_TIMEOUT_S)
         try:
             return await self._commit(command, math.inf)
         except (NotLeader, CommitUnknown, NotCommitted) as error:
-            _log_uncommitted(number, error)
+            _log_unknown_commit(number, error)
             return None
 
     async def withdraw_unanswered(self) -> None:
@@ -192,27 +194,29 @@
             for number, group in self._groups.items():
                 due = group.due_withdrawals()
                 commands = [wire.TurnCommand(withdraw=row, group=number) for row in due]
-                await asyncio.gather(*(self._send(number, command) for command in commands))
-            await asyncio.sleep(WITHDRAW_INTERVAL_S)
+                await asyncio.gather(
+                    *(self._commit_at_leader(number, command) for command in commands)
+                )
+            await asyncio.sleep(WITHDRAWAL_INTERVAL_S)
 
-    # --- what is not replicated ----------------------------------------------------------
+    # --- unreplicated requests -----------------------------------------------------------
 
     async def admit_call(self, payload: bytes) -> bytes:
-        """Admit or reject a request that is no turn; an admitted one is committed first."""
+        """Admit or reject a request outside turns; an admitted one is committed first."""
         call = decode_call_request(payload)
         try:
             reply = encode_call_decision(await self._group(call.group).admit_call(call))
         except NotLeader as error:
             reply = not_leader_reply(error.leader_id)
         except (CommitUnknown, NotCommitted) as error:
-            _log_uncommitted(call.group, error)
+            _log_unknown_commit(call.group, error)
             reply = unavailable_reply()
         return reply.SerializeToString()
 
     async def preview(self, payload: bytes) -> bytes:
-        """Answer what a begin would be answered, from the committed state, without committing.
+        """Return the expected reply to a begin from the committed state, without committing.
 
-        The reply for a turn that may run names its runner too.
+        The reply for a turn that may run also names its runner.
         """
         preview = wire.TurnPreview.FromString(payload)
         try:
@@ -222,13 +226,13 @@
         return reply.SerializeToString()
 
     def _preview(self, preview: wire.TurnPreview) -> wire.TurnReply:
-        """Decide on a turn by its chain, its tenant's quota and the runners' room, in this order.
+        """Decide on a turn by its chain, its tenant's quota and runner capacity, in this order.
 
-        One that its budget may not hold goes through the same: the commit decides on the budget.
-        Raise ``NotLeader``.
+        A turn that its budget may not cover passes the same checks: the commit decides on the
+        budget. Raise ``NotLeader``.
         """
         group = self._group(preview.group)
-        state, term = group.led()
+        state, term = group.leader_state()
         now_ms = group.elapsed_ms()
         begin = preview.begin
         reply = state.preview(begin)
@@ -242,87 +246,90 @@
     def _place_previewed(
         self, preview: wire.TurnPreview, state: TurnLogState, reply: wire.TurnReply
     ) -> wire.TurnReply:
-        """Add the runner of a turn that may run to its reply."""
+        """Add the chosen runner to the reply for a turn that may run."""
         begin = preview.begin
-        ran_at = state.runner_of(begin.tenant, begin.program_id)
-        is_new = not state.is_under_way(begin)
+        last_runner = state.latest_runner_id(begin.tenant, begin.program_id)
+        is_new = not state.is_program_started(begin)
         has_cold = self._placement.cold.tracker.has_cold
-        now_s = self._look() if has_cold else asyncio.get_running_loop().time()
-        placement = self._placement.place_turn(preview, ran_at, is_new, now_s)
+        now_s = self._check_majority() if has_cold else asyncio.get_running_loop().time()
+        placement = self._placement.place_turn(preview, last_runner, is_new, now_s)
         if placement.retry_after_ms:
             return no_room_reply(placement.retry_after_ms)
         reply.runner_id, reply.permit_ms = placement.runner_id, placement.permit_ms
         return reply
 
-    async def place(self, payload: bytes) -> bytes:
-        """Permit one dispatch that has no preview, or answer when there is room."""
+    async def permit_dispatch(self, payload: bytes) -> bytes:
+        """Permit one dispatch without a preview, or reply when to retry."""
         request = wire.RunnerAsk.FromString(payload)
         try:
-            self._group(request.group).led()
+            self._group(request.group).leader_state()
         except NotLeader as error:
             return not_leader_reply(error.leader_id).SerializeToString()
-        placement = self._placement.place(request, self._look())
+        placement = self._placement.permit_dispatch(request, self._check_majority())
         if placement.retry_after_ms:
             return no_room_reply(placement.retry_after_ms).SerializeToString()
         reply = wire.TurnReply(answer=wire.TURN_ANSWER_GRANTED)
         reply.runner_id, reply.permit_ms = placement.runner_id, placement.permit_ms
         return reply.SerializeToString()
 
-    def _refused_by_preview(
+    def _rejected_by_preview(
         self, begin: wire.BeginTurn, state: TurnLogState
     ) -> wire.TurnReply | None:
-        """A preview's rejection applies to the begin that was sent beside it.
+        """Apply a preview's rejection to the begin that was sent along with it.
 
-        Else a program that did not run would count as under way.
+        Otherwise a program that did not run would count as started.
         """
         now_s = asyncio.get_running_loop().time()
-        retry_ms = self._placement.cold.refused_for_ms(begin.turn_id, now_s)
+        retry_ms = self._placement.cold.rejection_retry_ms(begin.turn_id, now_s)
         if not retry_ms or begin.has_left or state.is_reserved(begin):
             return None
         return no_room_reply(retry_ms)
 
-    async def follow_lead(self) -> None:
-        """Check every ``LOOK_S`` whether this process hears a majority; runs until cancelled."""
+    async def monitor_majority(self) -> None:
+        """Check periodically whether this process reaches a majority; runs until cancelled."""
         while True:
-            self._look()
-            await asyncio.sleep(LOOK_S)
+            self._check_majority()
+            await asyncio.sleep(MAJORITY_CHECK_INTERVAL_S)
 
-    def _look(self) -> float:
-        """Check whether this process leads and hears a majority; return loop time.
+    def _check_majority(self) -> float:
+        """Check whether this process leads and reaches a majority; return the loop time.
 
-        A process that leads several groups counts all of its permits in one window, so it looks at
-        the first group only: when that changes it counts as a new leader, which permits less.
+        A process that leads several groups counts all of its permits in one window, so only the
+        first group is checked: when it changes, the process counts as a new leader, which may
+        grant fewer permits.
         """
         now_s = asyncio.get_running_loop().time()
         terms = [
-            number * TERMS_OF_A_GROUP + group.replica.term
+            number * MAX_TERMS_PER_GROUP + group.replica.term
             for number, group in self._host.groups.items()
             if group.replica.is_ready_leader and group.replica.has_majority
         ]
-        self._placement.cold.grants.leadership.update(min(terms, default=0), bool(terms), now_s)
+        self._placement.cold.permit_counts.leadership.update(
+            min(terms, default=0), bool(terms), now_s
+        )
         return now_s
 
-    def _take_report(self, command: wire.TurnCommand) -> None:
-        """Take what a turn's end reports of runners off its command: it is not replicated."""
+    def _extract_report(self, command: wire.TurnCommand) -> None:
+        """Remove the runner report from a turn's end and apply it; it is not replicated."""
         if not command.HasField("report"):
             return
         now_s = asyncio.get_running_loop().time()
-        self._placement.take_report(command.finish.turn_id, command.report, now_s)
+        self._placement.end_turn(command.finish.turn_id, command.report, now_s)
         command.ClearField("report")
 
-    def _note_role(self, group_id: int, change: RoleChanged) -> None:
+    def _on_role_changed(self, group_id: int, change: RoleChanged) -> None:
         group = self._groups.get(group_id)
         if group is not None and change.role is Role.LEADER:
-            group.note_leading(asyncio.get_running_loop().time())
+            group.begin_term(asyncio.get_running_loop().time())
 
 
-def _must_gather(command: wire.TurnCommand, reply: wire.TurnReply) -> bool:
-    """Whether this group must take over the others' shares for a begin."""
-    is_elsewhere = reply.answer == wire.TURN_ANSWER_OTHER_GROUP
-    return is_elsewhere and reply.owner_group == command.group
+def _needs_gather(command: wire.TurnCommand, reply: wire.TurnReply) -> bool:
+    """Whether this group must take over the other groups' shares for a begin."""
+    is_other_group = reply.answer == wire.TURN_ANSWER_OTHER_GROUP
+    return is_other_group and reply.owner_group == command.group
 
 
-def _log_uncommitted(group: int, error: Exception) -> None:
+def _log_unknown_commit(group: int, error: Exception) -> None:
     log.say(
         "command not known to be committed: no majority, or the leader changed",
         group=group,
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -1,7 +1,7 @@
-"""Places turns at the leader of the turn log: decodes previews, calls the decisions, logs them.
+"""Places turns at the turn log's leader: decodes previews, delegates and logs decisions.
 
-Which runner is decided in `placement/cluster_load.py`, whether a cold one may be used in
-`turns/cold_admission.py`; eligible runners come from the catalog.
+`placement/cluster_load.py` chooses the runner, and `turns/cold_admission.py` decides whether a cold
+one may be used; eligible runners come from the catalog.
 """
 
 import random
@@ -14,18 +14,18 @@
 from bendshed.placement.cluster_load import ClusterLoad, NotPlaced
 from bendshed.placement.distance import DistanceCosts
 from bendshed.placement.turn_demand import EndedTurn, TurnDemand
-from bendshed.turns.cold_admission import ColdAdmission, Openings, PermitRequest, Placement
+from bendshed.turns.cold_admission import ColdAdmission, PermitRequest, PermittedRunners, Placement
 from bendshed.wire import turns_pb2 as wire
 
 log = PartLog("placement")
 
 
 class TurnPlacement:
-    """Places turns, and learns from what nodes report of them.
+    """Places turns and updates the load from nodes' reports of ended turns.
 
     Attributes:
-        board: load of all nodes at each runner.
-        cold: permits for cold runners.
+        cluster_load: load of all nodes at each runner.
+        cold: admission to cold runners.
 
     """
 
@@ -39,39 +39,39 @@
         self.cluster_load = ClusterLoad(rng, distance)
         self.cold = cold
         self._catalog = catalog
-        self._listed_at = 0
+        self._runners_at = 0
 
     def place_turn(
-        self, preview: wire.TurnPreview, ran_at: str, is_new_program: bool, now_s: float
+        self, preview: wire.TurnPreview, last_runner: str, is_new_program: bool, now_s: float
     ) -> Placement:
-        """Place a turn, or reject it because all its runners are cold and full.
+        """Place a turn, or reject it because all its runners are cold and at capacity.
 
         Args:
-            preview: the turn.
-            ran_at: where the program's latest turn ran; empty: nowhere.
-            is_new_program: nothing of its program is known.
-            now_s: steady time.
+            preview: preview of the turn.
+            last_runner: runner of the program's latest turn; empty: none.
+            is_new_program: no turn of the program is known.
+            now_s: monotonic time.
 
         """
-        self._follow_list()
+        self._drop_unlisted_runners()
         regions = frozenset(preview.demand.regions) or None
         runners = self._catalog.ready_runners(preview.demand.service, regions)
         begin, chain = preview.begin, preview.demand.line
         request = PermitRequest(begin.turn_id, begin.program_id, is_new_program, chain)
-        openings = self.cold.openings(runners, request, now_s)
-        if runners and not openings.runners:
-            return self.cold.refuse(runners, request, now_s)
-        demand = _read_demand(preview.begin, preview.demand, ran_at)
-        runner_id = self._choose(demand, preview.demand.service, openings, now_s)
-        if runner_id in openings.cold:
+        permitted_runners = self.cold.permitted_runners(runners, request, now_s)
+        if runners and not permitted_runners.runners:
+            return self.cold.reject(runners, request, now_s)
+        demand = _decode_demand(preview.begin, preview.demand, last_runner)
+        runner_id = self._choose(demand, preview.demand.service, permitted_runners, now_s)
+        if runner_id in permitted_runners.cold:
             return self.cold.grant(runner_id, request, now_s)
         return Placement(runner_id)
 
-    def place(self, requested: wire.RunnerAsk, now_s: float) -> Placement:
-        """Permit one dispatch of a request without a preview, also to a runner that is warm
+    def permit_dispatch(self, ask: wire.RunnerAsk, now_s: float) -> Placement:
+        """Permit one dispatch of a request without a preview, even to a runner that is warm
         here."""
-        self._follow_list()
-        demand = requested.demand
+        self._drop_unlisted_runners()
+        demand = ask.demand
         regions = frozenset(demand.regions) or None
         runners = [
             runner
@@ -80,35 +80,35 @@
         ]
         if not runners:
             return Placement()
-        request = PermitRequest(
-            requested.request_id, requested.request_id, requested.is_new_program
-        )
-        openings = self.cold.counted_openings(runners, request, now_s)
-        if not openings.runners:
-            placement = self.cold.refuse(runners, request, now_s)
-            self.cold.forget_refused(requested.request_id)  # no begin follows it
+        request = PermitRequest(ask.request_id, ask.request_id, ask.is_new_program)
+        permitted_runners = self.cold.permit_limited_runners(runners, request, now_s)
+        if not permitted_runners.runners:
+            placement = self.cold.reject(runners, request, now_s)
+            self.cold.forget_rejection(ask.request_id)  # no begin will follow
             return placement
-        return self.cold.grant(self._place(requested, openings.runners, now_s), request, now_s)
+        return self.cold.grant(
+            self._choose_permitted(ask, permitted_runners.runners, now_s), request, now_s
+        )
 
-    def _place(
-        self, requested: wire.RunnerAsk, runners: Sequence[ServiceRunner], now_s: float
+    def _choose_permitted(
+        self, ask: wire.RunnerAsk, runners: Sequence[ServiceRunner], now_s: float
     ) -> str:
-        """A turn by the cluster load; another request by permits, as its end is not reported."""
-        demand = requested.demand
+        """Place a turn by cluster load, another request by permits: its end is not reported."""
+        demand = ask.demand
         if not demand.parts:
             avoided = frozenset(demand.avoided)
-            return self.cold.least_loaded(
-                runners, requested.request_id, demand.zone, avoided, now_s
-            )
-        turn = _read_demand(wire.BeginTurn(turn_id=requested.request_id), demand, "")
+            return self.cold.least_loaded(runners, ask.request_id, demand.zone, avoided, now_s)
+        turn = _decode_demand(wire.BeginTurn(turn_id=ask.request_id), demand, "")
         cold = {r.runner_id for r in runners if self.cold.tracker.is_cold(r.runner_id)}
-        return self._choose(turn, demand.service, Openings(runners, cold), now_s)
+        return self._choose(turn, demand.service, PermittedRunners(runners, cold), now_s)
 
-    def _choose(self, demand: TurnDemand, service: str, openings: Openings, now_s: float) -> str:
-        """Id of the runner with the least cost; empty: no runner is eligible."""
+    def _choose(
+        self, demand: TurnDemand, service: str, permitted_runners: PermittedRunners, now_s: float
+    ) -> str:
+        """Return the id of the runner with the lowest cost; empty: no runner is eligible."""
         memory_tokens = self._memory_tokens(service)
         placed = self.cluster_load.place(
-            demand, openings.runners, memory_tokens, now_s, openings.cold
+            demand, permitted_runners.runners, memory_tokens, now_s, permitted_runners.cold
         )
         if isinstance(placed, NotPlaced):
             return ""
@@ -123,18 +123,18 @@
             cached_tokens=placed.cached_tokens,
             prompt_tokens=demand.prompt_tokens,
             is_connected=placed.runner_id in demand.connected,
-            is_cold=placed.runner_id in openings.cold,
+            is_cold=placed.runner_id in permitted_runners.cold,
             runners_at=self._catalog.runners_at,
         )
         return placed.runner_id
 
-    def take_report(self, turn_id: str, report: wire.TurnReport, now_s: float) -> None:
-        """A turn has ended."""
+    def end_turn(self, turn_id: str, report: wire.TurnReport, now_s: float) -> None:
+        """Remove an ended turn from the load."""
         ended = EndedTurn(turn_id, report.runner_id, report.event_gap_us / 1000, report.failed)
         self.cluster_load.end(ended, now_s)
 
-    def take_refusal(self, turn_id: str, now_s: float) -> None:
-        """A turn that was placed was rejected after all."""
+    def cancel_turn(self, turn_id: str, now_s: float) -> None:
+        """Remove a placed turn from the load that was rejected afterwards."""
         self.cluster_load.end(EndedTurn(turn_id), now_s)
 
     def _memory_tokens(self, service: str) -> int:
@@ -142,23 +142,25 @@
         known = document.services.get(service) if document is not None else None
         return known.engine.memory_tokens if known is not None and known.engine is not None else 0
 
-    def _follow_list(self) -> None:
-        if self._catalog.runners_at != self._listed_at:
-            self._listed_at = self._catalog.runners_at
+    def _drop_unlisted_runners(self) -> None:
+        if self._catalog.runners_at != self._runners_at:
+            self._runners_at = self._catalog.runners_at
             self.cluster_load.retain_only(self._catalog.runner_ids)
 
 
-def _read_demand(begin: wire.BeginTurn, wanted: wire.TurnDemand, ran_at: str) -> TurnDemand:
-    """Decode the wire's demand; its ``line`` is the id of the chain."""
+def _decode_demand(
+    begin: wire.BeginTurn, wire_demand: wire.TurnDemand, last_runner: str
+) -> TurnDemand:
+    """Decode a turn's demand; the wire field ``line`` is the id of the chain."""
     return TurnDemand(
         turn_id=begin.turn_id,
-        chain=wanted.line,
-        parts=[PromptPart(part.part_id, part.tokens) for part in wanted.parts],
+        chain=wire_demand.line,
+        parts=[PromptPart(part.part_id, part.tokens) for part in wire_demand.parts],
         max_answer_tokens=begin.most_tokens,
-        time_left_s=wanted.left_ms / 1000,
-        connected=frozenset(wanted.connected),
-        avoided=frozenset(wanted.avoided),
-        zone=wanted.zone,
-        last_runner=ran_at,
-        body_bytes=wanted.body_bytes,
+        time_left_s=wire_demand.left_ms / 1000,
+        connected=frozenset(wire_demand.connected),
+        avoided=frozenset(wire_demand.avoided),
+        zone=wire_demand.zone,
+        last_runner=last_runner,
+        body_bytes=wire_demand.body_bytes,
     )
--- a/tests/test_cold_runner_dispatch.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -147,7 +147,7 @@
         until_s = self.clock.now_s + seconds
         while self.clock.now_s < until_s:
             self.clock.now_s += 0.05
-            self.placement.cold.grants.leadership.update(1, True, self.clock.now_s)
+            self.placement.cold.permit_counts.leadership.update(1, True, self.clock.now_s)
 
     def preview(self, is_new: bool) -> wire.TurnReply:
         self.num_turns += 1
@@ -168,7 +168,7 @@
         message = wire.RunnerAsk(request_id=f"r{self.num_turns}", is_new_program=is_new)
         message.demand.service = "s"
         message.demand.tried.extend(tried)
-        placed = self.placement.place(message, self.clock.now_s)
+        placed = self.placement.permit_dispatch(message, self.clock.now_s)
         return wire.TurnReply(
             runner_id=placed.runner_id,
             permit_ms=placed.permit_ms,
@@ -228,10 +228,10 @@
             pass
         refused = f"t{self.num_turns}"
         cold = self.placement.cold
-        self.assertGreater(cold.refused_for_ms(refused, self.clock.now_s), 0)
-        self.assertEqual(cold.refused_for_ms("t1", self.clock.now_s), 0)
+        self.assertGreater(cold.rejection_retry_ms(refused, self.clock.now_s), 0)
+        self.assertEqual(cold.rejection_retry_ms("t1", self.clock.now_s), 0)
         self.pass_time(3.0)
-        self.assertEqual(cold.refused_for_ms(refused, self.clock.now_s), 0)
+        self.assertEqual(cold.rejection_retry_ms(refused, self.clock.now_s), 0)
 
     def test_repeated_turn_is_decided_again(self) -> None:
         while not self.preview(is_new=False).retry_after_ms:
@@ -239,11 +239,11 @@
         self.num_turns -= 1
         self.catalog.put_runner(KnownRunner(runner("a"), 2))
         self.assertEqual(self.preview(is_new=False).runner_id, "a")
-        refused = self.placement.cold.refused_for_ms(f"t{self.num_turns}", self.clock.now_s)
+        refused = self.placement.cold.rejection_retry_ms(f"t{self.num_turns}", self.clock.now_s)
         self.assertEqual(refused, 0)
 
     def test_leader_without_a_majority_permits_nothing(self) -> None:
-        self.placement.cold.grants.leadership.update(1, False, self.clock.now_s)
+        self.placement.cold.permit_counts.leadership.update(1, False, self.clock.now_s)
         self.assertFalse(self.preview(is_new=False).permit_ms)
         self.assertGreater(self.place().retry_after_ms, 0)
 
@@ -264,7 +264,7 @@
         for listed_runner in self.pool:
             tracker.put(listed_runner)
         self.cold = ColdAdmission(tracker, TERMS, TurnLogMetrics(CollectorRegistry()))
-        self.cold.grants.leadership.update(1, True, -10.0)
+        self.cold.permit_counts.leadership.update(1, True, -10.0)
         self.rng = random.Random(1)
 
     def arrivals(self) -> list[tuple[float, int, int]]:
@@ -279,14 +279,14 @@
 
     def is_permitted(self, program: int, left: int, now_s: float) -> bool:
         """Whether a turn may be dispatched."""
-        while self.cold.grants.leadership._updated_s < now_s:
-            looked_s = self.cold.grants.leadership._updated_s
-            self.cold.grants.leadership.update(1, True, min(now_s, looked_s + 0.1))
+        while self.cold.permit_counts.leadership._updated_s < now_s:
+            looked_s = self.cold.permit_counts.leadership._updated_s
+            self.cold.permit_counts.leadership.update(1, True, min(now_s, looked_s + 0.1))
         is_new = left == self.TURNS
         message = PermitRequest(f"t{program}.{left}", f"p{program}", is_new)
-        openings = self.cold.openings(self.pool, message, now_s)
+        openings = self.cold.permitted_runners(self.pool, message, now_s)
         if not openings.runners:
-            self.cold.refuse(self.pool, message, now_s)
+            self.cold.reject(self.pool, message, now_s)
             return False
         chosen = self.cold.least_loaded(openings.runners, message.request_id, "z", (), now_s)
         self.cold.grant(chosen, message, now_s)
@@ -398,7 +398,9 @@
     def expected_round_trip_home_s(self) -> float:
         return 0.0
 
-    async def place(self, message: wire.RunnerAsk, timeout_s: float) -> wire.TurnReply | None:
+    async def request_permit(
+        self, message: wire.RunnerAsk, timeout_s: float
+    ) -> wire.TurnReply | None:
         self.permit_requests.append(message)
         return self.reply
 
