--- a/tests/test_peer_loads.py
+++ b/tests/test_peer_loads.py
@@ -63,7 +63,7 @@
             world.start_program(ProgramPlan(turns=4, tools=0), budget_tokens=100_000)
         world.run_for(0.8)
         leaders = [world.leader(group) for group in range(2)]
-        loads = [leader.replica._loads._cluster_load for leader in leaders]  # type: ignore[union-attr]
+        loads = [leader.replica._load_exchange._cluster_load for leader in leaders]  # type: ignore[union-attr]
         now_s = world.loop.time()
         for load, other in (loads, reversed(loads)):
             known = sum(load.peer_loads.load_of(name, now_s).num_running for name in world.runners)
