--- a/src/bendshed/placement/cold_runners.py
+++ b/src/bendshed/placement/cold_runners.py
@@ -57,7 +57,7 @@
     receipt.
 
     Attributes:
-        services: by name; give the rate bounds and the durations of cold starts.
+        services: by name; give the rate bounds and how long cold starts take.
         cold_until_s: steady time until which each runner is cold; expired ones stay until
             ``pop_warm``.
 
