--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -38,9 +38,9 @@
 from bendshed.rehearsal.site.sim_runners import SimConnections, SimRunnerNet, SimRunnerProtocol
 from bendshed.rehearsal.site.sim_zones import RUNNER_ZONES, ZONE_CLOSE_S, SimZones
 from bendshed.services.metrics import ServiceMetrics
-from bendshed.services.node import NodePlace, ServiceNode
+from bendshed.services.node import NodeLocation, ServiceNode
 from bendshed.turns.metrics import TurnLogMetrics
-from bendshed.turns.node import ReplicaPlace, ReplicaPorts, ReplicaTerms, TurnLogNode
+from bendshed.turns.node import ReplicaPlace, ReplicaPorts, ReplicaSettings, TurnLogNode
 
 PEER_PORT = 7000
 NUM_ENGINES, NUM_TOOLS = 3, 2
@@ -227,7 +227,7 @@
         connections = SimConnections(self.net, machine.process, machine.host)
         metrics = ServiceMetrics(CollectorRegistry())
         self.metrics[machine.process.name] = metrics
-        place = NodePlace(machine.zone, transport.address, self.layout.places)
+        place = NodeLocation(machine.zone, transport.address, self.layout.places)
         front = ServiceNode(
             transport,
             connections,
@@ -259,7 +259,7 @@
         machine.replica = TurnLogNode(
             ReplicaPlace(machine.name, machine.zone, address, self.layout.places),
             ReplicaPorts(SimLogStorage(disk), SimCatalogStorage(disk), transport, self.registry),
-            ReplicaTerms(
+            ReplicaSettings(
                 self.layout.num_voters,
                 TIMES,
                 quotas=QUOTA_TERMS,
@@ -280,7 +280,7 @@
             if is_reachable:
                 update(machine)
             if machine.replica is not None:
-                machine.replica.note_registry(not is_reachable)
+                machine.replica.set_registry_lost(not is_reachable)
             await asyncio.sleep(FOLLOW_S)
 
     def _update_front(self, machine: SimMachine) -> None:
@@ -289,10 +289,10 @@
         if machine.front.catalog.is_fresh:
             return
         if self.registry.answer_loss:
-            machine.front.take_document(self.older_document)
-        machine.front.take_document(self.document)
-        machine.front.take_zones(self._zone_update(machine.front.zones.record.zones.revision))
-        machine.front.list_runners(list(self.listed.values()), trusted=True)
+            machine.front.apply_document(self.older_document)
+        machine.front.apply_document(self.document)
+        machine.front.apply_zones(self._zone_update(machine.front.zones.record.zones.revision))
+        machine.front.replace_runners(list(self.listed.values()), is_trusted=True)
         self._note_runners()
         machine.front.catalog.note_registry(self._revision)
         for node in self.registry.announced.values():
--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -1,7 +1,7 @@
-"""Performs the attempts of one request at runners, until one answers or the request is given up.
+"""Performs the attempts of one request until a runner responds or no attempt is left.
 
-A shell: ``retries/decisions.py`` decides whether there is another attempt, ``RunnerPlacement``
-where; this connects, dispatches, counts what happened and logs it.
+Contains the I/O only: ``retries/decisions.py`` decides whether to make another attempt, and
+``RunnerPlacement`` chooses the runner. This module connects, dispatches, counts and logs.
 """
 
 import asyncio
@@ -33,20 +33,20 @@
     refusal_or_outcome_unknown,
 )
 from bendshed.retries.history import AttemptHistory
-from bendshed.services.metrics import AttemptEnd
+from bendshed.services.metrics import AttemptResult
 from bendshed.services.runner_placement import RunnerPlacement, RunnerPorts
 from bendshed.services.runners import RunnerRecord
 
-__all__ = ["Attempts", "OpenAnswer", "RunnerPorts"]
+__all__ = ["Attempts", "OpenResponse", "RunnerPorts"]
 
 log = PartLog("forward")
 
 
 @dataclass(slots=True)
-class OpenAnswer:
-    """An answer whose head has come.
+class OpenResponse:
+    """A response whose headers have arrived.
 
-    ``close`` must be called once, whatever happens.
+    ``close`` must be called in every case; further calls have no effect.
 
     Attributes:
         sent_s: loop time at which the request was dispatched.
@@ -61,17 +61,17 @@
     _closed: bool = False
 
     async def body(self) -> AsyncIterator[bytes]:
-        """Chunks; raise ``ResponseBroken``."""
+        """Yield the body in chunks; raise ``ResponseBroken`` if it breaks off."""
         async for chunk in self.connection.body():
             yield chunk
 
-    def close(self, whole: bool) -> None:
-        """Return the connection to the pool if the answer was read whole, or end it."""
+    def close(self, is_complete: bool) -> None:
+        """Return the connection to the pool if the response was read completely, else close it."""
         if self._closed:
             return
         self._closed = True
         self.record.in_flight -= 1
-        if whole:
+        if is_complete:
             self.record.note_success()
             self.connection.finish()
         else:
@@ -86,10 +86,10 @@
     Attributes:
         principal: on whose behalf the request runs.
         placement: finds the runner of each attempt.
-        history: what the attempts came to so far.
-        admit_again: charges the principal's quota for another run of a request that may have run;
-            returns why it does not hold one. ``None``: no quota is counted.
-        answered_by: id of the runner whose answer was taken; empty: none yet.
+        history: outcomes of the attempts so far.
+        admit_second_run: charges the principal's quota for another run of a request that may have
+            run; returns the refusal if the quota is used up. ``None``: no quota applies.
+        answered_by: id of the runner whose response was accepted; empty: none yet.
 
     """
 
@@ -98,21 +98,21 @@
     principal: Principal
     placement: RunnerPlacement
     history: AttemptHistory
-    admit_again: Callable[[], Awaitable[Refusal | None]] | None = None
+    admit_second_run: Callable[[], Awaitable[Refusal | None]] | None = None
     answered_by: str = ""
 
     @property
     def ports(self) -> RunnerPorts:
-        """What attempts need of a node."""
+        """Dependencies of the attempts on the node."""
         return self.placement.ports
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any runner may have begun work on the request."""
+        """Whether any runner may have started to execute the request."""
         return self.history.may_have_run
 
-    async def open(self, body: bytes) -> OpenAnswer | Refusal:
-        """Send the request with this body until a runner answers; return why none does."""
+    async def open(self, body: bytes) -> OpenResponse | Refusal:
+        """Send the request until a runner responds; return the refusal if none does."""
         loop = asyncio.get_running_loop()
         while True:
             decision = decide_next_attempt(self.history, self.route, loop.time())
@@ -120,31 +120,31 @@
                 case GiveUp():
                     return refusal_of(decision, self.history)
                 case RequestQuota():
-                    if not await self._is_admitted_again():
+                    if not await self._admit_second_run():
                         no_quota = GiveUp(GiveUpReason.NO_QUOTA, "the quota holds no second run")
                         return refusal_of(no_quota, self.history)
                 case TryRunner():
                     pass
                 case _:
                     assert_never(decision)
-            choice = await self.placement.find(self.history)
+            choice = await self.placement.find_runner(self.history)
             if isinstance(choice, GiveUp):
                 return refusal_of(choice, self.history)
             if isinstance(choice, Refusal):
                 return refusal_or_outcome_unknown(choice, self.history)
-            answer = await self._try(choice, body)
-            if answer is not None:
-                return answer
+            response = await self._attempt_runner(choice, body)
+            if response is not None:
+                return response
 
-    async def _is_admitted_again(self) -> bool:
-        """Every run is charged to the principal's quota, the second one of a request too."""
-        if self.admit_again is not None and await self.admit_again() is not None:
+    async def _admit_second_run(self) -> bool:
+        """Charge a second run to the principal's quota; ``False`` if the quota is used up."""
+        if self.admit_second_run is not None and await self.admit_second_run() is not None:
             return False
         self.history.record_admitted_run()
         return True
 
     def reject_if_no_eligible_runner(self) -> Refusal | None:
-        """Reject at once what no runner may get in the present closed zones and allowed regions."""
+        """Return a refusal if closed zones and allowed regions exclude every runner."""
         regions, service = self.placement.regions, self.placement.service
         if regions is not None and not regions:
             described = describe_regions(self.route, self.principal)
@@ -153,40 +153,42 @@
             return Refusal(ErrorKind.NO_RUNNER, self.placement.describe_no_runner())
         return None
 
-    def note_work_time(self, answer: OpenAnswer) -> None:
-        """A plain request was answered whole: update the measured pace of its runner."""
+    def record_work_time(self, response: OpenResponse) -> None:
+        """Update the measured pace of a runner that answered a plain request completely."""
         now_s = asyncio.get_running_loop().time()
-        pace = self.ports.table.work_times.relative_time(self.route.name, now_s - answer.sent_s)
-        answer.record.health.note_pace(pace, now_s)
+        pace = self.ports.table.work_times.relative_time(self.route.name, now_s - response.sent_s)
+        response.record.health.note_pace(pace, now_s)
 
-    async def _try(self, choice: Choice, body: bytes) -> OpenAnswer | None:
-        """Try one runner once; ``None``: no answer, the history says what may have happened."""
+    async def _attempt_runner(self, choice: Choice, body: bytes) -> OpenResponse | None:
+        """Make one attempt at one runner; ``None``: no response, the history holds the outcome."""
         record = choice.record
         runner = record.listed
         self.history.record_choice(runner.runner_id)
         record.in_flight += 1
-        answer: OpenAnswer | None = None
+        response: OpenResponse | None = None
         try:
-            answer = await self._connect_and_dispatch(choice, body)
+            response = await self._connect_and_dispatch(choice, body)
         finally:
-            if answer is None:
+            if response is None:
                 record.in_flight -= 1
-        if answer is None:
+        if response is None:
             return None
-        match self.ports.protocol.verdict(answer.head):
+        match self.ports.protocol.verdict(response.head):
             case Verdict.ANSWERED:
                 self.answered_by = runner.runner_id
-                self._count(AttemptEnd.ANSWERED)
-                return answer
+                self._count_result(AttemptResult.ANSWERED)
+                return response
             case Verdict.NOT_RUN:
                 record.note_full(asyncio.get_running_loop().time())
-                await self._drop_not_run(answer, "turned it away unrun")
+                await self._drain_not_run_response(
+                    response, "runner rejected the request without running it"
+                )
             case Verdict.OTHER_RUNNER:
                 record.note_unreachable(asyncio.get_running_loop().time())
-                await self._drop_not_run(answer, "another runner has the address")
+                await self._drain_not_run_response(response, "another runner uses the address")
         return None
 
-    async def _connect_and_dispatch(self, choice: Choice, body: bytes) -> OpenAnswer | None:
+    async def _connect_and_dispatch(self, choice: Choice, body: bytes) -> OpenResponse | None:
         loop = asyncio.get_running_loop()
         record, runner = choice.record, choice.record.listed
         was_connected = self.ports.is_connected(record)
@@ -194,12 +196,12 @@
             connection = await self.ports.pool.acquire(runner.address)
         except ConnectFailed as error:
             self.history.record_unreachable(runner.runner_id)
-            self._count(AttemptEnd.UNREACHABLE)
+            self._count_result(AttemptResult.UNREACHABLE)
             record.note_unreachable(loop.time())
             self._say("attempt failed: runner unreachable", choice, reason=str(error))
             return None
-        if not self.placement.may_get(record, choice.permit, loop.time()):
-            self._withdraw(choice, connection)
+        if not self.placement.may_dispatch_to(record, choice.permit, loop.time()):
+            self._withdraw_dispatch(choice, connection)
             return None
         left_ms = max(1, int((self.history.deadline_s - loop.time()) * 1000))
         message = self.ports.protocol.request(
@@ -211,7 +213,7 @@
 
     async def _dispatch(
         self, choice: Choice, connection: RunnerConnection, message: ClientRequest
-    ) -> OpenAnswer | None:
+    ) -> OpenResponse | None:
         loop = asyncio.get_running_loop()
         record = choice.record
         sent_s = loop.time()
@@ -220,15 +222,15 @@
         except ResponseBroken as error:
             connection.abort()
             self.history.record_no_answer(record.listed.runner_id)
-            self._count(AttemptEnd.NO_ANSWER)
+            self._count_result(AttemptResult.NO_ANSWER)
             record.note_broken(loop.time())
             self._say("attempt failed: no answer", choice, reason=str(error))
             return None
         except BaseException:
-            # Also a cancelled request: its answer may still come, so the connection is not reused.
+            # Includes cancellation: the response may still arrive, so do not reuse the connection.
             connection.abort()
             raise
-        return OpenAnswer(head, record, connection, self.ports.pool, sent_s)
+        return OpenResponse(head, record, connection, self.ports.pool, sent_s)
 
     def _runner_dispatch(self, choice: Choice, left_ms: int) -> RunnerDispatch:
         principal = self.principal
@@ -241,18 +243,20 @@
             left_ms,
         )
 
-    def _withdraw(self, choice: Choice, connection: RunnerConnection) -> None:
-        """Do not dispatch: what held at the choice does not hold once the connection is there.
+    def _withdraw_dispatch(self, choice: Choice, connection: RunnerConnection) -> None:
+        """Withdraw a dispatch whose preconditions no longer hold after connecting.
 
-        The runner's zone was closed meanwhile, connecting took longer than the permit for a cold
-        runner is valid, or the runner has just turned cold.
+        Either the runner's zone was closed in the meantime, or the permit for a cold runner expired
+        while connecting, or the runner has just turned cold.
         """
         runner = choice.record.listed
         if not self.ports.table.filter.allows(runner, self.placement.regions):
             connection.finish()
             self.ports.pool.release(runner.address, connection)
             self._say(
-                "dispatch withdrawn: zone closed", choice, reason="its zone was closed meanwhile"
+                "dispatch withdrawn: zone closed",
+                choice,
+                reason="the zone was closed while connecting",
             )
             return
         self.history.record_expired_permit(runner.runner_id)
@@ -261,32 +265,32 @@
         self._say(
             "dispatch withdrawn: no valid permit",
             choice,
-            reason="there is no leave for a cold runner any more",
+            reason="the runner is cold and the permit expired or is missing",
         )
 
-    async def _drop_not_run(self, answer: OpenAnswer, reason: str) -> None:
-        """Read the rest of an answer that proves that the request was not run."""
+    async def _drain_not_run_response(self, response: OpenResponse, reason: str) -> None:
+        """Read the rest of a response which proves that the request was not run."""
         self.history.record_not_run()
-        self._count(AttemptEnd.NOT_RUN)
+        self._count_result(AttemptResult.NOT_RUN)
         log.say(
             "attempt failed: runner did not run it",
             request=self.request.request_id,
-            runner=answer.record.listed.runner_id,
+            runner=response.record.listed.runner_id,
             reason=reason,
-            status=answer.head.status,
+            status=response.head.status,
         )
-        whole = False
+        is_complete = False
         try:
-            async for _chunk in answer.body():
+            async for _chunk in response.body():
                 pass
-            whole = True
+            is_complete = True
         except ResponseBroken:
-            pass  # the head proves it already; only the connection is lost, and ``close`` ends it
+            pass  # the headers are proof enough; ``close`` aborts the broken connection
         finally:
-            answer.close(whole)
+            response.close(is_complete)
 
-    def _count(self, end: AttemptEnd) -> None:
-        self.ports.metrics.attempts.labels(end.value).inc()
+    def _count_result(self, result: AttemptResult) -> None:
+        self.ports.metrics.attempts.labels(result.value).inc()
 
     def _log_dispatch(self, choice: Choice, was_connected: bool, left_ms: int) -> None:
         runner_id = choice.record.listed.runner_id
@@ -303,9 +307,9 @@
             is_cold=self.ports.table.cold.is_cold(runner_id),
         )
 
-    def _say(self, sentence: str, choice: Choice, reason: str) -> None:
+    def _say(self, message: str, choice: Choice, reason: str) -> None:
         log.say(
-            sentence,
+            message,
             request=self.request.request_id,
             runner=choice.record.listed.runner_id,
             chosen_by=choice.reason,
--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: finds the route, and serves plain ones and turns."""
+"""Serves callers' requests: matches the route, then forwards plain requests, streams and turns."""
 
 import asyncio
 import contextlib
@@ -22,31 +22,32 @@
     refusal_of,
 )
 from bendshed.retries.history import AttemptHistory
-from bendshed.services.attempts import Attempts, OpenAnswer, RunnerPorts
-from bendshed.services.metrics import CALLER_LEFT, NO_ROUTE, Served
+from bendshed.services.attempts import Attempts, OpenResponse, RunnerPorts
+from bendshed.services.metrics import CALLER_LEFT, NO_ROUTE, ServedOutcome
 from bendshed.services.runner_placement import RunnerPlacement
 from bendshed.services.stream_exchange import StreamExchange
 from bendshed.services.turn_ports import TurnPorts
 from bendshed.services.turn_record import TurnRecord
 
-MAX_HELD_BODY_BYTES = 64 * 1024
-"""A plain answer up to this size is buffered until it is whole, so that the request can be repeated
-if the answer breaks; a larger one is passed on as it comes. Bounds memory per open request."""
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
+"""A plain response up to this size is buffered until it is complete, so that the request can be
+retried if the response breaks; a larger one is relayed as it arrives. Bounds memory per open
+request."""
 FIRST_DOCUMENT_WAIT_S = 0.5
-"""How long requests wait for routes and runners at a node that has just started. Bounds the wait
-where no configuration comes: then the request is refused as ``not_ready``."""
+"""How long requests wait for routes and runners at a node that has just started. Without a
+configuration by then, the request is refused as ``not_ready``."""
 
 log = PartLog("forward")
 
 
 class Forwarder:
-    """Serves requests by the newest document.
+    """Serves requests according to the newest configuration document.
 
-    Without ``turns`` no turn is recorded in the turn log: a stream is only relayed.
+    Without ``turns`` no turn is recorded in the turn log: streams are only relayed.
 
     Attributes:
-        is_current: whether this node's document is surely the newest; only then is what it does not
-            name refused for good.
+        is_current: whether this node's document is certainly the newest; only then are unknown
+            routes and credentials refused permanently.
 
     """
 
@@ -55,10 +56,10 @@
         self._index: RouteIndex | None = None
         self._access = AccessIndex(ServiceDocument())
         self._has_index = asyncio.Event()
-        self._refuse_unknown_from_s: float | None = None
-        self._runners = runners
+        self._startup_wait_until_s: float | None = None
+        self._runner_ports = runners
         self._metrics = runners.metrics
-        self._turns = turns
+        self._turn_ports = turns
         self.num_open = 0
 
     @property
@@ -72,26 +73,26 @@
         self._access = AccessIndex(index.document)
         self._has_index.set()
 
-    async def _index_or_wait(self) -> RouteIndex | None:
-        """Routes; a node that has just started waits for them and for runners, bounded."""
-        if self._index is None or not self._runners.table.has_any.is_set():
+    async def _wait_for_index(self) -> RouteIndex | None:
+        """Return the routes; after a start, wait a limited time for routes and runners."""
+        if self._index is None or not self._runner_ports.table.has_runners.is_set():
             now_s = asyncio.get_running_loop().time()
-            if self._refuse_unknown_from_s is None:
-                self._refuse_unknown_from_s = now_s + FIRST_DOCUMENT_WAIT_S
-            with contextlib.suppress(TimeoutError):  # then the request is refused, which is logged
-                async with asyncio.timeout_at(self._refuse_unknown_from_s):
+            if self._startup_wait_until_s is None:
+                self._startup_wait_until_s = now_s + FIRST_DOCUMENT_WAIT_S
+            with contextlib.suppress(TimeoutError):  # the request is refused then, and logged
+                async with asyncio.timeout_at(self._startup_wait_until_s):
                     await self._has_index.wait()
-                    await self._runners.table.has_any.wait()
+                    await self._runner_ports.table.has_runners.wait()
         return self._index
 
     async def serve(self, request: ServiceRequest, caller: Caller) -> None:
-        """Answer one request; cancelled when its caller disconnects."""
+        """Serve one request; cancelled when its caller disconnects."""
         self.num_open += 1
         loop = asyncio.get_running_loop()
         route_kind = NO_ROUTE
         outcome = CALLER_LEFT
         try:
-            index = await self._index_or_wait()
+            index = await self._wait_for_index()
             route = index.match(request.host, request.path) if index is not None else None
             route_kind = route.kind.value if route is not None else NO_ROUTE
             outcome = await self._serve(request, caller, route, index)
@@ -116,8 +117,8 @@
         route: Route | None,
         index: RouteIndex | None,
     ) -> str:
-        """Serve or refuse; return the outcome for the metrics."""
-        outcome: Refusal | Served
+        """Serve or refuse a request; return the outcome for the metrics."""
+        outcome: Refusal | ServedOutcome
         principal = self._access.principal(route, request.credential) if route is not None else None
         if index is None:
             outcome = Refusal(ErrorKind.NOT_READY, "this node knows no configuration yet")
@@ -127,14 +128,14 @@
             outcome = self._refuse_unknown(ErrorKind.UNAUTHORIZED, "no tenant has this credential")
         else:
             outcome = await self._serve_route(request, caller, route, index, principal)
-        if isinstance(outcome, Served):
+        if isinstance(outcome, ServedOutcome):
             return outcome.value
         version = index.document.version if index is not None else 0
         await self._refuse(request, caller, outcome, version, principal.name if principal else "")
         return outcome.kind.value
 
     def _refuse_unknown(self, kind: ErrorKind, detail: str) -> Refusal:
-        """Refuse what the document does not name; for now, where a newer one may name it."""
+        """Refuse an unknown route or credential, temporarily if a newer document may name it."""
         if self.is_current():
             return Refusal(kind, detail)
         return Refusal(ErrorKind.NOT_READY, f"{detail}, but this node may not know the newest one")
@@ -146,7 +147,7 @@
         route: Route,
         index: RouteIndex,
         principal: Principal,
-    ) -> Refusal | Served:
+    ) -> Refusal | ServedOutcome:
         wait_ms = route.timeout_ms
         if request.wait_ms is not None:
             wait_ms = min(wait_ms, request.wait_ms)
@@ -155,7 +156,7 @@
         service = choose_target(route, sticky_key or request.request_id)
         admit = partial(self._admit_call, request, principal, deadline_s)
         regions = allowed_regions(route, principal)
-        placement = RunnerPlacement(self._runners, request, service, sticky_key, regions)
+        placement = RunnerPlacement(self._runner_ports, request, service, sticky_key, regions)
         history = AttemptHistory(deadline_s)
         attempts = Attempts(request, route, principal, placement, history, admit)
         refusal = attempts.reject_if_no_eligible_runner()
@@ -175,13 +176,13 @@
         attempts: Attempts,
         index: RouteIndex,
         admit: Callable[[], Awaitable[Refusal | None]],
-    ) -> Refusal | Served:
-        """Serve a turn, which its reservation admits, or admit and serve another request."""
+    ) -> Refusal | ServedOutcome:
+        """Serve a turn, which its reservation admits; admit any other request, then serve it."""
         is_stream = attempts.route.kind is RouteKind.STREAM
         if is_stream:
             known = index.document.services.get(attempts.placement.service)
             engine = known.engine if known is not None else None
-            record = self._record_of(request, attempts, engine)
+            record = self._build_turn_record(request, attempts, engine)
             if record is not None:
                 return await StreamExchange(request, attempts, caller, record).run()
         refusal = await admit()
@@ -191,19 +192,19 @@
             return await StreamExchange(request, attempts, caller, None).run()
         return await self._serve_plain(attempts, caller)
 
-    def _record_of(
+    def _build_turn_record(
         self,
         request: ServiceRequest,
         attempts: Attempts,
         engine: EngineFeatures | None,
     ) -> TurnRecord | None:
-        if request.turn is None or self._turns is None:
+        if request.turn is None or self._turn_ports is None:
             return None
         deadline_s = attempts.history.deadline_s
-        return TurnRecord(self._turns, request, attempts.route, attempts, engine, deadline_s)
+        return TurnRecord(self._turn_ports, request, attempts.route, attempts, engine, deadline_s)
 
     def _sticky_key(self, request: ServiceRequest, route: Route) -> str:
-        """What requests share that run faster at the same runner; empty: nothing."""
+        """Key of requests that run faster at the same runner; empty: none."""
         if not route.is_sticky:
             return ""
         return request.affinity_key or request.session
@@ -211,19 +212,19 @@
     async def _admit_call(
         self, request: ServiceRequest, principal: Principal, deadline_s: float
     ) -> Refusal | None:
-        """Count a request that is no turn against its tenant's quota."""
-        if self._turns is None:
+        """Charge a request that is not a turn to its tenant's quota."""
+        if self._turn_ports is None:
             return None
-        return await self._turns.quotas.admit_call(principal, request, deadline_s)
+        return await self._turn_ports.quotas.admit_call(principal, request, deadline_s)
 
-    async def _serve_plain(self, attempts: Attempts, caller: Caller) -> Refusal | Served:
+    async def _serve_plain(self, attempts: Attempts, caller: Caller) -> Refusal | ServedOutcome:
         while True:
-            opened = await attempts.open(attempts.request.body)
-            if isinstance(opened, Refusal):
-                return opened
-            whole = False
+            response = await attempts.open(attempts.request.body)
+            if isinstance(response, Refusal):
+                return response
+            is_complete = False
             try:
-                whole = await _pass_on(opened, caller)
+                is_complete = await _relay_response(response, caller)
             except ResponseBroken as error:
                 history, route = attempts.history, attempts.route
                 decision = decide_after_broken_answer(history, route, str(error))
@@ -231,18 +232,18 @@
                     return refusal_of(decision, history)
                 continue
             finally:
-                opened.close(whole)
-            if whole:
-                attempts.note_work_time(opened)
+                response.close(is_complete)
+            if is_complete:
+                attempts.record_work_time(response)
             log.say(
-                "request answered" if whole else "answer broken off: runner's answer broke",
+                "request answered" if is_complete else "answer broken off: runner's answer broke",
                 request=attempts.request.request_id,
                 route=attempts.route.name,
-                runner=opened.record.listed.runner_id,
-                status=opened.head.status,
+                runner=response.record.listed.runner_id,
+                status=response.head.status,
                 attempts=attempts.history.num_possible_runs,
             )
-            return Served.WHOLE if whole else Served.CUT
+            return ServedOutcome.ANSWERED if is_complete else ServedOutcome.BROKEN_OFF
 
     async def _refuse(
         self,
@@ -265,32 +266,33 @@
         await caller.refuse(refusal)
 
 
-async def _pass_on(opened: OpenAnswer, caller: Caller) -> bool:
-    """Pass an answer on, a small one only when it is whole; raise ``ResponseBroken``.
+async def _relay_response(response: OpenResponse, caller: Caller) -> bool:
+    """Relay a response, a small one only once it is complete; raise ``ResponseBroken``.
 
-    Once part of a large one was passed on, a break ends the caller's connection visibly.
+    After part of a large response was relayed, a break aborts the caller's connection instead, so
+    that the caller sees it.
     """
-    held: list[bytes] = []
-    num_held = 0
-    begun = False
+    buffered: list[bytes] = []
+    num_buffered_bytes = 0
+    has_begun = False
     try:
-        async for chunk in opened.body():
-            if begun:
+        async for chunk in response.body():
+            if has_begun:
                 await caller.send(chunk)
                 continue
-            held.append(chunk)
-            num_held += len(chunk)
-            if num_held > MAX_HELD_BODY_BYTES:
-                begun = True
-                await caller.begin(opened.head)
-                await caller.send(b"".join(held))
+            buffered.append(chunk)
+            num_buffered_bytes += len(chunk)
+            if num_buffered_bytes > MAX_BUFFERED_BODY_BYTES:
+                has_begun = True
+                await caller.begin(response.head)
+                await caller.send(b"".join(buffered))
     except ResponseBroken:
-        if begun:
+        if has_begun:
             caller.break_off()
             return False
         raise
-    if not begun:
-        await caller.begin(opened.head)
-        await caller.send(b"".join(held))
+    if not has_begun:
+        await caller.begin(response.head)
+        await caller.send(b"".join(buffered))
     await caller.end()
     return True
--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -1,6 +1,6 @@
-"""Requests permits of the turn log's leader, one for each dispatch to a cold runner.
+"""Requests a permit from the turn log's leader for each dispatch to a cold runner.
 
-Also describes a request to the leader, for a permit or beside a preview. Relies on
+Also builds the description of a request that the leader needs for a permit or a preview. Depends on
 ``turns/client.py`` to reach the leader. Source: docs/design/0010.
 """
 
@@ -15,34 +15,34 @@
 from bendshed.logs import PartLog
 from bendshed.model.permit import TimedPermit
 from bendshed.ports.runner import ServiceRequest
-from bendshed.services.metrics import PermitEnd, ServiceMetrics
+from bendshed.services.metrics import PermitResult, ServiceMetrics
 from bendshed.turns.client import TurnClient
 from bendshed.turns.codec import (
     NoRoom,
     NoRunner,
     PermitDecision,
-    PermitGiven,
+    PermitGranted,
     decode_permit_decision,
 )
 from bendshed.wire import turns_pb2 as wire
 
 PERMIT_TIMEOUT_S = 0.25
-"""A request that only a cold runner can take waits this long for a leader near by. A change of
-leaders takes longer; the request is rejected then, since its caller can come back."""
-LOST_PERMIT_TIMEOUT_S = 0.1
-"""The same while the turn log did not answer this node's last try. An answer takes some ms, through
-a relay up to 80 ms; one that comes shows that the leader is back."""
+"""Timeout of a permit request to a nearby leader. An election takes longer; the request is rejected
+then, since its caller can retry."""
+PERMIT_TIMEOUT_AFTER_FAILURE_S = 0.1
+"""Timeout while the turn log did not answer this node's last request. A reply takes a few ms, up to
+80 ms through a relay; any reply shows that the leader is available again."""
 
 log = PartLog("cold")
 
 
 @dataclass(frozen=True, slots=True)
-class RunnerState:
-    """What this node knows of a service's runners.
+class RunnerReport:
+    """What this node reports to the leader about a service's runners.
 
     Attributes:
-        connected: ids of those to which it has an idle connection.
-        avoided: ids of those that failed it within their time of avoidance.
+        connected: ids of runners to which this node has an idle connection.
+        avoided: ids of runners that this node avoids after recent failures.
 
     """
 
@@ -51,25 +51,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Permit:
-    """Permit for one dispatch; ``leave`` is its expiry on this node's clock."""
+class RunnerPermit:
+    """Permit for one dispatch; ``permit`` holds its expiry on this node's clock."""
 
     runner_id: str
     permit: TimedPermit
 
 
-def demand_of(
+def build_turn_demand(
     request: ServiceRequest,
     service: str,
     left_s: float,
-    state: RunnerState,
+    report: RunnerReport,
     zone: str,
     tried: Collection[str] = (),
     regions: Collection[str] | None = None,
 ) -> wire.TurnDemand:
-    """Describe a request, turn or not, to the leader that chooses its runner.
+    """Describe a request, whether a turn or not, to the leader that chooses its runner.
 
-    ``left_s`` is the time until the request's deadline; ``tried`` names runners that got it before.
+    ``left_s`` is the time until the request's deadline in seconds; ``tried`` holds the ids of
+    runners that it was already sent to.
     """
     turn = request.turn
     parts = turn.parts if turn is not None else ()
@@ -77,8 +78,8 @@
         service=service,
         parts=[wire.PromptPart(part_id=p.part_id, tokens=p.tokens) for p in parts],
         left_ms=max(1, int(left_s * 1000)),
-        connected=state.connected,
-        avoided=state.avoided,
+        connected=report.connected,
+        avoided=report.avoided,
         zone=zone,
         line=(turn.line if turn is not None else "") or request.session,
         tried=tried,
@@ -87,36 +88,38 @@
 
 
 class PermitClient:
-    """Requests one permit at a time."""
+    """Requests permits, each for a single dispatch."""
 
     def __init__(self, client: TurnClient, metrics: ServiceMetrics) -> None:
         self._client = client
         self._metrics = metrics
 
-    async def ask(self, request: ServiceRequest, demand: wire.TurnDemand) -> Permit | Refusal:
-        """Return a permit to dispatch a request, or why there is none.
+    async def request_permit(
+        self, request: ServiceRequest, demand: wire.TurnDemand
+    ) -> RunnerPermit | Refusal:
+        """Return a permit to dispatch a request, or the refusal.
 
-        Kinds: ``NO_ROOM``; ``NO_RUNNER``; ``TURN_LOG_UNAVAILABLE`` when no leader answered in time.
-        The permit's time counts from the request for it, so that it expires here before the leader
-        stops counting it.
+        Kinds: ``NO_ROOM``; ``NO_RUNNER``; ``TURN_LOG_UNAVAILABLE`` if no leader answered in time.
+        The permit's validity counts from the time of the request, so that the permit expires here
+        before the leader stops counting it.
         """
         requested_s = asyncio.get_running_loop().time()
         decision = await self._request(request, demand)
         if decision is None:
-            self._count(PermitEnd.UNANSWERED)
+            self._count(PermitResult.UNANSWERED)
             return Refusal(
                 ErrorKind.TURN_LOG_UNAVAILABLE, "all runners are cold, and nobody permits a sending"
             )
         match decision:
-            case PermitGiven():
-                self._count(PermitEnd.PERMITTED)
+            case PermitGranted():
+                self._count(PermitResult.PERMITTED)
                 expiry = TimedPermit(requested_s + decision.valid_ms / 1000)
-                return Permit(decision.runner_id, expiry)
+                return RunnerPermit(decision.runner_id, expiry)
             case NoRoom():
-                self._count(PermitEnd.REFUSED)
-                return _no_room(decision.retry_after_ms)
+                self._count(PermitResult.REFUSED)
+                return _build_no_room_refusal(decision.retry_after_ms)
             case NoRunner():
-                self._count(PermitEnd.REFUSED)
+                self._count(PermitResult.REFUSED)
                 return Refusal(ErrorKind.NO_RUNNER, "the leader knows no runner either")
             case _:
                 assert_never(decision)
@@ -124,9 +127,10 @@
     async def _request(
         self, request: ServiceRequest, demand: wire.TurnDemand
     ) -> PermitDecision | None:
-        """Request a permit of the home group's leader; ``None``: no leader answered in time.
+        """Request a permit from the home group's leader; ``None``: no leader answered in time.
 
-        Turns and calls of programs come before requests of no program, which may be rejected first.
+        Requests without a program count as new programs, which the leader rejects before turns and
+        calls of running programs.
         """
         if self._client.is_isolated:
             return None
@@ -136,7 +140,7 @@
             demand=demand,
             is_new_program=request.turn is None and not request.program_id,
         )
-        reply = await self._client.place(message, self._timeout_s(demand.left_ms / 1000))
+        reply = await self._client.request_permit(message, self._timeout_s(demand.left_ms / 1000))
         log.say(
             "permit requested: no warm runner was eligible",
             request=request.request_id,
@@ -148,20 +152,20 @@
 
     def _timeout_s(self, left_s: float) -> float:
         is_lost = self._client.lost_since_s is not None
-        timeout_s = LOST_PERMIT_TIMEOUT_S if is_lost else PERMIT_TIMEOUT_S
+        timeout_s = PERMIT_TIMEOUT_AFTER_FAILURE_S if is_lost else PERMIT_TIMEOUT_S
         timeout_s += EXTRA_TIMEOUT_ROUND_TRIPS * self._client.expected_round_trip_home_s
         return min(timeout_s, left_s)
 
-    def _count(self, end: PermitEnd) -> None:
-        self._metrics.permit_requests.labels(end.value).inc()
+    def _count(self, result: PermitResult) -> None:
+        self._metrics.permit_requests.labels(result.value).inc()
 
 
-def no_room(reply: wire.TurnReply) -> Refusal:
-    """Refusal of a turn whose eligible runners are all cold and full."""
-    return _no_room(reply.retry_after_ms)
+def no_room_refusal(reply: wire.TurnReply) -> Refusal:
+    """Refusal of a turn whose eligible runners are all cold and at their limit."""
+    return _build_no_room_refusal(reply.retry_after_ms)
 
 
-def _no_room(retry_after_ms: int) -> Refusal:
+def _build_no_room_refusal(retry_after_ms: int) -> Refusal:
     return Refusal(
         ErrorKind.NO_ROOM,
         "all runners are cold and have got what they bear for now",
--- a/src/bendshed/services/quota_client.py
+++ b/src/bendshed/services/quota_client.py
@@ -1,6 +1,6 @@
-"""Counts a node's requests against their tenants' quotas, with the leader of the turn log.
+"""Charges a node's requests to their tenants' quotas, which the turn log's leaders keep.
 
-Owns the node's allowances. Relies on ``turns/client.py`` to reach the group that counts a tenant.
+Owns the node's allowances. Depends on ``turns/client.py`` to reach the group that counts a tenant.
 Source: docs/design/0007.
 """
 
@@ -15,7 +15,7 @@
 from bendshed.model.principal import Principal
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.ports.runner import ServiceRequest
-from bendshed.services.metrics import QuotaEnd, ServiceMetrics
+from bendshed.services.metrics import QuotaResult, ServiceMetrics
 from bendshed.turns.client import TurnClient
 from bendshed.turns.codec import (
     CallDecision,
@@ -27,14 +27,14 @@
 from bendshed.wire import turns_pb2 as wire
 
 ADMISSION_TIMEOUT_S = 0.6
-"""A call waits this long for the leader: longer than a change of leaders, which takes under 0.5 s.
-Without one the answer takes some 7 ms."""
-REPORT_AFTER_S = 0.15
-"""Admitted calls are reported with the node's next command; without one, after this long."""
-REPORT_CHECK_S = 0.1
-"""Pause between two checks for calls to report."""
+"""Timeout of a call's admission by the leader. Longer than an election, which takes under 0.5 s;
+without an election the reply takes about 7 ms."""
+REPORT_DELAY_S = 0.15
+"""Admitted calls are reported with the node's next command, or after this delay without one."""
+REPORT_CHECK_INTERVAL_S = 0.1
+"""Interval between checks for unreported calls."""
 REPORT_TIMEOUT_S = 1.0
-"""A report is given up after this long; the next one repeats its totals."""
+"""Timeout of a report; the next report repeats its totals."""
 
 log = PartLog("quota")
 
@@ -42,9 +42,9 @@
 class QuotaClient:
     """Admits calls within their tenants' limits.
 
-    Turns are counted by the turn log itself and cost no message more. Calls go by allowances that
-    come with the ends of turns; without one, the leader is requested for the call. Each tenant is
-    counted in one group of the turn log.
+    Turns are counted by the turn log itself and need no extra message. Calls are admitted by
+    allowances that arrive with the replies to turn ends; without an allowance, the call is
+    requested from the leader. Each tenant is counted in one group of the turn log.
     """
 
     def __init__(
@@ -63,27 +63,27 @@
     async def admit_call(
         self, principal: Principal, request: ServiceRequest, deadline_s: float
     ) -> Refusal | None:
-        """Admit a request that is no turn, or return why it may not run.
+        """Admit a request that is not a turn, or return the refusal.
 
-        ``deadline_s`` is loop time. Kinds: ``QUOTA_EXCEEDED``; ``TURN_LOG_UNAVAILABLE`` when no
+        ``deadline_s`` is loop time. Kinds: ``QUOTA_EXCEEDED``; ``TURN_LOG_UNAVAILABLE`` if no
         leader answered in time.
         """
         if not principal.is_limited:
             return None
         loop = asyncio.get_running_loop()
         if self._allowances.try_admit(principal.name, loop.time()):
-            self._count(QuotaEnd.ALLOWED)
+            self._count(QuotaResult.BY_ALLOWANCE)
             return None
         decision = await self._request(principal.name, request, deadline_s)
         if decision is None:
-            self._count(QuotaEnd.UNANSWERED)
+            self._count(QuotaResult.UNANSWERED)
             return Refusal(
                 ErrorKind.TURN_LOG_UNAVAILABLE, "nobody tells whether the quota holds it"
             )
         if isinstance(decision, CallRejected):
-            self._count(QuotaEnd.REFUSED)
+            self._count(QuotaResult.REFUSED)
             return _quota_refusal(decision.retry_after_ms)
-        self._count(QuotaEnd.REQUESTED)
+        self._count(QuotaResult.BY_REQUEST)
         self._allowances.record_admitted(principal.name, decision.counted_total, loop.time())
         self._allowances.note_committed(principal.name, decision.counted_total, loop.time())
         return None
@@ -91,7 +91,7 @@
     async def _request(
         self, tenant: str, request: ServiceRequest, deadline_s: float
     ) -> CallDecision | None:
-        """Request one call of the tenant's group; ``None``: no leader answered in time."""
+        """Request one call from the tenant's group; ``None``: no leader answered in time."""
         call = CallRequest(
             tenant=tenant,
             node=self._node,
@@ -105,16 +105,16 @@
         reply = await self._client.admit_call(encode_call_request(call), timeout_s)
         return decode_call_decision(reply) if reply is not None else None
 
-    def take_allowance(self, principal: Principal, ceiling: int) -> None:
-        """Take the allowance that came with a turn's end; 0: there was none."""
+    def store_allowance(self, principal: Principal, ceiling: int) -> None:
+        """Store the allowance from the reply to a turn's end; 0: there was none."""
         if ceiling:
             now_s = asyncio.get_running_loop().time()
             self._allowances.add_allowance(principal.name, ceiling, now_s)
 
-    def report(self, command: wire.TurnCommand) -> Callable[[], None]:
-        """Add a report of admitted calls to a command, of tenants that its group counts.
+    def add_report(self, command: wire.TurnCommand) -> Callable[[], None]:
+        """Add a report of admitted calls to a command, for the tenants that its group counts.
 
-        Call what is returned once the command is committed.
+        The returned function must be called once the command is committed.
         """
         unreported = self._allowances.unreported(asyncio.get_running_loop().time())
         rows = [
@@ -127,11 +127,11 @@
         return lambda: self._allowances.note_reported(rows, asyncio.get_running_loop().time())
 
     async def report_until_cancelled(self) -> None:
-        """Report calls that no command took along; runs until it is cancelled."""
+        """Report calls that no other command has reported; runs until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(REPORT_CHECK_S)
-            if not self._allowances.is_report_due(loop.time(), REPORT_AFTER_S):
+            await asyncio.sleep(REPORT_CHECK_INTERVAL_S)
+            if not self._allowances.is_report_due(loop.time(), REPORT_DELAY_S):
                 continue
             unreported = self._allowances.unreported(loop.time())
             for group in sorted(
@@ -140,9 +140,9 @@
                 await self._report_to(group)
 
     async def _report_to(self, group: int) -> None:
-        """Report to one group what it counts."""
+        """Report to one group the calls of the tenants that it counts."""
         command = wire.TurnCommand(group=group)
-        note_reported = self.report(command)
+        mark_reported = self.add_report(command)
         try:
             await self._client.command(command, REPORT_TIMEOUT_S)
         except GroupUnavailable as error:
@@ -150,14 +150,14 @@
                 "admitted calls not reported: no leader answered", group=group, reason=str(error)
             )
             return
-        note_reported()
+        mark_reported()
 
-    def _count(self, end: QuotaEnd) -> None:
-        self._metrics.quota_calls.labels(end.value).inc()
+    def _count(self, result: QuotaResult) -> None:
+        self._metrics.quota_calls.labels(result.value).inc()
 
 
-def refusal_of(reply: wire.TurnReply) -> Refusal:
-    """Refusal of a turn whose tenant's quota has no room."""
+def quota_refusal_of(reply: wire.TurnReply) -> Refusal:
+    """Refusal of a turn whose tenant's quota is used up."""
     return _quota_refusal(reply.retry_after_ms)
 
 
--- a/src/bendshed/services/stream_exchange.py
+++ b/src/bendshed/services/stream_exchange.py
@@ -1,7 +1,7 @@
-"""Relays one stream event by event, and keeps a turn's record in step with it.
+"""Relays one stream event by event and updates the record of its turn.
 
-The turn log commits the reservation before anything is handed to the caller, and the turn's end
-before the end of its stream reaches the caller.
+The turn log commits the reservation before any output is sent to the caller, and the turn's end
+before the end of its stream is sent.
 """
 
 import asyncio
@@ -12,18 +12,18 @@
 from bendshed.ports.http_messages import ResponseBroken
 from bendshed.ports.runner import Caller, ServiceRequest
 from bendshed.retries.decisions import GiveUp, GiveUpReason, refusal_of
-from bendshed.services.attempts import Attempts, OpenAnswer
+from bendshed.services.attempts import Attempts, OpenResponse
 from bendshed.services.events import EventSplitter, StreamEvent
-from bendshed.services.metrics import Served
+from bendshed.services.metrics import ServedOutcome
 from bendshed.services.turn_record import TurnRecord
 
-SUCCESS = 200
+HTTP_OK = 200
 
 log = PartLog("stream")
 
 
 class StreamBroken(Exception):
-    """The runner's stream is not whole."""
+    """The runner's stream is incomplete or out of order, or its turn's end is not committed."""
 
 
 @dataclass(slots=True)
@@ -31,8 +31,8 @@
     """One stream.
 
     Attributes:
-        record: the turn that the stream is the answer of; ``None``: it is not recorded.
-        num_events: events handed to the caller.
+        record: the recorded turn whose output is streamed; ``None``: the stream is not recorded.
+        num_events: events sent to the caller.
 
     """
 
@@ -42,53 +42,56 @@
     record: TurnRecord | None
     num_events: int = 0
 
-    async def run(self) -> Refusal | Served:
-        """Serve the request; a refusal that is returned has not been sent to the caller yet."""
+    async def run(self) -> Refusal | ServedOutcome:
+        """Serve the request; a returned refusal has not been sent to the caller yet."""
         if self.record is None:
-            return await self._run_begun(self.request.body)
+            return await self._run_attempts(self.request.body)
         try:
             refusal = await self.record.begin()
             if refusal is not None:
                 return refusal
-            return await self._run_begun(self.record.body)
+            return await self._run_attempts(self.record.body)
         finally:
-            # Also after a refusal, or when the caller left: the begin may be committed later, and
-            # only its end takes the reservation off the program's budget.
-            self.record.finish_broken()
-
-    async def _run_begun(self, body: bytes) -> Refusal | Served:
-        opened = await self.attempts.open(body)
-        if isinstance(opened, Refusal):
-            return opened
-        whole = False
+            # Also after a refusal or a disconnect of the caller: the begin may be committed later,
+            # and only the turn's end releases the reservation from the program's budget.
+            self.record.finish_incomplete()
+
+    async def _run_attempts(self, body: bytes) -> Refusal | ServedOutcome:
+        response = await self.attempts.open(body)
+        if isinstance(response, Refusal):
+            return response
+        is_complete = False
         try:
-            if self.record is not None and (unconfirmed := await self.record.confirm()) is not None:
-                detail = f"the turn ran, but its reservation failed: {unconfirmed.detail}"
+            if (
+                self.record is not None
+                and (reservation_refusal := await self.record.confirm()) is not None
+            ):
+                detail = f"the turn ran, but its reservation failed: {reservation_refusal.detail}"
                 failed = GiveUp(GiveUpReason.RESERVATION_FAILED, detail)
                 return refusal_of(failed, self.attempts.history)
-            whole = await self._relay(opened)
+            is_complete = await self._relay(response)
         except (ResponseBroken, StreamBroken) as error:
             log.say(
                 "stream broken off: not whole",
                 request=self.request.request_id,
-                runner=opened.record.listed.runner_id,
+                runner=response.record.listed.runner_id,
                 events=self.num_events,
                 reason=str(error),
             )
             self.caller.break_off()
         finally:
-            opened.close(whole)
-        return Served.WHOLE if whole else Served.CUT
+            response.close(is_complete)
+        return ServedOutcome.ANSWERED if is_complete else ServedOutcome.BROKEN_OFF
 
-    async def _relay(self, opened: OpenAnswer) -> bool:
-        """Pass the stream on event by event; raise when it is not whole."""
+    async def _relay(self, response: OpenResponse) -> bool:
+        """Relay the stream event by event; raise if it is incomplete."""
         loop = asyncio.get_running_loop()
-        is_stream = opened.head.status == SUCCESS
+        is_stream = response.head.status == HTTP_OK
         splitter = EventSplitter()
         last_id: int | None = None
         first_ms: int | None = None
-        await self.caller.begin(opened.head)
-        async for chunk in opened.body():
+        await self.caller.begin(response.head)
+        async for chunk in response.body():
             if not is_stream:
                 await self.caller.send(chunk)
                 continue
@@ -103,16 +106,16 @@
                 last_id = self._check_order(event, last_id)
                 self._count(event)
             await self.caller.send(b"".join(event.raw for event in events))
-        if splitter.has_rest:
-            raise StreamBroken("the stream ended within an event")
-        if is_stream and self.record is not None and not await self.record.finish_whole():
-            raise StreamBroken("the turn's end could not be kept")
+        if splitter.has_partial_event:
+            raise StreamBroken("the stream ended in the middle of an event")
+        if is_stream and self.record is not None and not await self.record.finish_complete():
+            raise StreamBroken("the turn's end could not be committed")
         await self.caller.end()
         log.say(
             "stream answered",
             request=self.request.request_id,
-            runner=opened.record.listed.runner_id,
-            status=opened.head.status,
+            runner=response.record.listed.runner_id,
+            status=response.head.status,
             events=self.num_events,
             first_ms=first_ms,
             total_ms=int((loop.time() - self.request.arrived_s) * 1000),
@@ -128,7 +131,7 @@
         return event.event_id
 
     def _count(self, event: StreamEvent) -> None:
-        """Count an event before it is handed on."""
+        """Count an event before it is sent."""
         if event.data is None:
             return
         self.num_events += 1
--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -1,8 +1,8 @@
-"""Decides whether a request may be dispatched to cold runners, at the leader of the turn log.
+"""Decides at the turn log's leader whether a request may be dispatched to cold runners.
 
-Owns the permits of this process and the requests that it rejected lately. How many permits a leader
-may give is decided in `admission/cold_permits.py`, when rejected requests come back in
-`admission/retry_schedule.py`.
+Owns the permits granted by this process and the requests that it rejected recently.
+`admission/cold_permits.py` decides how many permits a leader may grant, and
+`admission/retry_schedule.py` when rejected requests retry.
 """
 
 from collections import OrderedDict
@@ -16,13 +16,13 @@
 from bendshed.logs import PartLog
 from bendshed.model.runner import ServiceRunner
 from bendshed.placement.cold_runners import ColdRateLimit
-from bendshed.turns.metrics import ColdEnd, TurnLogMetrics
+from bendshed.turns.metrics import PermitOutcome, TurnLogMetrics
 
 PERMIT_MS = int(1000 * PERMIT_VALID_S)
 """Validity of a permit, in milliseconds from the request for it."""
-REJECTED_VALID_S = 2.0
-"""Time, in seconds, for which the rejection of a turn rejects its begin too, which may arrive
-afterwards; otherwise the program would count as begun when its client comes back."""
+REJECTION_TTL_S = 2.0
+"""Time, in seconds, for which the rejection of a turn's preview also rejects its begin, which may
+arrive later. Otherwise the program would count as started when its client retries."""
 
 log = PartLog("cold")
 
@@ -32,9 +32,9 @@
     """A request that may need a permit.
 
     Attributes:
-        program_id: its program; of a request without one, the request's own id.
-        is_new_program: nothing of the program has run yet, so it is rejected first.
-        chain: of a turn; empty: unknown.
+        program_id: id of its program, or the request's own id if it has none.
+        is_new_program: no turn of the program has run yet; such requests are rejected first.
+        chain: id of the turn's chain; empty: unknown.
 
     """
 
@@ -45,18 +45,19 @@
 
     @property
     def retry_key(self) -> tuple[str, str]:
-        """What comes back after a rejection, whatever id its next attempt has."""
+        """Identifies a rejected request when it is retried under a new request id."""
         return self.program_id, self.chain
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where a request may run.
+    """Decision on where a request may run.
 
     Attributes:
-        runner_id: empty: no eligible runner is known here.
-        permit_ms: above 0: it may be dispatched there once, within this time from its request.
-        retry_after_ms: above 0: rejected, and when there is room again.
+        runner_id: the chosen runner; empty: no eligible runner is known here.
+        permit_ms: if positive, the request may be dispatched there once, within this time from its
+            request for the permit.
+        retry_after_ms: if positive, the request is rejected and may retry after this time.
 
     """
 
@@ -66,12 +67,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Openings:
-    """Runners that a request may be placed at now.
+class PermittedRunners:
+    """Runners to which a request may be dispatched now.
 
     Attributes:
-        runners: warm ones, and cold ones with permits left.
-        cold: ids of the latter.
+        runners: warm runners, and cold ones with permits left.
+        cold: ids of those that need a permit.
 
     """
 
@@ -81,69 +82,74 @@
 
 @dataclass(slots=True)
 class ColdAdmission:
-    """Gives permits for cold runners, while this process leads.
+    """Grants permits for cold runners while this process leads a group.
 
-    Running programs that were rejected come back; until then the permits that they will need are
-    not given to new programs.
+    Rejected requests of running programs retry later; until then the permits that they will need
+    are withheld from new programs.
 
     Attributes:
-        tracker: which runners are cold.
-        terms: bound on requests to a cold runner.
-        num_leaders: groups of the turn log, whose leaders share the bound.
-        grants: permits given lately.
+        tracker: knows which runners are cold.
+        rate_limit: bound on the request rate to a cold runner.
+        num_leaders: number of turn log groups, whose leaders share the bound.
+        permit_counts: recently granted permits.
 
     """
 
     tracker: ColdRunnerTracker
-    terms: ColdRateLimit
+    rate_limit: ColdRateLimit
     metrics: TurnLogMetrics
     num_leaders: int = 1
-    grants: ColdPermitCounts = field(init=False)
+    permit_counts: ColdPermitCounts = field(init=False)
     _rejected: "OrderedDict[str, tuple[float, int]]" = field(default_factory=OrderedDict)
     _retries: dict[bool, RetrySchedule] = field(init=False)
 
     def __post_init__(self) -> None:
-        self.grants = ColdPermitCounts(self.terms, self.num_leaders)
+        self.permit_counts = ColdPermitCounts(self.rate_limit, self.num_leaders)
         self._retries = {is_new: RetrySchedule() for is_new in (True, False)}
 
-    def openings(
+    def permitted_runners(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
-    ) -> Openings:
-        """Leave out the cold runners that have no permit left; a repeated request is decided
-        again."""
+    ) -> PermittedRunners:
+        """Leave out cold runners without a permit left; a repeated request is decided again."""
         self._rejected.pop(request.request_id, None)
         if not self.tracker.has_cold:
-            return Openings(runners)
+            return PermittedRunners(runners)
         cold = [runner for runner in runners if self.tracker.is_cold(runner.runner_id)]
         if not cold:
-            return Openings(runners)
-        has_room = {runner.runner_id for runner in self._with_room(cold, request, now_s)}
-        is_full = {runner.runner_id for runner in cold} - has_room
-        return Openings([r for r in runners if r.runner_id not in is_full], has_room)
-
-    def counted_openings(
+            return PermittedRunners(runners)
+        ids_with_room = {
+            runner.runner_id for runner in self._runners_with_room(cold, request, now_s)
+        }
+        full_ids = {runner.runner_id for runner in cold} - ids_with_room
+        return PermittedRunners([r for r in runners if r.runner_id not in full_ids], ids_with_room)
+
+    def permit_limited_runners(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
-    ) -> Openings:
-        """Bound each runner, warm or not: the requesting node may know a runner to be cold that is
-        warm here."""
-        has_room = self._with_room(runners, request, now_s)
-        return Openings(has_room, {runner.runner_id for runner in has_room})
+    ) -> PermittedRunners:
+        """Apply the bound to all runners: one that is warm here may be cold at the requesting
+        node."""
+        runners_with_room = self._runners_with_room(runners, request, now_s)
+        return PermittedRunners(
+            runners_with_room, {runner.runner_id for runner in runners_with_room}
+        )
 
-    def _with_room(
+    def _runners_with_room(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
     ) -> list[ServiceRunner]:
         reserved = self._reserved_for_others(request, now_s) / max(1, len(runners))
         return [runner for runner in runners if self._room(runner, request, now_s) > reserved]
 
     def _reserved_for_others(self, request: PermitRequest, now_s: float) -> int:
-        """Permits that rejected requests of running programs will request again."""
+        """Return how many rejected requests of running programs are expected to retry."""
         if not request.is_new_program:
             return 0
         return self._retries[False].num_expected_others(request.retry_key, int(1000 * now_s))
 
     def _room(self, runner: ServiceRunner, request: PermitRequest, now_s: float) -> int:
         rate = self.tracker.rate_of(runner.runner_id)
-        return self.grants.num_available(runner.runner_id, rate, request.is_new_program, now_s)
+        return self.permit_counts.num_available(
+            runner.runner_id, rate, request.is_new_program, now_s
+        )
 
     def least_loaded(
         self,
@@ -153,7 +159,7 @@
         avoided: Collection[str],
         now_s: float,
     ) -> str:
-        """Runner of a request whose load is unknown: a warm one first, then the fewest permits."""
+        """Choose a runner for a request of unknown load: warm ones first, then fewest permits."""
         rank = rendezvous_rank(request_id, [runner.runner_id for runner in runners])
 
         def cost(runner: ServiceRunner) -> tuple[bool, bool, int, bool, int]:
@@ -161,7 +167,7 @@
             return (
                 runner_id in avoided,
                 self.tracker.is_cold(runner_id),
-                self.grants.num_granted(runner_id, now_s),
+                self.permit_counts.num_granted(runner_id, now_s),
                 runner.zone != zone,
                 rank.index(runner_id),
             )
@@ -169,40 +175,40 @@
         return min(runners, key=cost).runner_id
 
     def grant(self, runner_id: str, request: PermitRequest, now_s: float) -> Placement:
-        """Permit one dispatch, and count it."""
-        self.grants.grant(runner_id, now_s)
+        """Grant and count a permit for one dispatch."""
+        self.permit_counts.grant(runner_id, now_s)
         self._rejected.pop(request.request_id, None)
         self._retries[request.is_new_program].forget(request.retry_key)
-        self.metrics.cold_permits.labels(ColdEnd.GRANTED.value).inc()
+        self.metrics.cold_permits.labels(PermitOutcome.GRANTED.value).inc()
         log.say(
             "dispatch permitted",
             request=request.request_id,
             runner=runner_id,
             is_new_program=request.is_new_program,
-            granted=self.grants.num_granted(runner_id, now_s),
-            most=self.grants.max_permits(self.tracker.rate_of(runner_id), False, now_s),
+            granted=self.permit_counts.num_granted(runner_id, now_s),
+            most=self.permit_counts.max_permits(self.tracker.rate_of(runner_id), False, now_s),
             cold_for_ms=self.tracker.left_ms(runner_id),
         )
         return Placement(runner_id, PERMIT_MS)
 
-    def refuse(
+    def reject(
         self, runners: Sequence[ServiceRunner], request: PermitRequest, now_s: float
     ) -> Placement:
-        """Reject a request: it may come back when there is room behind those rejected before it."""
-        self.grants.sweep(now_s)
+        """Reject a request; its retry time allows for the requests rejected before it."""
+        self.permit_counts.sweep(now_s)
         now_ms = int(1000 * now_s)
         retries = self._retries[request.is_new_program]
         num_before = retries.num_expected_others(request.retry_key, now_ms)
         retry_ms = self._retry_after_ms(runners, request, num_before, now_s)
         retries.note(request.retry_key, now_ms + retry_ms)
         self._note_rejected(request.request_id, retry_ms, now_s)
-        self.metrics.cold_permits.labels(ColdEnd.REFUSED.value).inc()
+        self.metrics.cold_permits.labels(PermitOutcome.REFUSED.value).inc()
         log.say(
             "request rejected: its runners are cold and full",
             request=request.request_id,
             is_new_program=request.is_new_program,
             runners=len(runners),
-            share=self.grants.leadership.share(now_s),
+            share=self.permit_counts.leadership.share(now_s),
             retry_after_ms=retry_ms,
         )
         return Placement(retry_after_ms=retry_ms)
@@ -216,24 +222,28 @@
     ) -> int:
         rates = {runner.runner_id: self.tracker.rate_of(runner.runner_id) for runner in runners}
         is_new = request.is_new_program
-        least_ms = min(self.grants.wait_ms(r, rate, is_new, now_s) for r, rate in rates.items())
-        per_window = sum(self.grants.max_permits(rate, is_new, now_s) for rate in rates.values())
+        least_ms = min(
+            self.permit_counts.wait_ms(r, rate, is_new, now_s) for r, rate in rates.items()
+        )
+        per_window = sum(
+            self.permit_counts.max_permits(rate, is_new, now_s) for rate in rates.values()
+        )
         return cold_retry_after_ms(least_ms, num_before, per_window, WINDOW_MS)
 
     def _note_rejected(self, request_id: str, retry_ms: int, now_s: float) -> None:
         self._rejected[request_id] = (now_s, retry_ms)
         self._rejected.move_to_end(request_id)
-        while next(iter(self._rejected.values()))[0] < now_s - REJECTED_VALID_S:
+        while next(iter(self._rejected.values()))[0] < now_s - REJECTION_TTL_S:
             self._rejected.popitem(last=False)
 
-    def forget_refused(self, request_id: str) -> None:
-        """Forget a rejection that no begin follows."""
+    def forget_rejection(self, request_id: str) -> None:
+        """Drop a rejection that no begin will follow."""
         self._rejected.pop(request_id, None)
 
-    def refused_for_ms(self, request_id: str, now_s: float) -> int:
-        """Retry time of a turn that was rejected within ``REJECTED_VALID_S``, in ms; 0: it was
-        not."""
+    def rejection_retry_ms(self, request_id: str, now_s: float) -> int:
+        """Return the retry time, in ms, of a turn rejected within ``REJECTION_TTL_S``; 0: it was
+        not rejected."""
         if not self._rejected:
             return 0
         at_s, retry_ms = self._rejected.get(request_id, (float("-inf"), 0))
-        return retry_ms if now_s - at_s <= REJECTED_VALID_S else 0
+        return retry_ms if now_s - at_s <= REJECTION_TTL_S else 0
--- a/tests/test_begins_are_ended.py
+++ b/tests/test_budget_after_refused_begins.py
@@ -1,17 +1,14 @@
-"""Turns that go on from a stored one were refused as spent, for good, after a loss of power.
+"""Begins that are refused or whose callers disconnect must release their reservations.
 
-Seen: a program whose first turn had ended whole asked again and again once power was back, with a
-new id each time. No try reached a runner, and the last ones were answered 402.
+The failure: after a power loss, turns that continue a stored one were refused as spent (402) for
+good, although no attempt had reached a runner. A leader appended the begins of retries, each with a
+new id, and could not commit them in time, so the callers got 503; the entries were committed later.
+A budget that holds few turns is not granted in a preview, so these retries only waited for their
+commit. Such a begin got no end, so its maximum cost stayed reserved until the program was
+forgotten, and a few retries used up the whole budget.
 
-How it came about: a leader took begins of these tries and could not commit them in time, so the
-callers got 503. The entries were committed later. A budget that holds few turns is not previewed as
-granted, so these tries waited for their commit alone and went to no runner.
-
-Cause: a begin that was refused to its caller, or whose caller left, got no end, and its worst case
-stayed reserved until the program was forgotten. A few such tries held the whole budget.
-
-Proof: with the end left out, the simulated site refuses the next turn with nothing spent; random
-worlds show the ids of refused turns among a resting program's reservations.
+Without the end, the simulated site refuses the next turn with nothing spent, and random worlds show
+ids of refused turns among an idle program's reservations.
 """
 
 import asyncio
@@ -34,23 +31,23 @@
 from bendshed.wire import turns_pb2 as wire
 from tests.site_budget_defects import (
     begins_are_committed_too_late,
+    caller_retries_before_the_ends_arrive,
     fronts_stop_before_their_ends,
-    no_begin_is_committed_for_long,
-    the_next_try_meets_the_new_leader,
+    no_begin_is_committed_for_half_a_minute,
 )
 
-EVENTS = 3
+MAX_EVENTS = 3
 
 
-class SilentLog:
-    """Takes begins and answers none; answers ends."""
+class SilentTurnClient:
+    """Receives begins without answering them; answers ends."""
 
     is_isolated = False
 
     def __init__(self) -> None:
-        self.ended: list[str] = []
+        self.finished: list[str] = []
         self.has_begun = asyncio.Event()
-        self.gives_up = asyncio.Event()
+        self.may_fail = asyncio.Event()
 
     async def preview(self, _asked: wire.TurnPreview) -> None:
         return None
@@ -59,19 +56,19 @@
         self, command: wire.TurnCommand, _timeout_s: float, *_watch: object
     ) -> wire.TurnReply:
         if command.HasField("finish"):
-            self.ended.append(command.finish.turn_id)
+            self.finished.append(command.finish.turn_id)
             return wire.TurnReply()
         self.has_begun.set()
-        await self.gives_up.wait()
+        await self.may_fail.wait()
         raise GroupUnavailable("no leader answered")
 
 
 class RefusedBeginTest(unittest.IsolatedAsyncioTestCase):
-    """A begin whose outcome is unknown, at its front."""
+    """A begin whose outcome is unknown to its front."""
 
     def exchange(self) -> StreamExchange:
         policy = replace(EVERYTHING, shared_load=False)
-        client = cast(TurnClient, self.log)
+        client = cast(TurnClient, self.client)
         self.ports = TurnPorts(client, MagicMock(), MagicMock(), MagicMock(), policy)
         attempts = MagicMock(may_have_run=False, answered_by="")
         attempts.history.failed = []
@@ -85,65 +82,67 @@
         record = TurnRecord(self.ports, request, route, attempts, None, deadline_s)
         return StreamExchange(request, attempts, MagicMock(), record)
 
-    async def all_ended(self) -> list[str]:
-        await self.ports.finish_late()
-        return self.log.ended
+    async def finished_turns(self) -> list[str]:
+        await self.ports.finish_background_work()
+        return self.client.finished
 
-    async def refuse(self) -> None:
-        """The log stays silent until the turn may wait no longer."""
-        self.log.gives_up.set()
+    async def time_out_begin(self) -> None:
+        """The turn log does not answer until the begin times out."""
+        self.client.may_fail.set()
         outcome = await self.exchange().run()
         assert isinstance(outcome, Refusal)
         self.assertEqual(outcome.kind, ErrorKind.TURN_LOG_UNAVAILABLE)
 
-    async def leave(self) -> None:
-        """The caller closes its connection while the log is silent."""
+    async def cancel_request(self) -> None:
+        """The caller disconnects while the turn log does not answer."""
         running = asyncio.create_task(self.exchange().run())
-        await self.log.has_begun.wait()
+        await self.client.has_begun.wait()
         running.cancel()
-        self.log.gives_up.set()
+        self.client.may_fail.set()
         await asyncio.gather(running, return_exceptions=True)
 
-    async def test_it_is_ended_however_the_caller_goes(self) -> None:
-        for go in (self.refuse, self.leave):
-            self.log = SilentLog()
-            await go()
-            self.assertEqual(await self.all_ended(), ["q"], go.__name__)
+    async def test_begin_is_finished_after_timeout_or_cancellation(self) -> None:
+        for end_request in (self.time_out_begin, self.cancel_request):
+            self.client = SilentTurnClient()
+            await end_request()
+            self.assertEqual(await self.finished_turns(), ["q"], end_request.__name__)
 
 
 class SpentBudgetTest(unittest.TestCase):
-    """The same in a simulated site: begins reach the voters' logs and are committed too late."""
+    """The same in a simulated site: voters append begins and commit them too late."""
 
-    def test_turns_that_never_ran_do_not_spend_it(self) -> None:
+    def test_late_commits_do_not_spend_the_budget(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         self.assertEqual([begins_are_committed_too_late(seed) for seed in (1, 2, 3)], [[], [], []])
 
-    def test_nor_while_the_turn_log_is_away_for_long(self) -> None:
+    def test_long_turn_log_outage_does_not_spend_the_budget(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        self.assertEqual([no_begin_is_committed_for_long(seed) for seed in (1, 2)], [[], []])
+        self.assertEqual(
+            [no_begin_is_committed_for_half_a_minute(seed) for seed in (1, 2)], [[], []]
+        )
 
-    def test_nor_when_the_next_try_meets_the_new_leader(self) -> None:
+    def test_retry_at_a_new_leader_does_not_spend_the_budget(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        played = [the_next_try_meets_the_new_leader(1, after_s) for after_s in (0.0, 0.2, 0.5)]
+        played = [caller_retries_before_the_ends_arrive(1, after_s) for after_s in (0.0, 0.2, 0.5)]
         self.assertEqual(played, [[], [], []])
 
-    def test_nor_where_all_fronts_lost_power_before_their_ends(self) -> None:
+    def test_power_loss_before_the_finish_does_not_spend_the_budget(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         self.assertEqual(fronts_stop_before_their_ends(1), [])
 
 
 class SpentRuleTest(unittest.TestCase):
-    """The rule that judges 402s can fail, and allows what it must."""
+    """The rule that checks 402 responses detects violations and accepts valid ones."""
 
     def setUp(self) -> None:
         self.world = SiteWorld.started(1)
         self.addCleanup(self.world.close)
 
-    def refused(self, budget_tokens: int) -> SiteRequest:
+    def add_refused_request(self, budget_tokens: int) -> SiteRequest:
         request = SiteRequest(
             "refused",
             Kind.TURN,
@@ -151,7 +150,7 @@
             sent_s=9.0,
             node="front-1",
             budget_tokens=budget_tokens,
-            most_events=EVENTS,
+            most_events=MAX_EVENTS,
             status=402,
             is_over=True,
             ended_s=9.1,
@@ -159,11 +158,11 @@
         self.world.seen.requests.append(request)
         return request
 
-    def test_a_program_that_used_nothing_is_not_spent(self) -> None:
-        self.refused(EVENTS * EVENT_TOKENS)
+    def test_reports_a_refusal_as_spent_of_an_unused_budget(self) -> None:
+        self.add_refused_request(MAX_EVENTS * EVENT_TOKENS)
         (violation,) = check_spent(self.world.seen)
         self.assertIs(violation.rule, Rule.SPENT)
 
-    def test_a_budget_below_one_turn_is_spent(self) -> None:
-        self.refused(EVENTS * EVENT_TOKENS - 1)
+    def test_accepts_a_refusal_as_spent_of_a_budget_below_one_turn(self) -> None:
+        self.add_refused_request(MAX_EVENTS * EVENT_TOKENS - 1)
         self.assertEqual(list(check_spent(self.world.seen)), [])
--- a/tests/test_cold_runners.py
+++ b/tests/test_cold_runners.py
@@ -1,4 +1,7 @@
-"""Cold runners: whose word counts, and what leaders grant however they change."""
+"""Cold runners: which listing takes precedence, and how many permits leaders grant.
+
+The bound on permits must hold in every second, however often the leader changes.
+"""
 
 import random
 import unittest
@@ -22,7 +25,7 @@
 from bendshed.placement.cold_runners import MAX_VANISHED, ColdRateLimit, ColdRunners
 
 START_S = 8.0
-TERMS = ColdRateLimit(factor=1.5, slack=5)
+RATE_LIMIT = ColdRateLimit(factor=1.5, slack=5)
 COLD_PER_S = 25.0
 BOUND = 42.5
 SERVICES = {
@@ -118,9 +121,9 @@
 
 @dataclass
 class SimulatedLeader:
-    """One leader that grants whatever it may; what it grants leaves as late as it may."""
+    """Grants as many permits as possible; each is used at a random time of its validity."""
 
-    permits: ColdPermitCounts = field(default_factory=lambda: ColdPermitCounts(TERMS))
+    permits: ColdPermitCounts = field(default_factory=lambda: ColdPermitCounts(RATE_LIMIT))
     dispatched_s: list[float] = field(default_factory=list)
 
     def lead(self, from_s: float, to_s: float, rng: random.Random, term: int) -> None:
@@ -144,17 +147,17 @@
         self.assertEqual(WINDOW_MS, 1000 * (1 + PERMIT_VALID_S))
 
     def test_established_leader_permits_half_and_a_new_one_a_quarter(self) -> None:
-        permits = ColdPermitCounts(TERMS)
+        permits = ColdPermitCounts(RATE_LIMIT)
         permits.leadership.update(1, True, 0.0)
         self.assertEqual(permits.max_permits(COLD_PER_S, False, 0.1), int(BOUND / 4))
         for step in range(1, 30):
             permits.leadership.update(1, True, step / 10)
         self.assertEqual(permits.max_permits(COLD_PER_S, False, 2.9), int(BOUND / 2))
-        halved = ColdPermitCounts(TERMS, num_leaders=2, leadership=permits.leadership)
+        halved = ColdPermitCounts(RATE_LIMIT, num_leaders=2, leadership=permits.leadership)
         self.assertEqual(halved.max_permits(COLD_PER_S, False, 2.9), int(BOUND / 4))
 
     def test_running_programs_have_permits_that_new_programs_lack(self) -> None:
-        permits = ColdPermitCounts(TERMS)
+        permits = ColdPermitCounts(RATE_LIMIT)
         permits.leadership.update(1, True, 0.0)
         while permits.num_available("r", COLD_PER_S, True, 0.1) > 0:
             permits.grant("r", 0.1)
@@ -175,7 +178,7 @@
     def test_two_leader_changes_keep_the_bound_in_every_second(
         self, seed: int, first_s: float, second_s: float
     ) -> None:
-        """Each that was replaced goes on granting for a while beside its successors."""
+        """Each replaced leader goes on granting permits for a while, concurrently with the next."""
         rng = random.Random(seed)
         started_s = [0.0, 4.0 + min(first_s, second_s), 4.0 + max(first_s, second_s)]
         ended_s = [started_s[1] + MAX_STALE_LEADER_S, started_s[2] + MAX_STALE_LEADER_S, 9.0]
@@ -187,13 +190,13 @@
 
     def test_resumed_leader_keeps_the_bound_after_two_other_leaders(self) -> None:
         rng = random.Random(5)
-        frozen, second, third = SimulatedLeader(), SimulatedLeader(), SimulatedLeader()
-        frozen.lead(0.0, 5.0, rng, term=1)
+        paused, second, third = SimulatedLeader(), SimulatedLeader(), SimulatedLeader()
+        paused.lead(0.0, 5.0, rng, term=1)
         second.lead(5.4, 8.0 + MAX_STALE_LEADER_S, rng, term=2)
         third.lead(8.0, 12.0, rng, term=3)
-        self.assertEqual(frozen.permits.leadership.share(8.1), 0.0)
-        frozen.lead(8.1, 8.1 + MAX_STALE_LEADER_S, rng, term=1)
-        dispatched_s = [*frozen.dispatched_s, *second.dispatched_s, *third.dispatched_s]
+        self.assertEqual(paused.permits.leadership.share(8.1), 0.0)
+        paused.lead(8.1, 8.1 + MAX_STALE_LEADER_S, rng, term=1)
+        dispatched_s = [*paused.dispatched_s, *second.dispatched_s, *third.dispatched_s]
         self.assertLessEqual(max_in_one_second(dispatched_s), BOUND)
 
     def test_reelected_leader_counts_its_earlier_permits(self) -> None:
@@ -205,13 +208,13 @@
         self.assertLessEqual(leader.permits.num_available("r", COLD_PER_S, False, 3.05), 0)
 
     def test_permit_counts_use_bounded_memory(self) -> None:
-        permits = ColdPermitCounts(TERMS)
+        permits = ColdPermitCounts(RATE_LIMIT)
         for number in range(10_000):
             permits.grant("r", number / 100)
         self.assertLess(len(permits._granted["r"].buckets), 30)
 
     def test_permits_outside_every_window_are_removed(self) -> None:
-        permits = ColdPermitCounts(TERMS)
+        permits = ColdPermitCounts(RATE_LIMIT)
         permits.grant("r", 1.0)
         permits.sweep(2.0)
         self.assertEqual(permits.num_granted("r", 2.0), 1)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas: the window's arithmetic, the leader's decisions, a node's allowances."""
+"""Quotas: sliding windows, decisions of the leader, allowances of nodes."""
 
 import random
 import unittest
@@ -24,13 +24,13 @@
 from bendshed.wire import turns_pb2 as wire
 
 WINDOW_MS = 5_000
-TERMS = QuotaTolerance(5.0, 0.1, 20)
+TOLERANCE = QuotaTolerance(5.0, 0.1, 20)
 SMALL = Tenant("small", rate_per_s=3, burst=3)
 EXACT_LIMIT = TenantLimit(10, 10, 10, 10, 0, 0)
 
 
 def max_in_any_window(times_ms: list[int], window_ms: int = WINDOW_MS) -> int:
-    """The promise's own arithmetic: the fullest sliding window."""
+    """Return the highest count in any sliding window, computed independently of the ledger."""
     ordered = sorted(times_ms)
     return max(
         (sum(1 for t in ordered if begin <= t < begin + window_ms) for begin in ordered), default=0
@@ -116,7 +116,7 @@
         self.assertTrue(self.turn("newer", 0))
 
     def extend_allowance(self, node: str, now_ms: int, limit: TenantLimit) -> int:
-        """What a node is allowed after a turn; committed as the turn's end is."""
+        """Return a node's allowance after a turn, committed together with the turn's end."""
         ceiling = self.ledger.extend_allowance(node, 0, "t", limit, self.usage, now_ms)
         if ceiling:
             self.usage.set_allowance(node, "t", ceiling, now_ms)
@@ -124,7 +124,7 @@
         return ceiling
 
     def call(self, node: str, now_ms: int, limit: TenantLimit = EXACT_LIMIT) -> bool:
-        """Ask for a call; it is committed as it is granted."""
+        """Request a call, which is committed when it is admitted."""
         request = QuotaRequest("c", "t", node, Rank.CALL)
         total = self.usage.reported_total(node, "t")
         granted = self.ledger.admit_call(request, node, total, limit, self.usage, now_ms).is_granted
@@ -173,7 +173,7 @@
         self.assertFalse(self.turn("refused", 1))
 
     def test_running_programs_are_admitted_before_new_ones(self) -> None:
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         now_ms, number = 0, 0
         while self.turn(f"new-{number}", now_ms, limit):
             number += 1
@@ -187,21 +187,21 @@
         self.assertGreater(num_running, 5)
 
     def test_tenant_within_its_limit_is_never_rejected(self) -> None:
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         granted = [self.turn(f"new-{number}", 0, limit) for number in range(18)]
         self.assertEqual(granted, [True] * 18)
 
     def test_first_come_first_served_ignores_ranks(self) -> None:
         self.ledger = QuotaLedger(WINDOW_MS, prioritizes_running_programs=False)
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         number = 0
         while self.turn(f"new-{number}", 0, limit):
             number += 1
         self.assertEqual(number, int(limit.calls))
 
     def test_calls_are_admitted_before_turns(self) -> None:
-        """A turn is sent again three times; a call that fails ends its program."""
-        limit = tenant_limit(SMALL, TERMS)
+        """A turn is retried three times, whereas a failed call ends its program."""
+        limit = tenant_limit(SMALL, TOLERANCE)
         number = 0
         while self.turn(f"turn-{number}", 0, limit, is_running=True, program=str(number)):
             number += 1
@@ -246,7 +246,7 @@
         self.assertTrue(self.turn("in time", retry_at_ms))
 
     def test_allowances_of_all_nodes_stay_within_their_share(self) -> None:
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         held = 0
         for number in range(40):
             node = f"n{number}"
@@ -270,7 +270,7 @@
         self.assertTrue(self.call("m", 0, limit))
 
     def test_new_leader_knows_allowances_of_its_predecessor(self) -> None:
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         self.assertEqual(limit.allowances, 3)
         held = sum(self.extend_allowance(f"n{number}", 0, limit) for number in range(6))
         self.assertEqual(held, limit.allowances)
@@ -285,7 +285,7 @@
         self.assertEqual(granted + held, int(limit.calls))
 
     def test_allowances_count_before_they_are_committed(self) -> None:
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         given = [
             self.ledger.extend_allowance(f"n{number}", 0, "t", limit, self.usage, 0)
             for number in range(6)
@@ -309,7 +309,7 @@
         self.assertEqual(totals, [5, 6, 7])
 
     def test_tenant_near_its_limit_gets_no_allowances(self) -> None:
-        limit = tenant_limit(SMALL, TERMS)
+        limit = tenant_limit(SMALL, TOLERANCE)
         self.usage.charge("t", 0, 15)
         self.assertEqual(self.extend_allowance("n", 0, limit), 0)
 
@@ -329,9 +329,8 @@
     def test_call_admitted_by_the_leader_extends_no_allowance(self) -> None:
         self.allowances.add_allowance("t", 2, 0.0)
         self.allowances.unreported(ALLOWANCE_VALID_S)
-        self.allowances.record_admitted(
-            "t", 3, 5.0
-        )  # with the lapsed allowance, which was counted then
+        # The total of 3 includes the expired allowance, which was counted then.
+        self.allowances.record_admitted("t", 3, 5.0)
         self.assertEqual(self.allowances.total("t"), 3)
         self.assertFalse(self.allowances.try_admit("t", 5.1))
 
@@ -395,12 +394,12 @@
 
 
 class DispatchedTurnTest(unittest.TestCase):
-    """A leader that counts nothing more meets turns of the leader before it."""
+    """A leader whose tenant has no room left gets turns that its predecessor admitted."""
 
     def setUp(self) -> None:
         catalog = Catalog()
         catalog.take_document(ServiceDocument(version=1, tenants=(SMALL,)))
-        self.quotas = QuotaCounting(catalog, TERMS)
+        self.quotas = QuotaCounting(catalog, TOLERANCE)
         self.state = TurnLogState()
         self.state.usage.charge(SMALL.name, 0, 1_000)
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -40,7 +40,7 @@
         database.commit()
         database.close()
 
-    def test_writes_outlive_the_process(self) -> None:
+    def test_writes_survive_a_restart(self) -> None:
         node_id = self.commit(
             GroupWrite(3, term=2, voted_for="n", entries=entries(1, 5)),
             GroupWrite(3, truncate_from=4, entries=entries(4, 4, term=2)),
@@ -61,7 +61,7 @@
         storage.close()
 
     def test_a_vote_does_not_write_the_snapshot_again(self) -> None:
-        """A vote must be durable within milliseconds, however much the group holds."""
+        """A vote must be durable within milliseconds, whatever the size of the group's state."""
         storage = SqliteLogStorage(self.folder)
         snapshot = GroupSnapshot(index=5, term=1, state=b"s" * 4_000_000)
         asyncio.run(storage.commit([GroupWrite(1, term=1, voted_for="a", snapshot=snapshot)]))
@@ -71,11 +71,11 @@
         storage.close()
 
     def written_bytes(self) -> int:
-        """What the kernel was asked to write by this process so far."""
+        """Bytes that this process has passed to write system calls so far."""
         lines = Path("/proc/self/io").read_text().splitlines()
         return int(next(line for line in lines if line.startswith("wchar")).split()[1])
 
-    def test_a_folder_of_the_former_layout_is_read(self) -> None:
+    def test_legacy_schema_is_migrated(self) -> None:
         node_id = self.commit()
         database = sqlite3.connect(self.folder / "log.sqlite")
         snapshot = GroupSnapshot(index=5, term=2, state=b"kept").SerializeToString()
@@ -88,7 +88,7 @@
         database.execute("INSERT INTO groups VALUES (4, 3, 'n', ?, ?)", (snapshot, checksum))
         database.commit()
         database.close()
-        for _ in range(2):  # the second time from the present layout
+        for _ in range(2):  # the second iteration reads the migrated schema
             storage = SqliteLogStorage(self.folder)
             (group,) = storage.load()
             self.assertEqual((group.group_id, group.term, group.voted_for), (4, 3, "n"))
@@ -96,7 +96,7 @@
             self.assertEqual(storage.node_id(), node_id)
             storage.close()
 
-    def test_the_check_at_the_start_reads_the_log_once(self) -> None:
+    def test_startup_check_reads_the_log_once(self) -> None:
         self.commit(GroupWrite(1, entries=entries(1, 3)))
         with mock.patch.object(SqliteLogStorage, "_load", autospec=True) as load:
             load.side_effect = REAL_LOAD
@@ -105,14 +105,14 @@
             self.assertEqual(load.call_count, 1)
         storage.close()
 
-    def test_a_torn_tail_is_cut(self) -> None:
+    def test_torn_last_entry_is_truncated(self) -> None:
         self.commit(GroupWrite(1, entries=entries(1, 3)))
         self.damage(3)
         storage = SqliteLogStorage(self.folder)
         self.assertEqual([e.index for e in storage.load()[0].entries], [1, 2])
         storage.close()
 
-    def test_a_corrupt_middle_gives_a_new_identity(self) -> None:
+    def test_corrupt_entry_before_the_last_gives_a_new_identity(self) -> None:
         old_id = self.commit(GroupWrite(1, entries=entries(1, 3)))
         self.damage(2)
         storage = SqliteLogStorage(self.folder)
--- a/tests/test_unanswered_begins.py
+++ b/tests/test_unanswered_begins.py
@@ -1,11 +1,9 @@
-"""Reservations of turns that were refused stayed when their fronts lost power before the ends came.
+"""Reservations of refused turns leaked if their fronts lost power before they sent the turn ends.
 
-Seen: a program whose tries were all refused, none of which reached a runner, was answered 402 once
-its fronts were back.
-
-Cause: only the front knew that a begin was refused, and a front has no disk. The process that
-proposed the begin knows as much: it has answered nobody. It withdraws such begins, and the leader
-ends a turn once every begin behind its reservation is withdrawn.
+A program whose attempts were all refused, none of which reached a runner, got 402 once its fronts
+were back. Only the front knew that the begin was refused, and a front has no disk. The process that
+proposed the begin also knows that it did not answer: it withdraws such begins, and the leader ends
+a turn once every begin behind its reservation is withdrawn.
 """
 
 import logging
@@ -14,11 +12,11 @@
 from bendshed.admission.program_budget import UNNUMBERED
 from bendshed.turns.state import TurnLogState
 from bendshed.turns.unanswered_begins import (
-    END_EXPECTED_S,
-    REPEAT_S,
+    FIRST_WITHDRAWAL_DELAY_S,
+    WITHDRAWAL_RETRY_INTERVAL_S,
     ProposedBegins,
     UnansweredBegins,
-    turn_of,
+    turn_key,
 )
 from bendshed.wire import turns_pb2 as wire
 from tests.site_budget_defects import fronts_lose_power_during_an_outage
@@ -47,8 +45,8 @@
     state.apply(wire.TurnCommand(finish=finish).SerializeToString())
 
 
-class UnansweredTest(unittest.TestCase):
-    """What the process that proposed some begins withdraws."""
+class WithdrawalTest(unittest.TestCase):
+    """Withdrawals by the process that proposed the begins."""
 
     def setUp(self) -> None:
         self.state = TurnLogState()
@@ -56,54 +54,54 @@
         self.applied_index = 0
 
     def due(self, now_s: float) -> list[list[int]]:
-        rows = self.unanswered.due(self.state, lambda i: i <= self.applied_index, now_s)
+        rows = self.unanswered.due_withdrawals(self.state, lambda i: i <= self.applied_index, now_s)
         return [list(row.proposals) for row in rows]
 
     def commit(self, proposal: int, index: int) -> None:
         apply(self.state, begin_of(proposal))
         self.applied_index = index
 
-    def test_a_reservation_that_outlives_the_fronts_own_end_is_withdrawn_again_and_again(
+    def test_withdrawal_is_repeated_until_the_reservation_is_gone(
         self,
     ) -> None:
-        self.unanswered.note(begin_of(1), 5)
+        self.unanswered.record(begin_of(1), 5)
         self.commit(1, 5)
         self.assertEqual(self.due(0.0), [])
-        self.assertEqual(self.due(END_EXPECTED_S), [[1]])
-        self.assertEqual(self.due(END_EXPECTED_S + REPEAT_S / 2), [])
-        self.assertEqual(self.due(END_EXPECTED_S + REPEAT_S), [[1]])
+        self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S), [[1]])
+        self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S + WITHDRAWAL_RETRY_INTERVAL_S / 2), [])
+        self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S + WITHDRAWAL_RETRY_INTERVAL_S), [[1]])
 
-    def test_all_begins_of_a_turn_are_withdrawn_at_once(self) -> None:
+    def test_all_begins_of_a_turn_are_withdrawn_together(self) -> None:
         for proposal, index in ((1, 5), (2, 6)):
-            self.unanswered.note(begin_of(proposal), index)
+            self.unanswered.record(begin_of(proposal), index)
             self.commit(proposal, index)
         self.due(0.0)
-        self.assertEqual(self.due(END_EXPECTED_S), [[1, 2]])
+        self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S), [[1, 2]])
 
-    def test_an_entry_that_is_not_settled_is_waited_for(self) -> None:
-        self.unanswered.note(begin_of(1), 5)
+    def test_withdrawal_waits_until_the_log_entry_is_settled(self) -> None:
+        self.unanswered.record(begin_of(1), 5)
         self.assertEqual(self.due(0.0), [])
         self.assertEqual(len(self.unanswered), 1)
         self.commit(1, 5)
         self.due(100.0)
-        self.assertEqual(self.due(100.0 + END_EXPECTED_S), [[1]])
+        self.assertEqual(self.due(100.0 + FIRST_WITHDRAWAL_DELAY_S), [[1]])
 
-    def test_one_that_another_entry_replaced_is_forgotten(self) -> None:
-        self.unanswered.note(begin_of(1), 5)
+    def test_begin_whose_log_entry_was_replaced_is_forgotten(self) -> None:
+        self.unanswered.record(begin_of(1), 5)
         self.applied_index = 5
         self.assertEqual(self.due(0.0), [])
         self.assertEqual(len(self.unanswered), 0)
 
-    def test_one_that_its_front_has_ended_is_forgotten(self) -> None:
-        self.unanswered.note(begin_of(1), 5)
+    def test_begin_ended_by_its_front_is_forgotten(self) -> None:
+        self.unanswered.record(begin_of(1), 5)
         self.commit(1, 5)
         end(self.state)
-        self.assertEqual(self.due(END_EXPECTED_S), [])
+        self.assertEqual(self.due(FIRST_WITHDRAWAL_DELAY_S), [])
         self.assertEqual(len(self.unanswered), 0)
 
 
-class LeaderTest(unittest.TestCase):
-    """When a leader releases a reservation."""
+class ReleaseTest(unittest.TestCase):
+    """Conditions under which a leader releases a reservation."""
 
     def setUp(self) -> None:
         self.state = TurnLogState()
@@ -111,7 +109,7 @@
 
     def propose(self) -> wire.BeginTurn:
         begin = begin_of()
-        self.begins.number(begin, TERM)
+        self.begins.assign_number(begin, TERM)
         return begin
 
     def commit(self) -> wire.BeginTurn:
@@ -129,45 +127,45 @@
     def can_release(self) -> bool:
         return self.begins.can_release(TURN, self.state)
 
-    def test_once_every_begin_behind_it_is_withdrawn(self) -> None:
+    def test_reservation_is_released_once_all_its_begins_are_withdrawn(self) -> None:
         first, second = self.commit(), self.commit()
-        self.assertEqual(turn_of(first), TURN)
+        self.assertEqual(turn_key(first), TURN)
         self.withdraw(first)
         self.assertFalse(self.can_release())
         self.withdraw(second)
         self.assertTrue(self.can_release())
 
-    def test_not_while_a_begin_may_still_be_answered(self) -> None:
+    def test_no_release_while_a_begin_may_still_be_answered(self) -> None:
         first = self.commit()
         self.withdraw(first)
-        under_way = self.propose()
+        in_flight = self.propose()
         self.assertFalse(self.can_release())
-        self.begins.settle(under_way)
+        self.begins.settle(in_flight)
         self.assertTrue(self.can_release())
 
-    def test_not_without_a_reservation(self) -> None:
+    def test_no_release_without_reservation(self) -> None:
         self.assertFalse(self.can_release())
 
-    def test_not_where_a_begin_has_no_number(self) -> None:
+    def test_no_release_with_an_unnumbered_begin(self) -> None:
         first = self.commit()
         apply(self.state, begin_of(UNNUMBERED))
         self.withdraw(first)
         self.assertFalse(self.can_release())
 
-    def test_not_by_what_was_said_in_an_earlier_term(self) -> None:
+    def test_withdrawals_of_an_earlier_term_do_not_count(self) -> None:
         first, second = self.commit(), self.commit()
         self.withdraw(first)
         self.withdraw(second, term=TERM + 1)
         self.assertFalse(self.can_release())
 
-    def test_numbers_of_two_terms_differ(self) -> None:
+    def test_proposal_numbers_of_two_terms_differ(self) -> None:
         other = begin_of()
-        ProposedBegins().number(other, TERM + 1)
+        ProposedBegins().assign_number(other, TERM + 1)
         self.assertNotEqual(self.propose().proposal, other.proposal)
 
 
 class SnapshotTest(unittest.TestCase):
-    """The numbers outlive a snapshot, and one of an earlier build proves nothing."""
+    """Proposal numbers survive a snapshot; begins of an earlier build stay unnumbered."""
 
     def restored(self, *proposals: int) -> set[int]:
         state, other = TurnLogState(), TurnLogState()
@@ -176,7 +174,7 @@
         other.restore(state.snapshot())
         return other.programs["", "p"].granted["t"]
 
-    def test_numbers_are_restored(self) -> None:
+    def test_proposal_numbers_are_restored(self) -> None:
         self.assertEqual(self.restored(3, 4), {3, 4})
 
     def test_unnumbered_begins_stay_unnumbered(self) -> None:
@@ -185,15 +183,15 @@
 
 
 class FrontsLosePowerTest(unittest.TestCase):
-    """At other moments of an outage, with other times until a leader is back.
+    """Fronts lose power at several moments of an outage, with several times until a leader is back.
 
-    A front waits 0.3 s for one answer. A leader that commits within that time has answered: whether
-    the front still lived cannot be known, and its turn counts at its most.
+    A front waits 0.3 s for one answer. A leader that commits within that time has answered; it
+    cannot know whether the front was still up, so the turn stays reserved at its maximum.
     """
 
     def test_turns_that_never_ran_do_not_spend_the_budget(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        for after_s, dark_s in ((0.1, 0.4), (0.4, 0.0), (0.7, 3.0), (1.4, 0.3)):
-            with self.subTest(after_s=after_s, dark_s=dark_s):
-                self.assertEqual(fronts_lose_power_during_an_outage(1, after_s, dark_s), [])
+        for after_s, leaderless_s in ((0.1, 0.4), (0.4, 0.0), (0.7, 3.0), (1.4, 0.3)):
+            with self.subTest(after_s=after_s, leaderless_s=leaderless_s):
+                self.assertEqual(fronts_lose_power_during_an_outage(1, after_s, leaderless_s), [])
