--- a/src/bendshed/consensus/replica_placement.py
+++ b/src/bendshed/consensus/replica_placement.py
@@ -146,8 +146,8 @@
             wiped=(),
             silent=missing_too_long & unresponsive,
             unresponsive=unresponsive,
-            retiring=missing_too_long
-            - unresponsive,  # a stopping node votes until its calls have ended
+            # A stopping node is missing but still votes until its calls have ended.
+            retiring=missing_too_long - unresponsive,
             caught_up=replica.followers.caught_up(
                 membership.learners, replica.last_index, MAX_LEARNER_LAG
             ),
