--- a/src/bendshed/placement/allowed_regions.py
+++ b/src/bendshed/placement/allowed_regions.py
@@ -11,28 +11,32 @@
     ``None``: neither restricts the regions, so any is allowed; empty: the restrictions have no
     region in common, so the request cannot run.
     """
-    tenant = principal.tenant.allowed_regions if principal.tenant is not None else ()
-    named = [frozenset(regions) for regions in (route.allowed_regions, tenant) if regions]
-    if not named:
+    tenant_regions = principal.tenant.allowed_regions if principal.tenant is not None else ()
+    restrictions = [
+        frozenset(regions) for regions in (route.allowed_regions, tenant_regions) if regions
+    ]
+    if not restrictions:
         return None
-    return frozenset.intersection(*named)
+    return frozenset.intersection(*restrictions)
 
 
 def describe_regions(route: Route, principal: Principal) -> str:
     """Describe the restrictions of route and tenant, for the error of a rejected request."""
-    tenant = principal.tenant.allowed_regions if principal.tenant is not None else ()
+    tenant_regions = principal.tenant.allowed_regions if principal.tenant is not None else ()
     of_route = ", ".join(route.allowed_regions) or "any"
-    of_tenant = ", ".join(tenant) or "any"
+    of_tenant = ", ".join(tenant_regions) or "any"
     return f"the route allows {of_route}, the tenant {of_tenant}"
 
 
 def unknown_regions(document: ServiceDocument, places: Places) -> dict[str, list[str]]:
     """Allowed regions without a declared zone, by the route or tenant that lists them."""
     known = set(places.regions)
-    named = {f"route {route.name}": route.allowed_regions for route in document.routes}
-    named.update({f"tenant {one.name}": one.allowed_regions for one in document.tenants})
+    restricted = {f"route {route.name}": route.allowed_regions for route in document.routes}
+    restricted.update(
+        {f"tenant {tenant.name}": tenant.allowed_regions for tenant in document.tenants}
+    )
     return {
-        who: [region for region in regions if region not in known]
-        for who, regions in named.items()
+        owner: [region for region in regions if region not in known]
+        for owner, regions in restricted.items()
         if set(regions) - known
     }
