--- a/src/bendshed/routing/runners.py
+++ b/src/bendshed/routing/runners.py
@@ -90,13 +90,13 @@
             if notice is not None and notice.incarnation >= machine.incarnation:
                 runner.leaving = notice.leaving
             if machine.leaving and not runner.leaving:
-                notices.append(self._leaving_notice(runner))
+                notices.append(self._set_leaving(runner))
         for runner_id, runner in self.runners.items():
             if runner_id not in listed and not runner.leaving:
-                notices.append(self._leaving_notice(runner))
+                notices.append(self._set_leaving(runner))
         return notices
 
-    def _leaving_notice(self, runner: Runner) -> RunnerNotice:
+    def _set_leaving(self, runner: Runner) -> RunnerNotice:
         runner.leaving = True
         return RunnerNotice(
             runner_id=runner.machine.machine_id,
@@ -109,7 +109,7 @@
         runner = self.runners.get(runner_id)
         if runner is None or runner.leaving:
             return None
-        return self._leaving_notice(runner)
+        return self._set_leaving(runner)
 
     def apply_notice(self, notice: RunnerNotice) -> None:
         """Apply gossip about a runner."""
