--- a/src/bendshed/gateway/application.py
+++ b/src/bendshed/gateway/application.py
@@ -25,9 +25,9 @@
 
 JSON = b"application/json"
 EVENTS = b"text/event-stream"
-END_TIMEOUT_S = 15.0
+END_PROGRAM_TIMEOUT_S = 15.0
 READY_TIMEOUT_S = 25.0
-READY_CHECK_S = 0.05
+READY_POLL_INTERVAL_S = 0.05
 
 log = PartLog("gateway")
 
@@ -48,28 +48,38 @@
 
     def _build(self) -> Application:
         application = Application(show_error_details=False)
-        add_route(application, "POST", "/v1/chat/completions", self._guard(self._chat))
-        add_route(application, "GET", "/v1/programs/{program_id}", self._guard(self._show_program))
         add_route(
-            application, "DELETE", "/v1/programs/{program_id}", self._guard(self._end_program)
+            application, "POST", "/v1/chat/completions", self._with_error_responses(self._chat)
         )
-        add_route(application, "POST", "/operators/ask", self._guard(self._ask))
-        add_route(application, "GET", "/metrics", self._guard(self._metrics))
-        add_route(application, "GET", "/health", self._guard(self._health))
-        add_route(application, "GET", "/ready", self._guard(self._ready))
+        add_route(
+            application,
+            "GET",
+            "/v1/programs/{program_id}",
+            self._with_error_responses(self._show_program),
+        )
+        add_route(
+            application,
+            "DELETE",
+            "/v1/programs/{program_id}",
+            self._with_error_responses(self._end_program),
+        )
+        add_route(application, "POST", "/operators/ask", self._with_error_responses(self._ask))
+        add_route(application, "GET", "/metrics", self._with_error_responses(self._metrics))
+        add_route(application, "GET", "/health", self._with_error_responses(self._health))
+        add_route(application, "GET", "/ready", self._with_error_responses(self._ready))
         return application
 
-    def _guard(self, handler: Handler) -> Handler:
+    def _with_error_responses(self, handler: Handler) -> Handler:
         """Answer refusals raised inside a handler from the table."""
 
-        async def guarded(request: Request) -> Response:
+        async def handle(request: Request) -> Response:
             try:
                 return await handler(request)
             except BendshedError as error:
                 self.metrics.calls.labels(error.refusal.kind).inc()
-                return refuse(error.refusal)
+                return refusal_response(error.refusal)
 
-        return guarded
+        return handle
 
     # --- callers -------------------------------------------------------------------------
 
@@ -107,55 +117,57 @@
             request=call.request_id,
             tenant=tenant,
         ):
-            live = self._node.submit(call)
-        if isinstance(live, Refusal):
-            raise BendshedError(live)
+            live_answer = self._node.submit(call)
+        if isinstance(live_answer, Refusal):
+            raise BendshedError(live_answer)
         if not parsed.stream:
-            return await self._answer_whole(live, parsed, arrived_s)
-        await live.wait_for_start()
+            return await self._respond_unstreamed(live_answer, parsed, arrived_s)
+        await live_answer.wait_for_start()
         self.metrics.first_event_s.observe(time.monotonic() - arrived_s)
-        if not live.chunks and isinstance(live.outcome, Refusal):
-            raise BendshedError(live.outcome)
-        events = partial(self._events, live, parsed, arrived_s)
+        if not live_answer.chunks and isinstance(live_answer.outcome, Refusal):
+            raise BendshedError(live_answer.outcome)
+        events = partial(self._stream_events, live_answer, parsed, arrived_s)
         return Response(200, None, StreamedContent(EVENTS, events))
 
-    async def _answer_whole(
-        self, live: LiveAnswer, parsed: chat.ParsedCall, arrived_s: float
+    async def _respond_unstreamed(
+        self, live_answer: LiveAnswer, parsed: chat.ParsedCall, arrived_s: float
     ) -> Response:
-        outcome = await live.wait()
+        outcome = await live_answer.wait()
         if isinstance(outcome, Refusal):
             raise BendshedError(outcome)
-        await self._settle(parsed, outcome, arrived_s)
-        body = answer_events.answer_body(live.request, outcome.result, int(time.time()))
+        await self._finish_call(parsed, outcome, arrived_s)
+        body = answer_events.answer_body(live_answer.request, outcome.result, int(time.time()))
         return Response(200, None, Content(JSON, orjson.dumps(body)))
 
-    async def _events(
-        self, live: LiveAnswer, parsed: chat.ParsedCall, arrived_s: float
+    async def _stream_events(
+        self, live_answer: LiveAnswer, parsed: chat.ParsedCall, arrived_s: float
     ) -> AsyncIterator[bytes]:
         """The engine's events as they come; the closing ones only after the commit."""
-        async for chunk in live.read():
+        async for chunk in live_answer.read():
             self.metrics.streamed_bytes.inc(len(chunk))
             yield chunk
-        outcome = live.outcome
+        outcome = live_answer.outcome
         if isinstance(outcome, Answered):
-            await self._settle(parsed, outcome, arrived_s)
+            await self._finish_call(parsed, outcome, arrived_s)
             now_s = int(time.time())
-            yield answer_events.closing_events(live.request, outcome.result, now_s)
+            yield answer_events.closing_events(live_answer.request, outcome.result, now_s)
         elif isinstance(outcome, Refusal):
             self.metrics.calls.labels(outcome.kind).inc()
             yield answer_events.event(outcome.body())
 
-    async def _settle(self, parsed: chat.ParsedCall, outcome: Answered, arrived_s: float) -> None:
+    async def _finish_call(
+        self, parsed: chat.ParsedCall, outcome: Answered, arrived_s: float
+    ) -> None:
         self.metrics.calls.labels("answered").inc()
         self.metrics.call_s.observe(time.monotonic() - arrived_s)
         if parsed.end_program:
-            await self._end(parsed.call.program_id, "by its caller")
+            await self._submit_end_program(parsed.call.program_id, "by its caller")
 
-    async def _end(self, program_id: str, reason: str) -> wire.CallResult:
+    async def _submit_end_program(self, program_id: str, reason: str) -> wire.CallResult:
         end = wire.EndProgram(program_id=program_id, reason=reason)
         try:
             return await self._node.client.command(
-                program_id, wire.ProgramCommand(end=end), END_TIMEOUT_S
+                program_id, wire.ProgramCommand(end=end), END_PROGRAM_TIMEOUT_S
             )
         except GroupUnavailable as error:
             raise BendshedError(Refusal(ErrorKind.GROUP_UNAVAILABLE, str(error))) from error
@@ -164,7 +176,7 @@
         tenant = self._tenant(request)
         program_id = _route_value(request, "program_id")
         await self._operators.require_tenant(program_id, tenant)
-        result = await self._end(program_id, "by its caller")
+        result = await self._submit_end_program(program_id, "by its caller")
         if result.refused_kind:
             raise BendshedError(Refusal(ErrorKind(result.refused_kind), result.refused_detail))
         return Response(204)
@@ -177,9 +189,9 @@
     # --- operators, metrics --------------------------------------------------------------
 
     async def _ask(self, request: Request) -> Response:
-        wanted = self._node.settings.operators.token_sha256
-        given = credential_digest(_bearer_token(request))
-        if wanted is None or given != wanted:
+        expected = self._node.settings.operators.token_sha256
+        actual = credential_digest(_bearer_token(request))
+        if expected is None or actual != expected:
             raise BendshedError(Refusal(ErrorKind.UNAUTHORIZED, "the operators' token is needed"))
         content = orjson.loads(await request.read() or b"{}")
         author = str(content.get("author", "operator"))
@@ -196,7 +208,7 @@
         metrics.waiting.set(len(node.scheduler.waiting))
         return Response(200, None, Content(b"text/plain; version=0.0.4", metrics.exposition()))
 
-    def _state(self) -> dict[str, object]:
+    def _status(self) -> dict[str, object]:
         node = self._node
         return {
             "node": node.node_id,
@@ -208,24 +220,24 @@
         }
 
     async def _health(self, _request: Request) -> Response:
-        return Response(200, None, Content(JSON, orjson.dumps(self._state())))
+        return Response(200, None, Content(JSON, orjson.dumps(self._status())))
 
     async def _ready(self, request: Request) -> Response:
         """Wait until the state reaches the numbers in the query, such as ``?members=3``."""
-        wanted = {
+        minimums = {
             name: int(values[0])
             for name, values in request.query.items()
             if name in ("members", "revision", "groups", "runners")
         }
-        until_s = time.monotonic() + READY_TIMEOUT_S
-        while any(int(str(self._state()[name])) < least for name, least in wanted.items()):
-            if time.monotonic() > until_s:
-                return Response(503, None, Content(JSON, orjson.dumps(self._state())))
-            await asyncio.sleep(READY_CHECK_S)
+        deadline_s = time.monotonic() + READY_TIMEOUT_S
+        while any(int(str(self._status()[name])) < minimum for name, minimum in minimums.items()):
+            if time.monotonic() > deadline_s:
+                return Response(503, None, Content(JSON, orjson.dumps(self._status())))
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
         return await self._health(request)
 
 
-def refuse(refusal: Refusal) -> Response:
+def refusal_response(refusal: Refusal) -> Response:
     """HTTP answer of a refusal, from the table."""
     answer = refusal.answer
     headers = []
--- a/src/bendshed/gateway/chat.py
+++ b/src/bendshed/gateway/chat.py
@@ -81,7 +81,7 @@
         body = ChatBody.model_validate_json(content)
         fields = CallHeaders.model_validate(headers)
     except ValidationError as error:
-        return Refusal(ErrorKind.BAD_REQUEST, _explain(error))
+        return Refusal(ErrorKind.BAD_REQUEST, _describe_errors(error))
     declaration = document.programs.get(fields.program_kind)
     if declaration is None:
         return Refusal(
@@ -145,7 +145,7 @@
 
 
 def _to_message(message: dict[str, Any]) -> wire.ChatMessage:
-    extra = {k: v for k, v in message.items() if k not in ("role", "content")}
+    extra = {key: value for key, value in message.items() if key not in ("role", "content")}
     content = message.get("content")
     if content is not None and not isinstance(content, str):
         extra["content"] = content  # parts: travel unread
@@ -157,7 +157,7 @@
     )
 
 
-def _explain(error: ValidationError) -> str:
+def _describe_errors(error: ValidationError) -> str:
     """One line per problem: the field, then what would be right."""
     rows = []
     for row in error.errors():
