--- a/src/bendshed/gateway/service_protocol.py
+++ b/src/bendshed/gateway/service_protocol.py
@@ -14,18 +14,20 @@
 from bendshed.ports.http_messages import ClientRequest, Headers, ResponseHead, end_to_end
 from bendshed.ports.runner import RunnerDispatch, RunnerProtocol, ServiceRequest, Verdict
 
-REQUEST = b"x-bendshed-request"
+REQUEST_ID = b"x-bendshed-request"
 PROGRAM = b"x-bendshed-program"
 DEADLINE_MS = b"x-bendshed-deadline-ms"
-RUNNER = b"x-bendshed-runner"
+RUNNER_ID = b"x-bendshed-runner"
 NOT_RUN = b"x-bendshed-not-run"
 LAST_EVENT = b"last-event-id"
 AUTHORIZATION = b"authorization"
 BEARER = "bearer"
-MISDIRECTED = 421
+MISDIRECTED_REQUEST_STATUS = 421
 """Another machine has the address now (RFC 9110, 15.5.20)."""
 
-_REPLACED = frozenset({REQUEST, DEADLINE_MS, RUNNER, AUTHORIZATION, b"content-length", b"expect"})
+_REPLACED_HEADERS = frozenset(
+    {REQUEST_ID, DEADLINE_MS, RUNNER_ID, AUTHORIZATION, b"content-length", b"expect"}
+)
 """Headers of callers that are not passed on; the token is for this system only."""
 
 
@@ -44,23 +46,23 @@
         if self._configuration().tenant_of_token(_bearer_token(fields)) is None:
             detail = "no known bearer token; ask your operators for one"
             return Refusal(ErrorKind.UNAUTHORIZED, detail)
-        wait_text = _text(fields, DEADLINE_MS)
+        wait_text = _header_text(fields, DEADLINE_MS)
         if wait_text and not wait_text.isdigit():
             detail = f"X-Bendshed-Deadline-Ms: {wait_text!r}: write a whole number"
             return Refusal(ErrorKind.BAD_REQUEST, detail)
-        program_id = _text(fields, PROGRAM)
+        program_id = _header_text(fields, PROGRAM)
         return ServiceRequest(
-            request_id=_text(fields, REQUEST) or f"{self._rng.getrandbits(96):024x}",
+            request_id=_header_text(fields, REQUEST_ID) or f"{self._rng.getrandbits(96):024x}",
             method=received.method,
             target=received.target,
-            host=_text(fields, b"host"),
+            host=_header_text(fields, b"host"),
             path=received.raw_path.decode("latin-1"),
-            headers=_passed_on(received.headers),
+            headers=_forwarded_headers(received.headers),
             body=received.body,
             wait_ms=int(wait_text) if wait_text else None,
             program_id=program_id,
             session=program_id,
-            last_event_id=_text(fields, LAST_EVENT),
+            last_event_id=_header_text(fields, LAST_EVENT),
             turn=None,
             arrived_s=received.arrived_s,
         )
@@ -79,38 +81,38 @@
         self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
     ) -> ClientRequest:
         """Pass the caller's headers on, with our id, the time left and the runner meant."""
-        wanted = request.request_id.encode()
+        request_id = request.request_id.encode()
         headers = [
             *request.headers,
-            (REQUEST, wanted),
+            (REQUEST_ID, request_id),
             (DEADLINE_MS, str(sending.left_ms).encode()),
-            (RUNNER, sending.runner.runner_id.encode()),
+            (RUNNER_ID, sending.runner.runner_id.encode()),
         ]
         return ClientRequest(
             request.method,
             request.target,
             headers,
             body,
-            lambda head: head.get(REQUEST) in (None, wanted),
+            lambda head: head.get(REQUEST_ID) in (None, request_id),
         )
 
     def verdict(self, head: ResponseHead) -> Verdict:
         """Read the proofs that a request was not run."""
-        if head.status == MISDIRECTED:
+        if head.status == MISDIRECTED_REQUEST_STATUS:
             return Verdict.OTHER_RUNNER
         if head.get(NOT_RUN) is not None:
             return Verdict.NOT_RUN
         return Verdict.ANSWERED
 
 
-def _text(fields: dict[bytes, bytes], name: bytes) -> str:
+def _header_text(fields: dict[bytes, bytes], name: bytes) -> str:
     return fields.get(name, b"").decode("latin-1")
 
 
 def _bearer_token(fields: dict[bytes, bytes]) -> str:
-    scheme, _, token = _text(fields, AUTHORIZATION).partition(" ")
+    scheme, _, token = _header_text(fields, AUTHORIZATION).partition(" ")
     return token.strip() if scheme.lower() == BEARER else ""
 
 
-def _passed_on(received: Headers) -> Headers:
-    return [(name, value) for name, value in end_to_end(received) if name not in _REPLACED]
+def _forwarded_headers(received: Headers) -> Headers:
+    return [(name, value) for name, value in end_to_end(received) if name not in _REPLACED_HEADERS]
