--- a/src/bendshed/gateway/forwarding.py
+++ b/src/bendshed/gateway/forwarding.py
@@ -20,7 +20,7 @@
 """Bound on a request's body until a configuration sets one; bounds memory per request."""
 
 
-class ClientGone(Exception):
+class ClientDisconnected(Exception):
     """The client disconnected before its request was whole."""
 
 
@@ -32,20 +32,20 @@
     """Answers one client.
 
     Attributes:
-        is_closing: answers ask the client to use another connection next.
+        closes_connection: answers ask the client to use another connection next.
 
     """
 
-    def __init__(self, send: Send, protocol: CallerProtocol, is_closing: bool) -> None:
+    def __init__(self, send: Send, protocol: CallerProtocol, closes_connection: bool) -> None:
         self._send = send
         self._protocol = protocol
-        self._is_closing = is_closing
-        self._has_begun = False
-        self._is_broken = False
+        self._closes_connection = closes_connection
+        self._has_started = False
+        self._is_aborted = False
 
     async def refuse(self, refusal: Refusal) -> None:
         """Answer with an error of ours, or break off what has begun."""
-        if self._has_begun:
+        if self._has_started:
             self.break_off()
             return
         content = orjson.dumps(refusal.body())
@@ -65,33 +65,33 @@
         await self._start(head.status, end_to_end(head.headers))
 
     async def _start(self, status: int, headers: Headers) -> None:
-        self._has_begun = True
-        if self._is_closing:
+        self._has_started = True
+        if self._closes_connection:
             headers = [*headers, (b"connection", b"close")]
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
     async def send(self, chunk: bytes) -> None:
         """Pass on a piece of the body."""
-        if chunk and not self._is_broken:
+        if chunk and not self._is_aborted:
             await self._send({"type": "http.response.body", "body": chunk, "more_body": True})
 
     async def end(self) -> None:
         """The body is whole."""
-        if not self._is_broken:
+        if not self._is_aborted:
             await self._send({"type": "http.response.body", "body": b"", "more_body": False})
 
     def break_off(self) -> None:
         """End the answer without its last part; the server closes such a connection."""
-        self._is_broken = True
+        self._is_aborted = True
 
 
 class ForwardingApplication:
     """ASGI application for requests that are forwarded to runners.
 
     Attributes:
-        is_closing: the process drains.
+        is_draining: the process drains.
 
-    ``sends_away`` returns whether answers ask callers to connect to another node.
+    ``closes_connections`` returns whether answers ask callers to connect to another node.
 
     """
 
@@ -99,27 +99,27 @@
         self,
         forwarder: Forwarder,
         protocol: CallerProtocol,
-        sends_away: Callable[[], bool] = lambda: False,
+        closes_connections: Callable[[], bool] = lambda: False,
     ) -> None:
-        self.is_closing = False
+        self.is_draining = False
         self._forwarder = forwarder
         self._protocol = protocol
-        self._sends_away = sends_away
+        self._closes_connections = closes_connections
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request."""
         arrived_s = asyncio.get_running_loop().time()
-        closes = self.is_closing or self._sends_away()
-        caller = AsgiCaller(send, self._protocol, closes)
+        closes_connection = self.is_draining or self._closes_connections()
+        caller = AsgiCaller(send, self._protocol, closes_connection)
         try:
             body = await self._read_body(receive)
-        except ClientGone:
+        except ClientDisconnected:
             return  # nothing was forwarded yet, and nobody is left to answer
         except BodyTooLarge:
             detail = "the body is over the configured limit; send a smaller one"
             await caller.refuse(Refusal(ErrorKind.BODY_TOO_LARGE, detail))
             return
-        request = self._protocol.read(_received(scope, body, arrived_s))
+        request = self._protocol.read(_to_received_request(scope, body, arrived_s))
         if isinstance(request, Refusal):
             await caller.refuse(request)
             return
@@ -133,7 +133,7 @@
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                raise ClientGone
+                raise ClientDisconnected
             part = message.get("body", b"")
             num_bytes += len(part)
             if num_bytes > limit:
@@ -147,24 +147,24 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         serving = loop.create_task(self._forwarder.serve(request, caller))
-        leaving = loop.create_task(_wait_until_gone(receive))
+        disconnecting = loop.create_task(_wait_for_disconnect(receive))
         try:
-            await asyncio.wait({serving, leaving}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({serving, disconnecting}, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            leaving.cancel()
+            disconnecting.cancel()
             if not serving.done():
                 serving.cancel()
-        await asyncio.gather(serving, leaving, return_exceptions=True)
+        await asyncio.gather(serving, disconnecting, return_exceptions=True)
         if not serving.cancelled() and serving.exception() is not None:
             raise serving.exception() or RuntimeError
 
 
-async def _wait_until_gone(receive: Receive) -> None:
+async def _wait_for_disconnect(receive: Receive) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
 
 
-def _received(scope: Scope, body: bytes, arrived_s: float) -> ReceivedRequest:
+def _to_received_request(scope: Scope, body: bytes, arrived_s: float) -> ReceivedRequest:
     return ReceivedRequest(
         method=scope["method"].encode("latin-1"),
         raw_path=scope["raw_path"],
--- a/src/bendshed/gateway/services.py
+++ b/src/bendshed/gateway/services.py
@@ -22,9 +22,9 @@
 from bendshed.services.metrics import ServiceMetrics
 from bendshed.services.runners import RunnerTable
 
-SERVICE_KIND = "service"
+SERVICE_MACHINE_KIND = "service"
 """Machines of this kind run the service that their field ``model`` names."""
-HTTP_PORT = 80
+DEFAULT_HTTP_PORT = 80
 
 log = PartLog("services")
 
@@ -44,13 +44,13 @@
         self,
         node: Node,
         connections: RunnerConnections,
-        pages: Application,
+        fallback: Application,
         registry: CollectorRegistry,
     ) -> None:
         self.table = RunnerTable()
         self._node = node
         self._connections = connections
-        self._pages = pages
+        self._fallback = fallback
         ports = RunnerPorts(
             self.table,
             connections,
@@ -68,17 +68,17 @@
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request, or the server's start and stop."""
-        if scope["type"] == "http" and self._is_routed(scope):
-            self._forwarding.is_closing = self._node.draining
+        if scope["type"] == "http" and self._matches_route(scope):
+            self._forwarding.is_draining = self._node.draining
             await self._forwarding(scope, receive, send)
         else:
-            await self._pages(scope, receive, send)
+            await self._fallback(scope, receive, send)
 
     def close(self) -> None:
         """Close idle connections to runners."""
         self._connections.close()
 
-    def _is_routed(self, scope: Scope) -> bool:
+    def _matches_route(self, scope: Scope) -> bool:
         index = self.forwarder.index
         if index is None:
             return False
@@ -96,28 +96,28 @@
 
     def _on_machines(self, machines: list[Machine]) -> None:
         """Take the whole machine list."""
-        listed = [self._to_runner(m) for m in machines if m.kind == SERVICE_KIND]
+        listed = [self._to_runner(m) for m in machines if m.kind == SERVICE_MACHINE_KIND]
         known = set(self.table.by_id)
         for runner_id in known - {runner.runner_id for runner in listed}:
-            self._forget(runner_id)
+            self._remove_runner(runner_id)
         for runner in listed:
             self.table.put(runner)
 
     def _to_runner(self, machine: Machine) -> ServiceRunner:
         declared = self._node.configuration.document.services.get(machine.model)
         slots = (declared or ServiceDeclaration()).slots
-        place = urlsplit(machine.url)
-        leaves = machine.leaving or machine.machine_id in self._node.table.drained
+        url = urlsplit(machine.url)
+        is_leaving = machine.leaving or machine.machine_id in self._node.table.drained
         return ServiceRunner(
             runner_id=machine.machine_id,
             service=machine.model,
-            address=Address(place.hostname or "", place.port or HTTP_PORT),
+            address=Address(url.hostname or "", url.port or DEFAULT_HTTP_PORT),
             zone=machine.zone,
             slots=slots,
-            state=RunnerState.DRAINING if leaves else RunnerState.READY,
+            state=RunnerState.DRAINING if is_leaving else RunnerState.READY,
         )
 
-    def _forget(self, runner_id: str) -> None:
+    def _remove_runner(self, runner_id: str) -> None:
         address = self.table.by_id[runner_id].listed.address
         self.table.remove(runner_id, now_s=0.0, is_trusted=True)
         self._connections.forget(address)
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -137,7 +137,7 @@
         """Not ready at once; serve what comes until the platform has noticed; finish the rest."""
         until_s = asyncio.get_running_loop().time() + self._settings.bounds.graceS - STOP_MARGIN_S
         self._node.start_drain()
-        self._forwarding.is_closing = True
+        self._forwarding.is_draining = True
         await asyncio.sleep(NOTICE_S)
         self._server.should_exit = True
         with contextlib.suppress(TimeoutError):
