--- a/src/bendshed/gateway/__init__.py
+++ b/src/bendshed/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP side of a node: callers, operators, metrics."""
+"""HTTP interface of a node for callers, operators and metrics scrapes."""
--- a/src/bendshed/gateway/application.py
+++ b/src/bendshed/gateway/application.py
@@ -33,10 +33,10 @@
 
 
 class Gateway:
-    """Routes of one node.
+    """Routes and request handlers of one node.
 
     Attributes:
-        metrics: what the node counts.
+        metrics: metrics of the node.
 
     """
 
@@ -70,7 +70,7 @@
         return application
 
     def _with_error_responses(self, handler: Handler) -> Handler:
-        """Answer refusals raised inside a handler from the table."""
+        """Convert refusals that a handler raises into error responses."""
 
         async def handle(request: Request) -> Response:
             try:
@@ -142,7 +142,7 @@
     async def _stream_events(
         self, live_answer: LiveAnswer, parsed: chat.ParsedCall, arrived_s: float
     ) -> AsyncIterator[bytes]:
-        """The engine's events as they come; the closing ones only after the commit."""
+        """Stream the engine's events on arrival and the closing ones only after the commit."""
         async for chunk in live_answer.read():
             self.metrics.streamed_bytes.inc(len(chunk))
             yield chunk
@@ -223,7 +223,7 @@
         return Response(200, None, Content(JSON, orjson.dumps(self._status())))
 
     async def _ready(self, request: Request) -> Response:
-        """Wait until the state reaches the numbers in the query, such as ``?members=3``."""
+        """Wait until the status reaches the minimums in the query, such as ``?members=3``."""
         minimums = {
             name: int(values[0])
             for name, values in request.query.items()
@@ -238,7 +238,7 @@
 
 
 def refusal_response(refusal: Refusal) -> Response:
-    """HTTP answer of a refusal, from the table."""
+    """Build the HTTP response of a refusal from the table of error kinds."""
     answer = refusal.answer
     headers = []
     if answer.retry_after_s is not None:
--- a/src/bendshed/gateway/chat.py
+++ b/src/bendshed/gateway/chat.py
@@ -1,4 +1,4 @@
-"""Reads a chat-completions request into a call, and writes answers in that API's shape."""
+"""Parses and validates chat-completions requests."""
 
 from collections.abc import Mapping
 from typing import Annotated, Any
@@ -21,7 +21,7 @@
 
 
 class ChatBody(BaseModel):
-    """What bendshed reads of the body; other fields of the API are accepted and unused."""
+    """Fields of the request body that are used; other fields of the API are ignored."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -36,10 +36,10 @@
     """The ``X-Bendshed-*`` headers and ``Idempotency-Key``.
 
     Attributes:
-        program: program id; without it the call is a program by itself.
-        program_kind: name under which operators declared it.
-        call: issue order over the whole program, from 1.
-        end: the program ends with this call.
+        program: program id; without it the call forms a program of its own.
+        program_kind: name under which operators declared the program.
+        call: sequence number of the call within the whole program, from 1.
+        end: whether the program ends with this call.
 
     """
 
@@ -58,7 +58,7 @@
 
 
 class ParsedCall(BaseModel):
-    """A request that can be run, with how its caller wants the answer."""
+    """A valid call and the delivery options that its caller requested."""
 
     model_config = ConfigDict(arbitrary_types_allowed=True, frozen=True)
 
@@ -76,7 +76,7 @@
     now_ms: int,
     request_id: str,
 ) -> ParsedCall | Refusal:
-    """Check a request against the configuration in force."""
+    """Parse a request and validate it against the configuration in force."""
     try:
         body = ChatBody.model_validate_json(content)
         fields = CallHeaders.model_validate(headers)
@@ -128,7 +128,7 @@
 
 
 def call_headers(pairs: Mapping[str, str]) -> dict[str, str]:
-    """The headers that concern a call, by field name."""
+    """Extract the headers of ``CallHeaders``, keyed by field name."""
     fields = {
         name.removeprefix(HEADER_PREFIX).replace("-", "_"): value
         for name, value in pairs.items()
@@ -140,7 +140,7 @@
 
 
 def _priority(tenant: Tenant, requested: int | None) -> int:
-    """A caller may make a call less urgent than its tenant's priority, never more."""
+    """Return the call's priority; a caller may lower its tenant's urgency but not raise it."""
     return tenant.priority if requested is None else max(tenant.priority, requested)
 
 
@@ -148,7 +148,7 @@
     extra = {key: value for key, value in message.items() if key not in ("role", "content")}
     content = message.get("content")
     if content is not None and not isinstance(content, str):
-        extra["content"] = content  # parts: travel unread
+        extra["content"] = content  # content parts are passed through unparsed
         content = ""
     return wire.ChatMessage(
         role=str(message.get("role", "user")),
@@ -158,7 +158,7 @@
 
 
 def _describe_errors(error: ValidationError) -> str:
-    """One line per problem: the field, then what would be right."""
+    """List all validation errors as ``field: message``, separated by semicolons."""
     rows = []
     for row in error.errors():
         field = ".".join(str(part) for part in row["loc"]) or "body"
--- a/src/bendshed/gateway/forwarding.py
+++ b/src/bendshed/gateway/forwarding.py
@@ -1,7 +1,7 @@
-"""Forwarded requests as an ASGI application: requests in, answers out, byte for byte.
+"""ASGI application that forwards requests to runners without altering their bodies.
 
-The HTTP library hides when a client disconnects and how an answer is broken off, so requests
-that are forwarded are taken at the ASGI level below it (docs/design/0003).
+The HTTP library does not expose client disconnects or a way to abort a response, so forwarded
+requests are handled at the ASGI level below it (docs/design/0003).
 """
 
 import asyncio
@@ -17,22 +17,24 @@
 from bendshed.services.forwarder import Forwarder
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
-"""Bound on a request's body until a configuration sets one; bounds memory per request."""
+"""Body size limit until a configuration sets one; bounds memory per request."""
 
 
 class ClientDisconnected(Exception):
-    """The client disconnected before its request was whole."""
+    """The client disconnected before its request was complete."""
 
 
 class BodyTooLarge(Exception):
-    """The request's body is over the operators' limit."""
+    """The request's body exceeds the configured limit."""
 
 
 class AsgiCaller(Caller):
-    """Answers one client.
+    """Sends the response of one request to its client.
 
-    Attributes:
-        closes_connection: answers ask the client to use another connection next.
+    Args:
+        send: ASGI send function of the request.
+        protocol: determines status and Retry-After of refusals.
+        closes_connection: whether responses carry ``Connection: close``.
 
     """
 
@@ -44,7 +46,7 @@
         self._is_aborted = False
 
     async def refuse(self, refusal: Refusal) -> None:
-        """Answer with an error of ours, or break off what has begun."""
+        """Send an error response, or abort the response if it has started."""
         if self._has_started:
             self.break_off()
             return
@@ -61,7 +63,7 @@
         await self.end()
 
     async def begin(self, head: ResponseHead) -> None:
-        """Pass on status and headers, without those of the runner's connection."""
+        """Forward status and headers, without the hop-by-hop headers of the runner."""
         await self._start(head.status, end_to_end(head.headers))
 
     async def _start(self, status: int, headers: Headers) -> None:
@@ -71,27 +73,31 @@
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
     async def send(self, chunk: bytes) -> None:
-        """Pass on a piece of the body."""
+        """Forward a chunk of the body."""
         if chunk and not self._is_aborted:
             await self._send({"type": "http.response.body", "body": chunk, "more_body": True})
 
     async def end(self) -> None:
-        """The body is whole."""
+        """Finish the response after its complete body."""
         if not self._is_aborted:
             await self._send({"type": "http.response.body", "body": b"", "more_body": False})
 
     def break_off(self) -> None:
-        """End the answer without its last part; the server closes such a connection."""
+        """Abort the response; without a final body message the server closes the connection."""
         self._is_aborted = True
 
 
 class ForwardingApplication:
     """ASGI application for requests that are forwarded to runners.
 
-    Attributes:
-        is_draining: the process drains.
+    Args:
+        forwarder: serves the requests.
+        protocol: parses requests and determines how refusals are answered.
+        closes_connections: whether responses close the connection, so that clients reconnect to
+            another node.
 
-    ``closes_connections`` returns whether answers ask callers to connect to another node.
+    Attributes:
+        is_draining: whether the process drains; responses close the connection then too.
 
     """
 
@@ -114,7 +120,7 @@
         try:
             body = await self._read_body(receive)
         except ClientDisconnected:
-            return  # nothing was forwarded yet, and nobody is left to answer
+            return  # nothing was forwarded yet, and the client cannot receive a response
         except BodyTooLarge:
             detail = "the body is over the configured limit; send a smaller one"
             await caller.refuse(Refusal(ErrorKind.BODY_TOO_LARGE, detail))
--- a/src/bendshed/gateway/metrics.py
+++ b/src/bendshed/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one node in the usual exposition format (prometheus_client)."""
+"""Metrics of one node in the Prometheus exposition format (prometheus_client)."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
@@ -6,12 +6,12 @@
 
 
 class Metrics:
-    """The node's registry and what it counts.
+    """The node's metrics registry and the metrics of its gateway.
 
     Attributes:
         calls: calls by outcome (``answered`` or an error kind).
-        first_event_s: from the request's arrival to its first event, in seconds.
-        call_s: from arrival to the outcome, in seconds.
+        first_event_s: seconds from the request's arrival to its first event.
+        call_s: seconds from the request's arrival to its outcome.
         streamed_bytes: bytes forwarded to callers.
 
     """
@@ -46,5 +46,5 @@
         )
 
     def exposition(self) -> bytes:
-        """Return the text of ``GET /metrics``."""
+        """Return the response body of ``GET /metrics``."""
         return generate_latest(self.registry)
--- a/src/bendshed/gateway/service_protocol.py
+++ b/src/bendshed/gateway/service_protocol.py
@@ -1,8 +1,8 @@
-"""The product's protocol on declared routes, towards callers and runners.
+"""The product's own HTTP protocol on declared routes, for callers and for runners.
 
-A runner is any HTTP service of the machine list. One that says ``X-Bendshed-Not-Run`` proves that
-it did not run the request; ``X-Bendshed-Request`` in an answer tells a surplus answer from the
-expected one.
+A runner is any HTTP service in the machine list. Its ``X-Bendshed-Not-Run`` response header proves
+that it did not run the request; ``X-Bendshed-Request`` in a response distinguishes the response to
+this request from a stray response to another one.
 """
 
 import random
@@ -23,16 +23,17 @@
 AUTHORIZATION = b"authorization"
 BEARER = "bearer"
 MISDIRECTED_REQUEST_STATUS = 421
-"""Another machine has the address now (RFC 9110, 15.5.20)."""
+"""Status of a machine that is not the intended runner: the address was reassigned
+(RFC 9110, 15.5.20)."""
 
 _REPLACED_HEADERS = frozenset(
     {REQUEST_ID, DEADLINE_MS, RUNNER_ID, AUTHORIZATION, b"content-length", b"expect"}
 )
-"""Headers of callers that are not passed on; the token is for this system only."""
+"""Callers' headers that are not forwarded; the bearer token is meant for this system only."""
 
 
 class ServiceCallerProtocol(CallerProtocol):
-    """Callers of declared routes."""
+    """Protocol of callers on declared routes."""
 
     def __init__(
         self, configuration: Callable[[], ConfigurationDocument], rng: random.Random
@@ -41,8 +42,8 @@
         self._rng = rng
 
     def read(self, received: ReceivedRequest) -> ServiceRequest | Refusal:
-        """Read the headers; refuse an unknown tenant or a number that is none."""
-        fields = dict(reversed(received.headers))  # the first of a name counts
+        """Parse the headers; refuse an unknown bearer token or a deadline that is no number."""
+        fields = dict(reversed(received.headers))  # the first of repeated headers wins
         if self._configuration().tenant_of_token(_bearer_token(fields)) is None:
             detail = "no known bearer token; ask your operators for one"
             return Refusal(ErrorKind.UNAUTHORIZED, detail)
@@ -68,19 +69,19 @@
         )
 
     def answer_of(self, refusal: Refusal) -> RefusalAnswer:
-        """Read the table of error kinds."""
+        """Look up status and Retry-After in the table of error kinds."""
         answer = refusal.answer
         retry_after = str(answer.retry_after_s) if answer.retry_after_s is not None else ""
         return RefusalAnswer(answer.status, retry_after)
 
 
 class ServiceRunnerProtocol(RunnerProtocol):
-    """Runners of declared services."""
+    """Protocol of runners of declared services."""
 
     def request(
         self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
     ) -> ClientRequest:
-        """Pass the caller's headers on, with our id, the time left and the runner meant."""
+        """Forward the caller's headers with request id, remaining time and intended runner."""
         request_id = request.request_id.encode()
         headers = [
             *request.headers,
@@ -97,7 +98,7 @@
         )
 
     def verdict(self, head: ResponseHead) -> Verdict:
-        """Read the proofs that a request was not run."""
+        """Classify the response by status and headers that prove the request was not run."""
         if head.status == MISDIRECTED_REQUEST_STATUS:
             return Verdict.OTHER_RUNNER
         if head.get(NOT_RUN) is not None:
--- a/src/bendshed/gateway/services.py
+++ b/src/bendshed/gateway/services.py
@@ -1,4 +1,4 @@
-"""Declared services of a node: what a route takes goes to a machine of the machine list."""
+"""Forwards requests on declared routes to the service machines of the machine list."""
 
 from collections.abc import Awaitable, Callable
 from urllib.parse import urlsplit
@@ -23,7 +23,7 @@
 from bendshed.services.runners import RunnerTable
 
 SERVICE_MACHINE_KIND = "service"
-"""Machines of this kind run the service that their field ``model`` names."""
+"""Machines of this kind run the service named in their field ``model``."""
 DEFAULT_HTTP_PORT = 80
 
 log = PartLog("services")
@@ -32,11 +32,11 @@
 
 
 class DeclaredServices:
-    """Forwards requests on the operators' routes; all others go to the node's pages.
+    """Forwards requests on declared routes; all others go to the fallback application.
 
     Attributes:
-        table: runners of services, as the machine list names them.
-        forwarder: serves requests.
+        table: runners of declared services, from the machine list.
+        forwarder: forwards requests to runners.
 
     """
 
@@ -67,7 +67,7 @@
         node.monitor.on_machine_list.append(self._on_machines)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request, or the server's start and stop."""
+        """Handle one request or the server's lifespan events."""
         if scope["type"] == "http" and self._matches_route(scope):
             self._forwarding.is_draining = self._node.draining
             await self._forwarding(scope, receive, send)
@@ -95,7 +95,7 @@
         log.say("routes in force", revision=revision, routes=len(forwarded.routes))
 
     def _on_machines(self, machines: list[Machine]) -> None:
-        """Take the whole machine list."""
+        """Replace the runners by the service machines of the complete machine list."""
         listed = [self._to_runner(m) for m in machines if m.kind == SERVICE_MACHINE_KIND]
         known = set(self.table.by_id)
         for runner_id in known - {runner.runner_id for runner in listed}:
