--- a/src/bendshed/platform/encode.py
+++ b/src/bendshed/platform/encode.py
@@ -27,9 +27,9 @@
         },
     }
     if document.tenants:
-        known = keys or {}
+        keys_by_tenant = keys or {}
         content["tenants"] = [
-            _write_tenant(row, known.get(row.name, ())) for row in document.tenants
+            _write_tenant(row, keys_by_tenant.get(row.name, ())) for row in document.tenants
         ]
     return content
 
--- a/src/bendshed/platform/objects.py
+++ b/src/bendshed/platform/objects.py
@@ -56,7 +56,7 @@
         ``may_be_stale``: the answer may be seconds old, at a tenth of the price.
         """
         items: list[StoredObject] = []
-        first_at: int | None = None
+        first_page_at: int | None = None
         after = ""
         while True:
             parameters = [f"after={quote(after, safe='')}"] if after else []
@@ -64,10 +64,10 @@
             query = f"?{'&'.join(parameters)}" if parameters else ""
             _, content = await self._call(b"GET", _path(kind) + query, None, self._call_timeout_s)
             items.extend(_read_object(row) for row in content["items"])
-            if first_at is None:
-                first_at = int(content["at"])
+            if first_page_at is None:
+                first_page_at = int(content["at"])
             if not content.get(names.HAS_MORE) or not items:
-                return ObjectList(items, first_at)
+                return ObjectList(items, first_page_at)
             after = items[-1].name
 
     async def watch(self, kind: str, at: int, wait_s: float) -> ObjectEvents:
@@ -78,12 +78,12 @@
         )
         if status == 410:
             raise HistoryGone(kind)
-        listed_at = int(content["at"])
+        revision = int(content["at"])
         events = [
-            ObjectEvent(_read_object(row["object"]), bool(row["gone"]), listed_at)
+            ObjectEvent(_read_object(row["object"]), bool(row["gone"]), revision)
             for row in content["events"]
         ]
-        return ObjectEvents(events, listed_at)
+        return ObjectEvents(events, revision)
 
     async def create(self, kind: str, name: str, spec: Any) -> StoredObject:
         """Create an object; raise ``VersionConflict`` if it exists."""
@@ -133,14 +133,14 @@
 
     async def _exchange(self, request: ClientRequest) -> tuple[int, bytes]:
         connection = await self._pool.acquire(self._address)
-        whole = False
+        is_complete = False
         try:
             head = await connection.send(request)
             answer = b"".join([chunk async for chunk in connection.body()])
-            whole = True
+            is_complete = True
             return head.status, answer
         finally:
-            if whole:
+            if is_complete:
                 connection.finish()
             else:
                 connection.abort()
--- a/src/bendshed/platform/runner_protocol.py
+++ b/src/bendshed/platform/runner_protocol.py
@@ -22,9 +22,9 @@
         if sending.route.is_sticky:
             urgency = min(max(sending.urgency, names.MOST_URGENT), names.LEAST_URGENT)
             headers.append((names.URGENCY, str(urgency).encode()))
-        wanted = request.request_id.encode()
+        expected = request.request_id.encode()
         return ClientRequest(
-            request.method, request.target, headers, body, lambda head: _owns(head, wanted)
+            request.method, request.target, headers, body, lambda head: _matches(head, expected)
         )
 
     def verdict(self, head: ResponseHead) -> Verdict:
@@ -36,9 +36,9 @@
         return Verdict.ANSWERED
 
 
-def _owns(head: ResponseHead, wanted: bytes) -> bool:
+def _matches(head: ResponseHead, expected: bytes) -> bool:
     """An answer carries the request's id; one that says "not run" may lack it."""
     found = head.get(names.REQUEST_ID)
     if found is None:
         return head.get(names.NOT_RUN) is not None or head.status == names.OTHER_RUNNER_STATUS
-    return found == wanted
+    return found == expected
--- a/src/bendshed/platform/translate.py
+++ b/src/bendshed/platform/translate.py
@@ -93,12 +93,12 @@
 
 
 def _read_limits(row: Any) -> ClientLimits:
-    known = ClientLimits()
+    defaults = ClientLimits()
     return ClientLimits(
-        max_header_bytes=int(row.get("maxHeaderBytes") or known.max_header_bytes),
-        max_body_bytes=int(row.get("maxBodyBytes") or known.max_body_bytes),
-        header_timeout_ms=int(row.get("headerTimeoutMs") or known.header_timeout_ms),
-        idle_timeout_ms=int(row.get("idleTimeoutMs") or known.idle_timeout_ms),
+        max_header_bytes=int(row.get("maxHeaderBytes") or defaults.max_header_bytes),
+        max_body_bytes=int(row.get("maxBodyBytes") or defaults.max_body_bytes),
+        header_timeout_ms=int(row.get("headerTimeoutMs") or defaults.header_timeout_ms),
+        idle_timeout_ms=int(row.get("idleTimeoutMs") or defaults.idle_timeout_ms),
     )
 
 
