--- a/src/bendshed/platform/main.py
+++ b/src/bendshed/platform/main.py
@@ -13,7 +13,7 @@
 from bendshed.platform.settings import SiteSettingsInvalid, load_site_settings
 
 ROLES = ("node", "store")
-BAD_INPUT = 2
+EXIT_BAD_INPUT = 2
 USAGE = "give one role, node or store, and if wanted the port of its metrics"
 
 
@@ -30,7 +30,7 @@
     metrics_port: int | None = None
 
 
-def _read_command(arguments: list[str]) -> Command | None:
+def _parse_command(arguments: list[str]) -> Command | None:
     """Read the arguments; ``None``: they are wrong."""
     match arguments:
         case [role] if role in ROLES:
@@ -42,10 +42,10 @@
 
 def main(arguments: list[str]) -> int:
     """Run a role until it is stopped; return the exit code."""
-    command = _read_command(arguments)
+    command = _parse_command(arguments)
     if command is None:
         sys.stderr.write(f"{USAGE}\n")
-        return BAD_INPUT
+        return EXIT_BAD_INPUT
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the role handles it
     gc.disable()  # loading leaves no garbage; looking for it took a twentieth of a start
     try:
@@ -56,7 +56,7 @@
         run_role(command.role, command.metrics_port, settings, listeners)
     except SiteSettingsInvalid as error:
         sys.stderr.write(f"{error}\n")
-        return BAD_INPUT
+        return EXIT_BAD_INPUT
     finally:
         gc.enable()
     return 0
--- a/src/bendshed/platform/roles.py
+++ b/src/bendshed/platform/roles.py
@@ -41,36 +41,36 @@
         MetricsPage(registry, METRICS_PATH).listen(settings.ip, metrics_port)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    loop.add_signal_handler(signal.SIGHUP, _log_changes, settings)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
+    loop.add_signal_handler(signal.SIGHUP, _log_changed_settings, settings)
     if role == "node":
         from bendshed.platform.front import FrontProcess  # noqa: PLC0415 (a role loads its part)
 
-        _collect_garbage()
+        _enable_garbage_collection()
         await FrontProcess(settings, listeners, registry).run(stopping)
         return
     from bendshed.platform.replica import StoreProcess  # noqa: PLC0415
 
     if settings.dataDir is None:
         raise SiteSettingsInvalid("dataDir: (missing): run the role store where there is a disk")
-    _collect_garbage()
+    _enable_garbage_collection()
     await StoreProcess(settings, Path(settings.dataDir), registry).run(stopping)
 
 
-def _collect_garbage() -> None:
+def _enable_garbage_collection() -> None:
     """From now on; what was loaded stays for good and is not looked at again."""
     gc.freeze()
     gc.enable()
 
 
-def _log_changes(in_force: SiteSettings) -> None:
+def _log_changed_settings(current: SiteSettings) -> None:
     """Read the settings again and say what differs from the old ones."""
     try:
-        fresh = load_site_settings()
+        reloaded = load_site_settings()
     except SiteSettingsInvalid as error:
         log.say("new settings rejected: old ones stay in force", reason=str(error))
         return
     names = SiteSettings.__struct_fields__
-    changed = [name for name in names if getattr(fresh, name) != getattr(in_force, name)]
+    changed = [name for name in names if getattr(reloaded, name) != getattr(current, name)]
     log.say("settings reloaded", changed=changed)
