--- a/src/bendshed/platform/caller_protocol.py
+++ b/src/bendshed/platform/caller_protocol.py
@@ -26,7 +26,7 @@
     ErrorKind.OUTCOME_UNKNOWN: 504,
 }
 _NOT_RUN_STATUS, _MAY_HAVE_RUN_STATUS = 503, 502
-_OWN = names.SET_BY_THE_SYSTEM | {
+_NOT_FORWARDED = names.SYSTEM_HEADERS | {
     names.DEADLINE_MS,
     names.AUTHORIZATION,
     b"content-length",
@@ -43,7 +43,7 @@
     def read(self, received: ReceivedRequest) -> ServiceRequest | Refusal:
         """Translate a client's request; refuse one whose fields cannot be read."""
         fields = dict(reversed(received.headers))  # the first of a name counts
-        request_id = _text(fields, names.REQUEST_ID)
+        request_id = _header_text(fields, names.REQUEST_ID)
         if not request_id:
             detail = "X-Request-Id: (missing): send an id of the attempt"
             return Refusal(ErrorKind.BAD_REQUEST, detail)
@@ -52,24 +52,24 @@
             turn = _read_turn(fields)
         except ValueError as error:
             return Refusal(ErrorKind.BAD_REQUEST, str(error))
-        program_id = _text(fields, names.PROGRAM_ID)
+        program_id = _header_text(fields, names.PROGRAM_ID)
         return ServiceRequest(
             request_id=request_id,
             method=received.method,
             target=received.target,
-            host=_text(fields, b"host"),
+            host=_header_text(fields, b"host"),
             path=received.raw_path.decode("latin-1"),
-            headers=_passed_on(received.headers),
+            headers=_forwarded_headers(received.headers),
             body=received.body,
             wait_ms=wait_ms,
             program_id=program_id,
-            session=program_id or _text(fields, names.SESSION_ID),
-            last_event_id=_text(fields, names.LAST_EVENT_ID),
+            session=program_id or _header_text(fields, names.SESSION_ID),
+            last_event_id=_header_text(fields, names.LAST_EVENT_ID),
             turn=turn if program_id else None,
             arrived_s=received.arrived_s,
             credential=_read_credential(received.headers),
             authorization=[row for row in received.headers if row[0] == names.AUTHORIZATION],
-            affinity_key=_text(fields, names.AFFINITY),
+            affinity_key=_header_text(fields, names.AFFINITY),
         )
 
     def answer_of(self, refusal: Refusal) -> RefusalAnswer:
@@ -89,7 +89,7 @@
     return _NOT_RUN_STATUS if refusal.answer.ran is WasRun.NO else _MAY_HAVE_RUN_STATUS
 
 
-def _text(fields: dict[bytes, bytes], name: bytes) -> str:
+def _header_text(fields: dict[bytes, bytes], name: bytes) -> str:
     return fields.get(name, b"").decode("latin-1")
 
 
@@ -104,26 +104,26 @@
     return credential_digest(key)
 
 
-def _passed_on(received: Headers) -> Headers:
+def _forwarded_headers(received: Headers) -> Headers:
     """The client's headers for the runner; length, deadline and ours are replaced."""
-    return [(name, value) for name, value in end_to_end(received) if name not in _OWN]
+    return [(name, value) for name, value in end_to_end(received) if name not in _NOT_FORWARDED]
 
 
 def _read_turn(fields: dict[bytes, bytes]) -> TurnDetails | None:
     counts = fields.get(names.TOKEN_COUNTS)
     if counts is None:
         return None
-    prompt, _, most = counts.partition(b",")
-    if not most.strip().isdigit():
+    prompt, _, max_output = counts.partition(b",")
+    if not max_output.strip().isdigit():
         raise ValueError(f"X-Token-Counts: {counts!r}: write the prompt's tokens, the most out")
-    line = _text(fields, names.SESSION_ID)
-    parts = _read_parts(_text(fields, names.PROMPT_PARTS))
+    line = _header_text(fields, names.SESSION_ID)
+    parts = _read_parts(_header_text(fields, names.PROMPT_PARTS))
     if not parts and prompt.strip().isdigit():
         parts = (PromptPart(line, int(prompt)),)
     return TurnDetails(
-        previous_turn=_text(fields, names.PREVIOUS_TURN),
+        previous_turn=_header_text(fields, names.PREVIOUS_TURN),
         budget_tokens=_read_int(fields, names.TOKEN_BUDGET),
-        most_tokens=int(most),
+        most_tokens=int(max_output),
         parts=parts,
         line=line,
     )
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -30,15 +30,15 @@
 from bendshed.tasks import start_loop
 
 RUNNER_CONNECT_TIMEOUT_S = 0.6
-NOTICE_SHARE = 0.6
+SHORT_WATCH_SHARE = 0.6
 """A dead way to the store is noticed within this share of the time that a node has, after the way
 is back, until it must act on what the store says."""
-PACE_SHARE = 0.15
+BATCH_INTERVAL_SHARE = 0.15
 """Changes of this share of the time in which they must be applied cost one call together."""
-NOTICE_S = 2.6
+READINESS_DETECTION_S = 2.6
 """The platform sends no new clients after two of its questions, a second apart, went unanswered."""
 STOP_MARGIN_S = 0.8
-IDLE_MARGIN_S = 5
+IDLE_TIMEOUT_MARGIN_S = 5
 READY_STATUS, NOT_READY_STATUS = 200, 503
 
 log = PartLog("front")
@@ -57,7 +57,7 @@
         self._api = ObjectApi(read_address(settings.platform.addr))
         self._connections = ConnectionPool(RUNNER_CONNECT_TIMEOUT_S)
         times = settings.catalog_times
-        self._settle_s = times.max_age_s
+        self._startup_wait_s = times.max_age_s
         self._node = ServiceNode(
             self._transport,
             self._connections,
@@ -77,50 +77,50 @@
             self._node.forwarder, PlatformCallerProtocol(), lambda: self._node.is_isolated
         )
         self._server = make_server(self._application)
-        self._runners = self._watcher(
+        self._runner_watch = self._watch(
             names.RUNNER_KIND,
-            KindHandler(self._list_runners, self._on_runner, self._node.catalog.note_registry),
+            KindHandler(self._replace_runners, self._on_runner, self._node.catalog.note_registry),
             self._short_watch_s(),
         )
         long_watch_s = times.idle_wait_s
-        self._others = [
-            self._watcher(
+        self._other_watches = [
+            self._watch(
                 names.CONFIGURATION_KIND,
-                KindHandler.of_states(self._take_configuration),
+                KindHandler.of_states(self._apply_configuration),
                 long_watch_s,
             ),
-            self._watcher(
+            self._watch(
                 names.REPLICA_KIND,
-                KindHandler.of_states(self._take_replica),
+                KindHandler.of_states(self._put_replica),
                 long_watch_s,
             ),
         ]
         if times.follows_zones:
-            handler = KindHandler.of_names(self._take_zones)
-            zones = self._watcher(names.ZONE_CLOSURE_KIND, handler, times.zones_wait_s)
+            handler = KindHandler.of_names(self._apply_zones)
+            zones = self._watch(names.CLOSED_ZONE_KIND, handler, times.zones_wait_s)
             zones.is_quick_again = True
-            self._others.append(zones)
-        self._reading = RegistryReading(self._node.catalog, self._runners, self._others)
-        self._node.forwarder.is_current = self._is_current
+            self._other_watches.append(zones)
+        self._reading = RegistryReading(self._node.catalog, self._runner_watch, self._other_watches)
+        self._node.forwarder.is_current = self._is_configuration_current
 
     async def run(self, stopping: asyncio.Event) -> None:
         """Serve until ``stopping`` is set, then drain."""
         await self._transport.start()
-        watchers = [self._runners, *self._others]
-        following = [start_loop(watcher.run(), "platform") for watcher in watchers]
-        following.append(start_loop(self._node.watch_turn_log(), "turns"))
-        following.append(start_loop(self._node.catalog.run(), "catalog"))
-        following.append(start_loop(self._node.quotas.report_until_cancelled(), "quota"))
-        waiting = self._reading.wait_for_update(self._look_for_replicas, self._settle_s)
-        following.append(start_loop(waiting, "registry"))
+        watchers = [self._runner_watch, *self._other_watches]
+        tasks = [start_loop(watcher.run(), "platform") for watcher in watchers]
+        tasks.append(start_loop(self._node.watch_turn_log(), "turns"))
+        tasks.append(start_loop(self._node.catalog.run(), "catalog"))
+        tasks.append(start_loop(self._node.quotas.report_until_cancelled(), "quota"))
+        waiting = self._reading.wait_for_update(self._load_replicas, self._startup_wait_s)
+        tasks.append(start_loop(waiting, "registry"))
         sockets = list(self._listeners.sockets)
-        serving = asyncio.get_running_loop().create_task(self._server.serve(sockets=sockets))
+        server_task = asyncio.get_running_loop().create_task(self._server.serve(sockets=sockets))
         log.say("started", name=self._settings.nodeName, zone=self._settings.zone)
         await stopping.wait()
-        await self._drain(serving)
-        for task in following:
+        await self._drain(server_task)
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*following, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
         self._node.close()
         await self._transport.close()
         log.say("stopped", open=self._node.forwarder.num_open)
@@ -129,20 +129,20 @@
         metrics = ServiceMetrics(registry)
         calls = metrics.gauge("bendshed_store_calls", "Calls to the platform's store since start")
         calls.set_function(lambda: self._api.num_calls)
-        opened = metrics.gauge("bendshed_runner_connections_opened", "Connections since start")
-        opened.set_function(lambda: self._connections.num_opened)
+        connections = metrics.gauge("bendshed_runner_connections_opened", "Connections since start")
+        connections.set_function(lambda: self._connections.num_opened)
         return metrics
 
-    async def _drain(self, serving: "asyncio.Task[None]") -> None:
+    async def _drain(self, server_task: "asyncio.Task[None]") -> None:
         """Not ready at once; serve what comes until the platform has noticed; finish the rest."""
-        until_s = asyncio.get_running_loop().time() + self._settings.bounds.graceS - STOP_MARGIN_S
+        end_s = asyncio.get_running_loop().time() + self._settings.bounds.graceS - STOP_MARGIN_S
         self._node.start_drain()
         self._forwarding.is_draining = True
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(READINESS_DETECTION_S)
         self._server.should_exit = True
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(until_s):
-                await asyncio.shield(serving)
+            async with asyncio.timeout_at(end_s):
+                await asyncio.shield(server_task)
                 await self._node.finish_background_work()
 
     # --- pages ---------------------------------------------------------------------------
@@ -157,25 +157,25 @@
             is_ready = self._node.is_ready
             await send_text(send, READY_STATUS if is_ready else NOT_READY_STATUS, b"")
 
-    def _is_current(self) -> bool:
+    def _is_configuration_current(self) -> bool:
         """Whether replica machines or the store itself keep this node's configuration current."""
         return self._node.catalog.is_fresh or not self._reading.is_lost
 
     def _apply_limits(self, document: ServiceDocument) -> None:
-        idle_s = document.limits.idle_timeout_ms // 1000 + IDLE_MARGIN_S
+        idle_s = document.limits.idle_timeout_ms // 1000 + IDLE_TIMEOUT_MARGIN_S
         self._server.config.timeout_keep_alive = idle_s
 
     # --- changes read from the store -----------------------------------------------------
 
     def _short_watch_s(self) -> float:
         bounds = self._settings.bounds
-        return NOTICE_SHARE * (bounds.contactMs + bounds.applyMs) / 1000
+        return SHORT_WATCH_SHARE * (bounds.contactMs + bounds.applyMs) / 1000
 
-    def _watcher(self, kind: str, handler: KindHandler, wait_s: float) -> KindWatcher:
-        pace_s = PACE_SHARE * self._settings.apply_s
+    def _watch(self, kind: str, handler: KindHandler, wait_s: float) -> KindWatcher:
+        pace_s = BATCH_INTERVAL_SHARE * self._settings.apply_s
         return KindWatcher(self._api, kind, handler, wait_s, self._rng, pace_s, MAX_RETRY_GROWTH)
 
-    async def _look_for_replicas(self) -> bool:
+    async def _load_replicas(self) -> bool:
         """Read the list of replica machines; a list that is seconds old suffices."""
         try:
             listed = await self._api.list(names.REPLICA_KIND, may_be_stale=True)
@@ -183,27 +183,27 @@
             log.say("replica machines unknown: registry unavailable", reason=str(error))
             return False
         for item in listed.items:
-            self._take_replica(item)
+            self._put_replica(item)
         return bool(self._node.directory.by_name)
 
-    def _list_runners(self, listed: ObjectList) -> None:
+    def _replace_runners(self, listed: ObjectList) -> None:
         runners = [read_runner(item) for item in listed.items]
-        self._node.replace_runners(runners, is_trusted=not self._runners.is_in_doubt)
+        self._node.replace_runners(runners, is_trusted=not self._runner_watch.is_in_doubt)
 
     def _on_runner(self, event: ObjectEvent) -> None:
         if event.is_gone:
-            trusted = not self._runners.is_in_doubt
-            self._node.remove_runner(event.object.name, trusted)
+            is_trusted = not self._runner_watch.is_in_doubt
+            self._node.remove_runner(event.object.name, is_trusted)
         else:
             self._node.put_runner(read_runner(event.object))
 
-    def _take_configuration(self, item: StoredObject) -> None:
+    def _apply_configuration(self, item: StoredObject) -> None:
         if item.name == names.CONFIGURATION_NAME:
             self._node.apply_document(read_document(item.spec))
 
-    def _take_zones(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self._node.apply_zones(update_of_listing(names, at, gone))
+    def _apply_zones(self, zones: frozenset[str], at: int, gone: frozenset[str]) -> None:
+        self._node.apply_zones(update_of_listing(zones, at, gone))
         self._node.zones.confirm(0.0)
 
-    def _take_replica(self, item: StoredObject) -> None:
+    def _put_replica(self, item: StoredObject) -> None:
         self._node.directory.put(read_replica(item))
--- a/src/bendshed/platform/names.py
+++ b/src/bendshed/platform/names.py
@@ -23,7 +23,7 @@
 CREDENTIAL_SCHEME = "token"
 """Of the authorization header, in lower case."""
 
-SET_BY_THE_SYSTEM = frozenset(
+SYSTEM_HEADERS = frozenset(
     {
         EXPECT_RUNNER,
         URGENCY,
@@ -51,7 +51,7 @@
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
 RETIREMENT_KIND = "retirements"
-ZONE_CLOSURE_KIND = "evacuations"
+CLOSED_ZONE_KIND = "evacuations"
 
 # Kinds that this product creates.
 REPLICA_KIND = "bendshed-replicas"
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -27,10 +27,10 @@
 from bendshed.turns.metrics import TurnLogMetrics
 from bendshed.turns.node import ReplicaPlace, ReplicaPorts, ReplicaSettings, TurnLogNode
 
-WATCH_S = 8.0
-RETRY_GROWTH = 2.0
+WATCH_WAIT_S = 8.0
+MAX_RETRY_GROWTH = 2.0
 """Most factor by which a lost store is polled more rarely: the first to reach it informs all."""
-REPLICA_PACE_S = 0.25
+REPLICA_BATCH_INTERVAL_S = 0.25
 """Replica machines that start at the same time cost one call of this time together; the first
 change after a quiet time is passed on at once."""
 
@@ -54,12 +54,12 @@
             ReplicaPlace(settings.nodeName, settings.zone, settings.peer_address, settings.places),
             ReplicaPorts(self._storage, catalog_storage, self._transport, replica_registry),
             ReplicaSettings(
-                2 * settings.faultTolerance.most + 1,
+                2 * settings.faultTolerance.max_lost_replicas + 1,
                 settings.catalog_times,
                 settings.policy,
-                settings.bounds.quota_terms,
+                settings.bounds.quota_tolerance,
                 settings.turn_groups,
-                settings.bounds.cold_terms,
+                settings.bounds.cold_rate_limit,
                 settings.placement,
             ),
             self._rng,
@@ -68,38 +68,38 @@
         self._transport.traffic.distance = self._node.host_locations.distance
         self._transport.traffic.add_to(registry)
         confirm = self._node.catalog.confirm
-        self._runners = self._watcher(
+        self._runner_watch = self._watch(
             names.RUNNER_KIND,
-            KindHandler(self._list_runners, self._on_runner, self._confirm_runners),
+            KindHandler(self._replace_runners, self._on_runner, self._confirm_runners),
         )
-        self._configuration = self._watcher(
+        self._configuration_watch = self._watch(
             names.CONFIGURATION_KIND,
-            KindHandler.of_states(self._take_configuration, partial(confirm, CatalogPart.DOCUMENT)),
+            KindHandler.of_states(self._put_configuration, partial(confirm, CatalogPart.DOCUMENT)),
         )
-        self._replicas = KindWatcher(
+        self._replica_watch = KindWatcher(
             self._api,
             names.REPLICA_KIND,
-            KindHandler.of_states(self._take_replica),
-            WATCH_S,
+            KindHandler.of_states(self._put_replica),
+            WATCH_WAIT_S,
             self._rng,
-            REPLICA_PACE_S,
-            RETRY_GROWTH,
+            REPLICA_BATCH_INTERVAL_S,
+            MAX_RETRY_GROWTH,
         )
-        self._retirements = KindWatcher(
+        self._retirement_watch = KindWatcher(
             self._api,
             names.RETIREMENT_KIND,
-            KindHandler(self._list_retirements, self._on_retirement),
-            WATCH_S,
+            KindHandler(self._replace_retirements, self._on_retirement),
+            WATCH_WAIT_S,
             self._rng,
         )
-        self._zones = self._watcher(names.ZONE_CLOSURE_KIND, KindHandler.of_names(self._take_zones))
-        self._zones.is_quick_again = True
-        others = [self._configuration, self._replicas, self._retirements]
+        self._zone_watch = self._watch(names.CLOSED_ZONE_KIND, KindHandler.of_names(self._on_zones))
+        self._zone_watch.is_quick_again = True
+        other_watches = [self._configuration_watch, self._replica_watch, self._retirement_watch]
         if settings.catalog_times.follows_zones:
-            others.append(self._zones)
-        self._watchers = [self._runners, *others]
+            other_watches.append(self._zone_watch)
+        self._watches = [self._runner_watch, *other_watches]
         self._reading = RegistryReading(
-            self._node.follower, self._runners, others, self._node.set_registry_lost
+            self._node.follower, self._runner_watch, other_watches, self._node.set_registry_lost
         )
         self._node.demand.on_pace.append(self._set_pace)
 
@@ -107,20 +107,20 @@
         """Serve until ``stopping`` is set."""
         await self._transport.start()
         self._node.start()
-        following = [start_loop(watcher.run(), "platform") for watcher in self._watchers]
+        tasks = [start_loop(watcher.run(), "platform") for watcher in self._watches]
         log.say("started", name=self._settings.nodeName, zone=self._settings.zone)
         await stopping.wait()
         await self._node.stop()
-        for task in following:
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*following, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
         await self._transport.close()
         self._storage.close()
 
-    def _watcher(self, kind: str, handler: KindHandler) -> KindWatcher:
+    def _watch(self, kind: str, handler: KindHandler) -> KindWatcher:
         pace = self._node.demand.pace
         return KindWatcher(
-            self._api, kind, handler, pace.wait_s, self._rng, pace.pace_s, RETRY_GROWTH
+            self._api, kind, handler, pace.wait_s, self._rng, pace.pace_s, MAX_RETRY_GROWTH
         )
 
     # --- what others rely on ---------------------------------------------------------------
@@ -130,27 +130,27 @@
         self._node.follower.note_registry(at)
 
     def _set_pace(self, pace: ReadingPace) -> None:
-        for watcher in (self._runners, self._configuration):
+        for watcher in (self._runner_watch, self._configuration_watch):
             watcher.set_pace(pace.wait_s, pace.pace_s)
-        self._zones.set_pace(pace.zones_wait_s, pace.pace_s)
+        self._zone_watch.set_pace(pace.zones_wait_s, pace.pace_s)
 
-    def _take_zones(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self._node.take_zones(update_of_listing(names, at, gone))
+    def _on_zones(self, zones: frozenset[str], at: int, gone: frozenset[str]) -> None:
+        self._node.take_zones(update_of_listing(zones, at, gone))
 
-    def _list_runners(self, listed: ObjectList) -> None:
+    def _replace_runners(self, listed: ObjectList) -> None:
         runners = [KnownRunner(read_runner(item), item.revision) for item in listed.items]
-        trusted = not self._runners.is_in_doubt
-        self._node.catalog.list_runners(runners, listed.at, trusted)
+        is_trusted = not self._runner_watch.is_in_doubt
+        self._node.catalog.list_runners(runners, listed.at, is_trusted)
 
     def _on_runner(self, event: ObjectEvent) -> None:
         item = event.object
         if event.is_gone:
-            trusted = not self._runners.is_in_doubt
-            self._node.catalog.remove_runner(item.name, event.at, trusted)
+            is_trusted = not self._runner_watch.is_in_doubt
+            self._node.catalog.remove_runner(item.name, event.at, is_trusted)
         else:
             self._node.catalog.put_runner(KnownRunner(read_runner(item), item.revision))
 
-    def _take_configuration(self, item: StoredObject) -> None:
+    def _put_configuration(self, item: StoredObject) -> None:
         if item.name == names.CONFIGURATION_NAME:
             document = read_document(item.spec)
             self._node.catalog.take_document(document)
@@ -158,15 +158,15 @@
 
     # --- replicas and retirements ----------------------------------------------------------
 
-    def _take_replica(self, item: StoredObject) -> None:
+    def _put_replica(self, item: StoredObject) -> None:
         self._node.directory.put(read_replica(item))
 
-    def _list_retirements(self, listed: ObjectList) -> None:
+    def _replace_retirements(self, listed: ObjectList) -> None:
         self._node.directory.set_retiring([read_retirement(item).name for item in listed.items])
 
     def _on_retirement(self, event: ObjectEvent) -> None:
-        wish = read_retirement(event.object)
+        retirement = read_retirement(event.object)
         if event.is_gone:
-            self._node.directory.remove_retiring(wish.name)
+            self._node.directory.remove_retiring(retirement.name)
         else:
-            self._node.directory.add_retiring(wish.name)
+            self._node.directory.add_retiring(retirement.name)
--- a/src/bendshed/platform/settings.py
+++ b/src/bendshed/platform/settings.py
@@ -26,7 +26,7 @@
 from bendshed.policy import EVERYTHING, SWITCHES_CURE, Policy, unknown_switches
 
 _IP = r"\d{1,3}(\.\d{1,3}){3}"
-IpNumber = Annotated[str, Meta(pattern=rf"^{_IP}$")]
+IpAddress = Annotated[str, Meta(pattern=rf"^{_IP}$")]
 HostAndPort = Annotated[str, Meta(pattern=rf"^{_IP}:\d{{1,5}}$")]
 Text = Annotated[str, Meta(min_length=1)]
 Port = Annotated[int, Meta(ge=1, le=65_535)]
@@ -34,7 +34,7 @@
 Window = Annotated[float, Meta(gt=0, le=MAX_WINDOW_S)]
 Share = Annotated[float, Meta(ge=0)]
 Seconds = Annotated[float, Meta(gt=0)]
-Tolerated = Annotated[int, Meta(ge=0, le=9)]
+ToleratedLosses = Annotated[int, Meta(ge=0, le=9)]
 
 
 class SiteSettingsInvalid(Exception):
@@ -56,12 +56,12 @@
 class FaultTolerance(_Section, frozen=True):
     """How many machines, zones or regions may be lost at once."""
 
-    machines: Tolerated = 1
-    zones: Tolerated = 0
-    regions: Tolerated = 0
+    machines: ToleratedLosses = 1
+    zones: ToleratedLosses = 0
+    regions: ToleratedLosses = 0
 
     @property
-    def most(self) -> int:
+    def max_lost_replicas(self) -> int:
         """Replicas that may be lost at once: one a machine or a zone, at least one."""
         return max(1, self.machines, self.zones)
 
@@ -80,7 +80,7 @@
     evacMs: Milliseconds | None = None  # noqa: N815
 
     @property
-    def cold_terms(self) -> ColdRateLimit:
+    def cold_rate_limit(self) -> ColdRateLimit:
         """How exact the rate of cold runners must be."""
         return ColdRateLimit(self.coldOver, self.coldSlack)
 
@@ -90,7 +90,7 @@
         return self.evacMs / 1000 if self.evacMs is not None else None
 
     @property
-    def quota_terms(self) -> QuotaTolerance:
+    def quota_tolerance(self) -> QuotaTolerance:
         """How exact the limits of tenants must be."""
         return QuotaTolerance(self.quotaWindowS, self.quotaOver, self.quotaSlack)
 
@@ -106,7 +106,7 @@
     """The settings of one process."""
 
     nodeName: Text  # noqa: N815
-    ip: IpNumber
+    ip: IpAddress
     zone: Text
     region: str = ""
     zones: dict[str, str] = {}
@@ -169,14 +169,14 @@
     except OSError as error:
         raise SiteSettingsInvalid(f"{path}: {error}: name a file that can be read") from error
     content = _parse_json(path, text) if text.startswith("{") else _parse_yaml(path, text)
-    content = _merge_own(path, content)
+    content = _merge_sections(path, content)
     try:
         return msgspec.convert(content, SiteSettings)
     except msgspec.ValidationError as error:
         raise SiteSettingsInvalid(f"{path}: {error}: correct this field") from error
 
 
-def _merge_own(path: str, content: Any) -> Any:
+def _merge_sections(path: str, content: Any) -> Any:
     """The template puts the platform's fields beside ours; without it, they are the whole file."""
     if not isinstance(content, dict) or "site" not in content:
         return content
--- a/tests/test_zone_processes.py
+++ b/tests/test_zone_processes.py
@@ -37,7 +37,7 @@
         return [*site.fronts.values(), *site.stores.values()]
 
     async def close(self, site: SiteInstallation) -> None:
-        site.metadata.put(names.ZONE_CLOSURE_KIND, CLOSED, {})
+        site.metadata.put(names.CLOSED_ZONE_KIND, CLOSED, {})
         for process in self.processes(site):
             await site.wait_for_line(process, "zones: zone closed")
 
@@ -57,7 +57,7 @@
 
     async def open(self, site: SiteInstallation) -> None:
         site.metadata.is_down = False
-        site.metadata.delete(names.ZONE_CLOSURE_KIND, CLOSED)
+        site.metadata.delete(names.CLOSED_ZONE_KIND, CLOSED)
         for process in self.processes(site):
             await site.wait_for_line(process, "zones: zone open again")
 
@@ -83,7 +83,7 @@
             self.assertEqual(await self.runs(site, f"{name}-{number}"), {ZONES[0]})
 
     async def assert_served_there(self, site: SiteInstallation) -> None:
-        site.metadata.put(names.ZONE_CLOSURE_KIND, ZONES[0], {})
+        site.metadata.put(names.CLOSED_ZONE_KIND, ZONES[0], {})
         for process in self.processes(site):
             await site.wait_for_line(process, "zones: zone closed", times=3)
         await self.run_until_one_is_whole(site)
