--- a/src/bendshed/operators/answers.py
+++ b/src/bendshed/operators/answers.py
@@ -23,7 +23,7 @@
 PEER_TIMEOUT_S = 2.0
 IN_FORCE_TIMEOUT_S = 13.0
 """Limit within which a change is applied on all nodes (first letter)."""
-SPREAD_TABLES = frozenset({"programs", "calls", "groups"})
+DISTRIBUTED_TABLES = frozenset({"programs", "calls", "groups"})
 """Tables whose rows lie on several nodes."""
 
 Row = dict[str, Any]
@@ -68,7 +68,7 @@
                 accepted = await self._node.configuration.submit(body, author)
                 if isinstance(accepted, Refusal):
                     return accepted
-                return await self._report_in_force(accepted)
+                return await self._wait_and_report(accepted)
             case language.StopProgram(program_id):
                 return await self._stop(program_id, author)
 
@@ -89,11 +89,11 @@
 
     async def _show(self, show: language.Show) -> Answer:
         silent: list[str] = []
-        if show.table in SPREAD_TABLES:
+        if show.table in DISTRIBUTED_TABLES:
             rows, silent = await self._gather(peer_pb2.StatusRequest(what=show.table))
         else:
             rows = self._local_rows(peer_pb2.StatusRequest(what=show.table))
-        rows = [row for row in rows if all(_holds(row, c) for c in show.conditions)]
+        rows = [row for row in rows if all(_matches(row, c) for c in show.conditions)]
         if show.order_by:
             rows.sort(key=lambda row: _sort_key(row.get(show.order_by)), reverse=show.descending)
         return Answer(rows[: show.limit], "", silent)
@@ -106,16 +106,16 @@
 
     async def _gather(self, request: peer_pb2.StatusRequest) -> tuple[list[Row], list[str]]:
         """Rows of all live nodes, and who did not reply."""
-        me = self._node.node_id
-        others = [m for m in self._node.membership.view.live() if m.node_id != me]
+        own_node_id = self._node.node_id
+        others = [m for m in self._node.membership.view.live() if m.node_id != own_node_id]
         replies = await asyncio.gather(*(self._request_node(m.node_id, request) for m in others))
         rows = self._local_rows(request)
         silent = []
-        for member, reply in zip(others, replies, strict=True):
-            if reply is None:
+        for member, reply_rows in zip(others, replies, strict=True):
+            if reply_rows is None:
                 silent.append(member.name)
             else:
-                rows.extend(reply)
+                rows.extend(reply_rows)
         return rows, silent
 
     async def _request_node(
@@ -139,15 +139,17 @@
 
     # --- orders --------------------------------------------------------------------------
 
-    async def _report_in_force(self, accepted: Accepted) -> Answer:
+    async def _wait_and_report(self, accepted: Accepted) -> Answer:
         state = await self._node.configuration.wait_in_force(accepted.revision, IN_FORCE_TIMEOUT_S)
         members = self._node.membership.view.members
-        late = [members[n].name if n in members else n for n in (*state.missing, *state.silent)]
-        if late:
-            sentence = f"accepted as revision {state.revision}; not yet in force on some nodes"
+        late_nodes = [
+            members[n].name if n in members else n for n in (*state.missing, *state.silent)
+        ]
+        if late_nodes:
+            message = f"accepted as revision {state.revision}; not yet in force on some nodes"
         else:
-            sentence = f"accepted as revision {state.revision}; in force on all {state.reached}"
-        return Answer([], sentence, late)
+            message = f"accepted as revision {state.revision}; in force on all {state.reached}"
+        return Answer([], message, late_nodes)
 
     async def _stop(self, program_id: str, author: str) -> Answer | Refusal:
         end = programs_pb2.EndProgram(program_id=program_id, reason=f"stopped by {author}")
@@ -319,14 +321,14 @@
     }
 
 
-def _holds(row: Row, condition: language.Condition) -> bool:
-    found = row.get(condition.field)
-    wanted: Any = condition.value
-    if isinstance(found, bool):
-        wanted = str(wanted).lower() == "true"
-    if found is None or isinstance(found, str) != isinstance(wanted, str):
+def _matches(row: Row, condition: language.Condition) -> bool:
+    actual = row.get(condition.field)
+    expected: Any = condition.value
+    if isinstance(actual, bool):
+        expected = str(expected).lower() == "true"
+    if actual is None or isinstance(actual, str) != isinstance(expected, str):
         return False
-    return _COMPARISONS[condition.comparison](found, wanted)
+    return _COMPARISONS[condition.comparison](actual, expected)
 
 
 def _sort_key(value: Any) -> tuple[str, Any]:
