--- a/src/bendshed/operators/explanation.py
+++ b/src/bendshed/operators/explanation.py
@@ -6,13 +6,13 @@
 
 import orjson
 
-BEFORE_S, AFTER_S = 5.0, 1.0
+CONTEXT_BEFORE_S, CONTEXT_AFTER_S = 5.0, 1.0
 """Events without the request's id are shown this long around it, of processes that saw it."""
-OWN_FIELDS = frozenset(
+STANDARD_FIELDS = frozenset(
     {"text", "timestamp", "task_uuid", "task_level", "message_type", "process", "life", "request"}
 )
 
-CONTEXT = frozenset(
+CONTEXT_MESSAGES = frozenset(
     {
         "registry: platform store lost: call failed",
         "registry: platform store answers again",
@@ -84,11 +84,11 @@
     "forward: request answered": "The request was answered whole.",
 }
 """Last line of a request to its cause, in a sentence; the first that is found counts."""
-REFUSED = "forward: request refused"
-ZONE_CLOSED, ZONE_OPEN = "zones: zone closed", "zones: zone open again"
-SHORT_OF_RUNNERS = frozenset({"no_runner", "overloaded", "deadline_exceeded"})
+REFUSED_MESSAGE = "forward: request refused"
+ZONE_CLOSED_MESSAGE, ZONE_OPEN_MESSAGE = "zones: zone closed", "zones: zone open again"
+ZONE_DEPENDENT_REFUSALS = frozenset({"no_runner", "overloaded", "deadline_exceeded"})
 """Kinds of refusals that a closed zone may be the cause of."""
-SENT = "forward: request dispatched"
+DISPATCHED_MESSAGE = "forward: request dispatched"
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +108,7 @@
     fields: dict[str, Any]
 
     @property
-    def name(self) -> str:
+    def process_name(self) -> str:
         """The process without its life: a start may explain what happened to the life before."""
         return self.process.partition("/")[0]
 
@@ -123,11 +123,11 @@
 
 def read_line(raw: bytes, source: str) -> LogLine | None:
     """Read one line; what stands before its first brace is passed over; ``None``: no log line."""
-    begin = raw.find(b"{")
-    if begin < 0:
+    start = raw.find(b"{")
+    if start < 0:
         return None
     try:
-        content = orjson.loads(raw[begin:])
+        content = orjson.loads(raw[start:])
     except orjson.JSONDecodeError:
         return None
     if not isinstance(content, dict) or "text" not in content:
@@ -138,30 +138,35 @@
         process=f"{name}/{life}" if life else str(name),
         text=str(content["text"]),
         request=str(content.get("request", "")),
-        fields={key: value for key, value in content.items() if key not in OWN_FIELDS},
+        fields={key: value for key, value in content.items() if key not in STANDARD_FIELDS},
     )
 
 
 def explain(request_id: str, lines: Iterable[LogLine]) -> Explanation:
     """Join what concerns a request, and say the cause where it is known."""
-    everything = list(lines)
-    own = [line for line in everything if line.request == request_id]
-    own.sort(key=lambda line: line.at_s)
-    if not own:
+    all_lines = list(lines)
+    request_lines = [line for line in all_lines if line.request == request_id]
+    request_lines.sort(key=lambda line: line.at_s)
+    if not request_lines:
         return Explanation(cause=f"No line names request {request_id}.")
-    from_s, to_s = own[0].at_s - BEFORE_S, own[-1].at_s + AFTER_S
-    names = {line.name for line in own}
+    from_s, to_s = (
+        request_lines[0].at_s - CONTEXT_BEFORE_S,
+        request_lines[-1].at_s + CONTEXT_AFTER_S,
+    )
+    names = {line.process_name for line in request_lines}
     context = [
         line
-        for line in everything
-        if line.text in CONTEXT
+        for line in all_lines
+        if line.text in CONTEXT_MESSAGES
         and from_s <= line.at_s <= to_s
-        and (line.name in names or line.text.startswith(REPLICA_PARTS))
+        and (line.process_name in names or line.text.startswith(REPLICA_PARTS))
     ]
-    joined = sorted([*own, *context], key=lambda line: line.at_s)
-    processes = {line.process for line in own}
-    closed = closed_zones([line for line in everything if line.process in processes], own[-1].at_s)
-    return Explanation(joined, find_cause(own, closed))
+    joined = sorted([*request_lines, *context], key=lambda line: line.at_s)
+    processes = {line.process for line in request_lines}
+    closed = closed_zones(
+        [line for line in all_lines if line.process in processes], request_lines[-1].at_s
+    )
+    return Explanation(joined, find_cause(request_lines, closed))
 
 
 def closed_zones(lines: Iterable[LogLine], at_s: float) -> list[str]:
@@ -171,34 +176,38 @@
         zone = str(line.fields.get("zone", ""))
         if line.at_s > at_s:
             break
-        if line.text == ZONE_CLOSED:
+        if line.text == ZONE_CLOSED_MESSAGE:
             closed.add(zone)
-        elif line.text == ZONE_OPEN:
+        elif line.text == ZONE_OPEN_MESSAGE:
             closed.discard(zone)
     return sorted(closed)
 
 
-def find_cause(own: list[LogLine], closed: Sequence[str] = ()) -> str:
+def find_cause(request_lines: list[LogLine], closed: Sequence[str] = ()) -> str:
     """The cause, from a request's own lines and the zones that were closed then."""
-    for line in reversed(own):
-        if line.text == REFUSED:
+    for line in reversed(request_lines):
+        if line.text == REFUSED_MESSAGE:
             kind, detail = str(line.fields.get("kind", "")), line.fields.get("detail", "")
             cause = f"{CAUSES.get(kind, f'Refused as {kind}.')} Detail: {detail}."
-            if closed and kind in SHORT_OF_RUNNERS:
+            if closed and kind in ZONE_DEPENDENT_REFUSALS:
                 cause += f" Operators had closed {', '.join(closed)}: runners there get nothing."
             return cause
-    texts = {line.text for line in own}
+    texts = {line.text for line in request_lines}
     for text, cause in ENDS.items():
         if text in texts:
-            return cause + _cold_note(own)
-    return f"No line tells its end; the last one is: {own[-1].text}."
+            return cause + _describe_cold_runners(request_lines)
+    return f"No line tells its end; the last one is: {request_lines[-1].text}."
 
 
-def _cold_note(own: list[LogLine]) -> str:
+def _describe_cold_runners(request_lines: list[LogLine]) -> str:
     """Cold runners that a request was sent to: they are slow."""
-    cold = [str(row.fields.get("runner")) for row in own if row.text == SENT and _is_cold(row)]
+    cold = [
+        str(line.fields.get("runner"))
+        for line in request_lines
+        if line.text == DISPATCHED_MESSAGE and _is_cold(line)
+    ]
     return f" It was sent to a cold runner: {', '.join(cold)}." if cold else ""
 
 
-def _is_cold(row: LogLine) -> bool:
-    return row.fields.get("is_cold") is True
+def _is_cold(line: LogLine) -> bool:
+    return line.fields.get("is_cold") is True
--- a/tests/test_log_table.py
+++ b/tests/test_log_table.py
@@ -6,7 +6,13 @@
 from pathlib import Path
 
 from bendshed.errors import ErrorKind
-from bendshed.operators.explanation import CAUSES, CONTEXT, ENDS, REFUSED, SENT
+from bendshed.operators.explanation import (
+    CAUSES,
+    CONTEXT_MESSAGES,
+    DISPATCHED_MESSAGE,
+    ENDS,
+    REFUSED_MESSAGE,
+)
 
 ROOT = Path(__file__).resolve().parent.parent
 SOURCES = ROOT / "src" / "bendshed"
@@ -54,7 +60,9 @@
         self.assertEqual(told, all_sentences())
 
     def test_the_explanation_knows_only_lines_and_kinds_that_exist(self) -> None:
-        self.assertLessEqual({*CONTEXT, *ENDS, REFUSED, SENT}, all_sentences())
+        self.assertLessEqual(
+            {*CONTEXT_MESSAGES, *ENDS, REFUSED_MESSAGE, DISPATCHED_MESSAGE}, all_sentences()
+        )
         self.assertLessEqual(set(CAUSES), {kind.value for kind in ErrorKind})
 
 
