--- a/src/bendshed/operators/language.py
+++ b/src/bendshed/operators/language.py
@@ -82,13 +82,13 @@
 
 
 def parse(text: str) -> Statement | Refusal:
-    """Parse one statement; a refusal points at the place and says what was expected."""
+    """Parse one statement; a refusal points at the position and says what was expected."""
     try:
-        tree = _parser().parse(text)
-        statement: Statement = _ToStatement().transform(tree)
+        tree = _load_parser().parse(text)
+        statement: Statement = _StatementBuilder().transform(tree)
         return statement
     except UnexpectedInput as error:
-        return Refusal(ErrorKind.BAD_REQUEST, _point_at(text, error))
+        return Refusal(ErrorKind.BAD_REQUEST, _describe_syntax_error(text, error))
     except Exception as error:
         cause = getattr(error, "orig_exc", error)
         if isinstance(cause, ValidationError):
@@ -99,27 +99,27 @@
 
 
 @cache
-def _parser() -> Lark:
+def _load_parser() -> Lark:
     grammar = (files("bendshed.operators") / "grammar.lark").read_text()
     return Lark(grammar, parser="lalr", lexer="contextual")
 
 
-def _point_at(text: str, error: UnexpectedInput) -> str:
+def _describe_syntax_error(text: str, error: UnexpectedInput) -> str:
     expected: set[str] = set()
-    place = "somewhere"
+    position = "somewhere"
     if isinstance(error, UnexpectedEOF):
-        expected, place = {str(name) for name in error.expected}, "at the end"
+        expected, position = {str(name) for name in error.expected}, "at the end"
     elif isinstance(error, UnexpectedToken):
         expected = set(error.accepts or error.expected)
-        place = f"at column {error.column}" if error.token.type != "$END" else "at the end"
+        position = f"at column {error.column}" if error.token.type != "$END" else "at the end"
     elif isinstance(error, UnexpectedCharacters):
-        expected, place = set(error.allowed or ()), f"at column {error.column}"
+        expected, position = set(error.allowed or ()), f"at column {error.column}"
     names = ", ".join(sorted(str(name) for name in expected if name != "$END"))
     excerpt = text.strip() or "(empty)"
-    return f"cannot read {excerpt!r} {place}; expected: {names}"
+    return f"cannot read {excerpt!r} {position}; expected: {names}"
 
 
-class _ToStatement(Transformer[Token, Statement]):
+class _StatementBuilder(Transformer[Token, Statement]):
     """Builds statements; each method is named like its rule."""
 
     def start(self, items: list[Statement]) -> Statement:
