--- a/src/bendshed/cli/ask.py
+++ b/src/bendshed/cli/ask.py
@@ -42,7 +42,7 @@
             self.line_error(f"--node and the variable {TOKEN_VARIABLE} are needed")
             return EXIT_BAD_INPUT
         try:
-            status, body = asyncio.run(_ask(url, token, self.argument("statement")))
+            status, body = asyncio.run(_send_statement(url, token, self.argument("statement")))
         except CONNECTION_ERRORS as error:
             self.line_error(f"{url} does not answer: {error!r}")
             return EXIT_FAILED
@@ -53,10 +53,10 @@
         if self.option("json"):
             self.line(orjson.dumps(body).decode())
         else:
-            self._print(body)
+            self._print_answer(body)
         return EXIT_DONE
 
-    def _print(self, body: dict[str, Any]) -> None:
+    def _print_answer(self, body: dict[str, Any]) -> None:
         rows = body["rows"]
         if rows:
             headers = list(rows[0])
@@ -71,7 +71,7 @@
             self.line_error(f"no reply from: {', '.join(body['silent_nodes'])}")
 
 
-async def _ask(url: str, token: str, statement: str) -> tuple[int, dict[str, Any]]:
+async def _send_statement(url: str, token: str, statement: str) -> tuple[int, dict[str, Any]]:
     from bendshed.adapters.http import HttpClient
 
     client = HttpClient()
--- a/src/bendshed/cli/explain.py
+++ b/src/bendshed/cli/explain.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from bendshed.operators.explanation import LogLine
 
-EXIT_DONE, EXIT_UNKNOWN, EXIT_BAD_INPUT = 0, 1, 2
+EXIT_DONE, EXIT_NOT_FOUND, EXIT_BAD_INPUT = 0, 1, 2
 
 
 class ExplainCommand(Command):
@@ -38,18 +38,18 @@
             except OSError as error:
                 self.line_error(f"{name}: {error.strerror}: name a file that can be read")
                 return EXIT_BAD_INPUT
-            read = (read_line(raw, Path(name).stem) for raw in content.splitlines())
-            lines.extend(line for line in read if line is not None)
+            parsed_lines = (read_line(raw, Path(name).stem) for raw in content.splitlines())
+            lines.extend(line for line in parsed_lines if line is not None)
         explanation = explain(self.argument("request"), lines)
-        began_s = explanation.lines[0].at_s if explanation.lines else 0.0
+        start_s = explanation.lines[0].at_s if explanation.lines else 0.0
         for line in explanation.lines:
-            self.line(_row(line, began_s))
+            self.line(_format_line(line, start_s))
         self.line(f"Cause: {explanation.cause}")
-        return EXIT_DONE if explanation.lines else EXIT_UNKNOWN
+        return EXIT_DONE if explanation.lines else EXIT_NOT_FOUND
 
 
-def _row(line: "LogLine", began_s: float) -> str:
-    after_ms = (line.at_s - began_s) * 1000
-    mark = "*" if line.request else " "
+def _format_line(line: "LogLine", start_s: float) -> str:
+    offset_ms = (line.at_s - start_s) * 1000
+    marker = "*" if line.request else " "
     fields = " ".join(f"{key}={value}" for key, value in line.fields.items() if value != "")
-    return f"{after_ms:9.1f} ms {mark} {line.process}: {line.text} {fields}"
+    return f"{offset_ms:9.1f} ms {marker} {line.process}: {line.text} {fields}"
--- a/src/bendshed/cli/options.py
+++ b/src/bendshed/cli/options.py
@@ -23,21 +23,21 @@
     return option("json", None, "Print JSON, for machines")
 
 
-def read_flags(command: Command) -> dict[str, str]:
+def parse_overrides(command: Command) -> dict[str, str]:
     """Values of ``--set``; raise ``ValueError``."""
-    flags = {}
+    overrides = {}
     for text in command.option("set") or []:
         field, equals, value = text.partition("=")
         if not equals or "." not in field:
             raise ValueError(f"--set {text}: write section.key=value")
-        flags[field] = value
-    return flags
+        overrides[field] = value
+    return overrides
 
 
 def load_or_report(command: Command, path: str) -> LoadedSettings | None:
     """Load settings; on a problem print all of them and return ``None``."""
     try:
-        return load_settings(Path(path), read_flags(command))
+        return load_settings(Path(path), parse_overrides(command))
     except SettingsInvalid as error:
         for problem in error.problems:
             command.line_error(str(problem))
