--- a/src/bendshed/platform/__init__.py
+++ b/src/bendshed/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls, translated. Nothing here decides."""
+"""Adapters to the users' platform: names, formats and calls; no decisions are made here."""
--- a/src/bendshed/platform/__main__.py
+++ b/src/bendshed/platform/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bendshed.platform ROLE``."""
+"""Entry point of ``python -m bendshed.platform ROLE``."""
 
 import sys
 
--- a/src/bendshed/platform/caller_protocol.py
+++ b/src/bendshed/platform/caller_protocol.py
@@ -1,4 +1,4 @@
-"""The platform's client protocol: request headers, and how refusals are answered."""
+"""The platform's client protocol: parses request headers and maps refusals to responses."""
 
 from bendshed.errors import ErrorKind, Refusal, WasRun
 from bendshed.identifiers import credential_digest
@@ -14,7 +14,7 @@
     ErrorKind.TURN_LOG_UNAVAILABLE: 0.2,
     ErrorKind.NOT_READY: 0.5,
 }
-"""Seconds, fractions allowed."""
+"""Retry-After by kind of refusal, in seconds; the platform's clients accept fractions."""
 
 _STATUS = {
     ErrorKind.BAD_REQUEST: 400,
@@ -32,17 +32,17 @@
     b"content-length",
     b"expect",
 }
-"""Headers that are dropped, or replaced by ours."""
+"""Clients' headers that are dropped or replaced before a request is forwarded."""
 MAX_CREDENTIAL_BYTES = 512
-"""A longer credential is none: the platform's keys are 20 bytes long."""
+"""A longer credential counts as missing: the platform's keys are 20 bytes long."""
 
 
 class PlatformCallerProtocol(CallerProtocol):
-    """Requests of the platform's clients."""
+    """Protocol of the platform's clients."""
 
     def read(self, received: ReceivedRequest) -> ServiceRequest | Refusal:
-        """Translate a client's request; refuse one whose fields cannot be read."""
-        fields = dict(reversed(received.headers))  # the first of a name counts
+        """Parse a client's request; refuse one with a missing request id or invalid headers."""
+        fields = dict(reversed(received.headers))  # the first of repeated headers wins
         request_id = _header_text(fields, names.REQUEST_ID)
         if not request_id:
             detail = "X-Request-Id: (missing): send an id of the attempt"
@@ -73,7 +73,7 @@
         )
 
     def answer_of(self, refusal: Refusal) -> RefusalAnswer:
-        """A 503 promises that nothing was run; 502 and 504 promise nothing."""
+        """Return status and Retry-After; 503 guarantees nothing was run, 502 and 504 do not."""
         retry_after_s = refusal.retry_after_s
         if retry_after_s is None:
             retry_after_s = RETRY_AFTER_S.get(refusal.kind)
@@ -82,7 +82,7 @@
 
 
 def status_of(refusal: Refusal) -> int:
-    """Status of a refusal."""
+    """Return the HTTP status of a refusal."""
     status = _STATUS.get(refusal.kind)
     if status is not None:
         return status
@@ -94,7 +94,7 @@
 
 
 def _read_credential(received: Headers) -> str:
-    """Digest of the client's key; empty: there is none, more than one, or none that can be read."""
+    """Return the digest of the client's key; empty if it is missing, repeated or malformed."""
     values = [value for name, value in received if name == names.AUTHORIZATION]
     if len(values) != 1 or len(values[0]) > MAX_CREDENTIAL_BYTES:
         return ""
@@ -105,7 +105,7 @@
 
 
 def _forwarded_headers(received: Headers) -> Headers:
-    """The client's headers for the runner; length, deadline and ours are replaced."""
+    """Return the client's end-to-end headers without those that are dropped or replaced."""
     return [(name, value) for name, value in end_to_end(received) if name not in _NOT_FORWARDED]
 
 
@@ -130,7 +130,7 @@
 
 
 def _read_parts(text: str) -> tuple[PromptPart, ...]:
-    """Parts of the prompt, as ID:TOKENS by commas; a hint: what cannot be read ends it."""
+    """Parse comma-separated ID:TOKENS prompt parts; just a hint: stop at the first invalid one."""
     parts = []
     for part in text.split(","):
         part_id, _, tokens = part.strip().partition(":")
--- a/src/bendshed/platform/encode.py
+++ b/src/bendshed/platform/encode.py
@@ -1,4 +1,4 @@
-"""The platform's half of the formats, for stand-ins: what operators and runners write."""
+"""Encodes documents, runner entries and settings as operators and runners do, for simulators."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -13,7 +13,7 @@
 def write_document(
     document: ServiceDocument, keys: Mapping[str, Sequence[str]] | None = None
 ) -> dict[str, Any]:
-    """Write a configuration as an operator does; ``keys``: of the tenants, by name."""
+    """Encode a configuration as an operator does; ``keys``: API keys by tenant name."""
     limits = document.limits
     content: dict[str, Any] = {
         "version": document.version,
@@ -85,7 +85,7 @@
 
 
 def write_runner(runner: ServiceRunner) -> dict[str, Any]:
-    """Write a runner's entry as the runner does."""
+    """Encode a runner's entry as the runner does."""
     return {
         "service": runner.service,
         "addr": str(runner.address),
@@ -106,7 +106,7 @@
     data_folder: str | None,
     zone_close_ms: int | None = None,
 ) -> str:
-    """Write the settings file of one process; ``ports``: peers', clients', readiness."""
+    """Encode the settings file of one process; ``ports``: for peers, clients and readiness."""
     peer_port, front_port, ready_port = ports
     listen = {"front": f"{host}:{front_port}", "ready": f"{host}:{ready_port}"}
     content = {
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -1,4 +1,4 @@
-"""The ``node`` role on this platform: clients in front, runners behind, the turn log beside."""
+"""The ``node`` role on this platform: forwards clients' requests to runners, using the turn log."""
 
 import asyncio
 import contextlib
@@ -31,12 +31,12 @@
 
 RUNNER_CONNECT_TIMEOUT_S = 0.6
 SHORT_WATCH_SHARE = 0.6
-"""A dead way to the store is noticed within this share of the time that a node has, after the way
-is back, until it must act on what the store says."""
+"""The short watch lasts this fraction of contactMs + applyMs, so that a dead connection to the
+store is detected before a node must apply the store's state after the network recovers."""
 BATCH_INTERVAL_SHARE = 0.15
-"""Changes of this share of the time in which they must be applied cost one call together."""
+"""Changes within this fraction of the apply time limit are fetched in one call."""
 READINESS_DETECTION_S = 2.6
-"""The platform sends no new clients after two of its questions, a second apart, went unanswered."""
+"""Drain delay: the platform stops sending clients after two failed readiness checks, 1 s apart."""
 STOP_MARGIN_S = 0.8
 IDLE_TIMEOUT_MARGIN_S = 5
 READY_STATUS, NOT_READY_STATUS = 200, 503
@@ -45,7 +45,7 @@
 
 
 class FrontProcess:
-    """Shells around a ``ServiceNode``."""
+    """Connects a ``ServiceNode`` to sockets, the metadata store and runners."""
 
     def __init__(
         self, settings: SiteSettings, listeners: Listeners, registry: CollectorRegistry
@@ -134,7 +134,7 @@
         return metrics
 
     async def _drain(self, server_task: "asyncio.Task[None]") -> None:
-        """Not ready at once; serve what comes until the platform has noticed; finish the rest."""
+        """Report not ready, serve until the platform sends no new clients, finish open requests."""
         end_s = asyncio.get_running_loop().time() + self._settings.bounds.graceS - STOP_MARGIN_S
         self._node.start_drain()
         self._forwarding.is_draining = True
@@ -145,10 +145,10 @@
                 await asyncio.shield(server_task)
                 await self._node.finish_background_work()
 
-    # --- pages ---------------------------------------------------------------------------
+    # --- HTTP ----------------------------------------------------------------------------
 
     async def _application(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Clients' port to the forwarder; the rest is a question for readiness."""
+        """Forward requests on the clients' port; answer all others as readiness checks."""
         if scope["type"] == "lifespan":
             await serve_lifespan(receive, send)
         elif scope["server"][1] == self._listeners.front_port:
@@ -158,7 +158,7 @@
             await send_text(send, READY_STATUS if is_ready else NOT_READY_STATUS, b"")
 
     def _is_configuration_current(self) -> bool:
-        """Whether replica machines or the store itself keep this node's configuration current."""
+        """Return whether replica machines or the store keep the configuration current."""
         return self._node.catalog.is_fresh or not self._reading.is_lost
 
     def _apply_limits(self, document: ServiceDocument) -> None:
@@ -176,7 +176,7 @@
         return KindWatcher(self._api, kind, handler, wait_s, self._rng, pace_s, MAX_RETRY_GROWTH)
 
     async def _load_replicas(self) -> bool:
-        """Read the list of replica machines; a list that is seconds old suffices."""
+        """Read the list of replica machines; a list that is seconds old is sufficient."""
         try:
             listed = await self._api.list(names.REPLICA_KIND, may_be_stale=True)
         except StoreUnavailable as error:
--- a/src/bendshed/platform/listeners.py
+++ b/src/bendshed/platform/listeners.py
@@ -1,4 +1,4 @@
-"""The sockets on which a front takes clients and the platform's question whether it is ready."""
+"""Listening sockets of a front: for clients and for the platform's readiness checks."""
 
 import socket
 from dataclasses import dataclass
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Listeners:
-    """Open sockets.
+    """Listening sockets.
 
     Attributes:
-        front_port: the clients' port; 0: none.
+        front_port: port for clients; 0: none.
 
     """
 
@@ -21,7 +21,7 @@
 
 
 def listen(settings: SiteSettings) -> Listeners:
-    """Bind and listen at the addresses of the settings."""
+    """Bind and listen on the addresses of the settings."""
     texts = [settings.listen.front, settings.listen.ready]
     addresses = [read_address(text) for text in texts if text is not None]
     sockets = tuple(bind(address.host, address.port) for address in addresses)
--- a/src/bendshed/platform/main.py
+++ b/src/bendshed/platform/main.py
@@ -1,7 +1,7 @@
 """Starts one process of the platform: ``node`` or ``store``.
 
-The process listens before it loads its other modules: clients that connect meanwhile wait in the
-queue instead of being refused, which matters when many processes restart at once.
+The process listens before it imports its other modules: clients that connect in the meantime wait
+in the accept queue instead of being refused, which matters when many processes restart at once.
 """
 
 import gc
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """What to run.
+    """Parsed command line.
 
     Attributes:
-        metrics_port: of the metrics page; ``None``: none is served.
+        metrics_port: port of the metrics endpoint; ``None``: not served.
 
     """
 
@@ -31,7 +31,7 @@
 
 
 def _parse_command(arguments: list[str]) -> Command | None:
-    """Read the arguments; ``None``: they are wrong."""
+    """Parse the arguments; ``None`` if they are invalid."""
     match arguments:
         case [role] if role in ROLES:
             return Command(role)
@@ -41,17 +41,17 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run a role until it is stopped; return the exit code."""
+    """Run a role until a signal stops it; return the exit code."""
     command = _parse_command(arguments)
     if command is None:
         sys.stderr.write(f"{USAGE}\n")
         return EXIT_BAD_INPUT
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the role handles it
-    gc.disable()  # loading leaves no garbage; looking for it took a twentieth of a start
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the role installs its handler
+    gc.disable()  # imports leave no garbage; collecting took a twentieth of the startup time
     try:
         settings = load_site_settings()
         listeners = listen(settings) if command.role == "node" else Listeners()
-        from bendshed.platform.roles import run_role  # noqa: PLC0415 (see the module's text)
+        from bendshed.platform.roles import run_role  # noqa: PLC0415 (see the module docstring)
 
         run_role(command.role, command.metrics_port, settings, listeners)
     except SiteSettingsInvalid as error:
--- a/src/bendshed/platform/names.py
+++ b/src/bendshed/platform/names.py
@@ -1,8 +1,8 @@
-"""Names of the platform: headers, kinds of objects, the settings variable."""
+"""Names that the platform defines: headers, object kinds, the settings variable."""
 
 SETTINGS_VARIABLE = "BENDSHED_BOOT"
 
-# Headers of requests, in lower case.
+# Request headers, in lower case.
 REQUEST_ID = b"x-request-id"
 DEADLINE_MS = b"x-deadline-ms"
 PROGRAM_ID = b"x-program-id"
@@ -21,7 +21,7 @@
 AFFINITY = b"x-affinity-key"
 
 CREDENTIAL_SCHEME = "token"
-"""Of the authorization header, in lower case."""
+"""Scheme of the authorization header, in lower case."""
 
 SYSTEM_HEADERS = frozenset(
     {
@@ -36,30 +36,30 @@
         b"x-kv-backup",
     }
 )
-"""Headers that only the system sets; callers' ones are not passed on."""
+"""Headers that only the system may set; they are removed from clients' requests."""
 
 OTHER_RUNNER_STATUS = 421
 MOST_URGENT, LEAST_URGENT = 0, 9
 
-# Words of the metadata store's calls.
+# Fields and query parameters of the metadata store's API.
 HAS_MORE = "hasMore"
 WAIT_MS = "waitMs"
 STALE = "stale=1"
 
-# Kinds of objects in the metadata store.
+# Object kinds in the metadata store.
 RUNNER_KIND = "servers"
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
 RETIREMENT_KIND = "retirements"
 CLOSED_ZONE_KIND = "evacuations"
 
-# Kinds that this product creates.
+# Object kinds that this product creates.
 REPLICA_KIND = "bendshed-replicas"
 GROUP_KIND = "bendshed-groups"
 TURN_GROUP_NAME = "turns"
-"""Founding record of the first group of the turn log; those of others have their number behind."""
+"""Bootstrap record of the turn log's first group; other groups append their number."""
 
 
 def turn_group_name(group_id: int) -> str:
-    """Name of a group's bootstrap record."""
+    """Return the name of a group's bootstrap record."""
     return TURN_GROUP_NAME if group_id == 0 else f"{TURN_GROUP_NAME}-{group_id}"
--- a/src/bendshed/platform/objects.py
+++ b/src/bendshed/platform/objects.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's metadata store: objects by kind and name, watches."""
+"""Client of the platform's metadata store: objects by kind and name, watches."""
 
 import asyncio
 from typing import Any
@@ -27,10 +27,10 @@
 
 
 class ObjectApi(ObjectSource):
-    """The store's calls. Each raises ``StoreUnavailable`` when no proper answer comes in time.
+    """Client of the store; each call raises ``StoreUnavailable`` without a valid answer in time.
 
     Attributes:
-        num_calls: calls since start.
+        num_calls: number of calls since start.
 
     """
 
@@ -45,15 +45,15 @@
         self._pool.close()
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
-        """Read one object; ``None``: there is none."""
+        """Read one object; ``None`` if it does not exist."""
         status, content = await self._call(b"GET", _path(kind, name), None, self._call_timeout_s)
         return None if status == 404 else _read_object(content)
 
     async def list(self, kind: str, may_be_stale: bool = False) -> ObjectList:
         """Read all objects of a kind, page by page.
 
-        ``at`` is the first page's, since objects of a page may change while a later one is read.
-        ``may_be_stale``: the answer may be seconds old, at a tenth of the price.
+        ``at`` is the revision of the first page, since its objects may change while later pages
+        are read. ``may_be_stale``: the answer may be seconds old and costs a tenth.
         """
         items: list[StoredObject] = []
         first_page_at: int | None = None
@@ -71,7 +71,7 @@
             after = items[-1].name
 
     async def watch(self, kind: str, at: int, wait_s: float) -> ObjectEvents:
-        """Wait for changes after a revision; raise ``HistoryGone``."""
+        """Wait for changes after revision ``at``; raise ``HistoryGone`` if they are discarded."""
         query = f"?watch={at}&{names.WAIT_MS}={int(wait_s * 1000)}"
         status, content = await self._call(
             b"GET", _path(kind) + query, None, wait_s + WATCH_MARGIN_S
@@ -94,13 +94,13 @@
         return _read_object(content)
 
     async def replace(self, kind: str, name: str, spec: Any) -> bool:
-        """Replace the spec whatever it was; ``False``: there is no such object."""
+        """Replace the spec unconditionally; ``False`` if the object does not exist."""
         body = {"meta": {"name": name}, "spec": spec}
         status, _ = await self._call(b"PUT", _path(kind, name), body, self._call_timeout_s)
         return status != 404
 
     async def replace_status(self, kind: str, name: str, content: Any) -> bool:
-        """Replace the status; ``False``: there is no such object."""
+        """Replace the status; ``False`` if the object does not exist."""
         body = {"meta": {"name": name}, "status": content}
         path = _path(kind, name) + "/status"
         status, _ = await self._call(b"PUT", path, body, self._call_timeout_s)
@@ -119,7 +119,7 @@
             async with asyncio.timeout(timeout_s):
                 status, answer = await self._exchange(request)
         except TimeoutError as error:
-            # Kept connections fall silent together; each would cost one more call its whole time.
+            # Pooled connections stall together; each would cost another call its full timeout.
             self._pool.forget(self._address)
             raise StoreUnavailable(f"{method.decode()} {target}: {error!r}") from error
         except (ConnectFailed, ResponseBroken) as error:
--- a/src/bendshed/platform/registry.py
+++ b/src/bendshed/platform/registry.py
@@ -1,4 +1,4 @@
-"""The replicas' registry in the platform's store."""
+"""Replica registry, stored in the platform's metadata store."""
 
 from bendshed.platform import names
 from bendshed.platform.objects import ObjectApi
@@ -8,7 +8,7 @@
 
 
 class PlatformReplicaRegistry(ReplicaRegistry):
-    """Announcements and bootstrap records, as objects of kinds that this product creates."""
+    """Stores announcements and bootstrap records as objects of this product's own kinds."""
 
     def __init__(self, api: ObjectApi) -> None:
         self._api = api
@@ -24,7 +24,7 @@
             raise RegistryUnavailable(str(error)) from error
 
     async def _create_announcement(self, name: str, spec: dict[str, str]) -> bool:
-        """Create it; ``False``: an earlier call of ours took effect, so it is replaced next."""
+        """Create it; ``False`` if it exists since an earlier call took effect: replace it then."""
         try:
             await self._api.create(names.REPLICA_KIND, name, spec)
         except VersionConflict:
@@ -32,7 +32,7 @@
         return True
 
     async def bootstrap_voters(self, group_id: int = 0) -> list[str]:
-        """Node ids of a group's first voters."""
+        """Read the node ids of a group's initial voters."""
         try:
             found = await self._api.get(names.GROUP_KIND, names.turn_group_name(group_id))
         except StoreUnavailable as error:
@@ -40,7 +40,7 @@
         return [str(voter) for voter in found.spec["voters"]] if found is not None else []
 
     async def found(self, voters: list[str], group_id: int = 0) -> list[str]:
-        """Create the bootstrap record; a lost answer is settled by reading."""
+        """Create the bootstrap record; if one exists, return its voters instead."""
         try:
             spec = {"voters": voters}
             await self._api.create(names.GROUP_KIND, names.turn_group_name(group_id), spec)
@@ -51,7 +51,7 @@
         return voters
 
     async def report_retirement(self, name: str, complete: bool) -> None:
-        """Write the status of a retirement."""
+        """Write a retirement's status."""
         status = {"state": "complete" if complete else "running"}
         try:
             await self._api.replace_status(names.RETIREMENT_KIND, name, status)
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -1,4 +1,4 @@
-"""The ``store`` role on this platform: a replica of the turn log on the machine's disk."""
+"""The ``store`` role on this platform: a turn log replica on the machine's disk."""
 
 import asyncio
 import random
@@ -29,16 +29,16 @@
 
 WATCH_WAIT_S = 8.0
 MAX_RETRY_GROWTH = 2.0
-"""Most factor by which a lost store is polled more rarely: the first to reach it informs all."""
+"""Limit of retry interval growth for a lost store; the first replica to reach it informs all."""
 REPLICA_BATCH_INTERVAL_S = 0.25
-"""Replica machines that start at the same time cost one call of this time together; the first
-change after a quiet time is passed on at once."""
+"""Changes within this interval, such as many replicas starting at once, are fetched in one call;
+the first change after an idle period is delivered immediately."""
 
 log = PartLog("store")
 
 
 class StoreProcess:
-    """Shells around a ``TurnLogNode``."""
+    """Connects a ``TurnLogNode`` to disk, transport and the metadata store."""
 
     def __init__(
         self, settings: SiteSettings, data_folder: Path, registry: CollectorRegistry
@@ -123,7 +123,7 @@
             self._api, kind, handler, pace.wait_s, self._rng, pace.pace_s, MAX_RETRY_GROWTH
         )
 
-    # --- what others rely on ---------------------------------------------------------------
+    # --- changes read from the store --------------------------------------------------------
 
     def _confirm_runners(self, at: int) -> None:
         self._node.catalog.confirm(CatalogPart.RUNNERS, at)
--- a/src/bendshed/platform/roles.py
+++ b/src/bendshed/platform/roles.py
@@ -1,4 +1,4 @@
-"""Runs one role in this process: logs, metrics, signals, then the role itself."""
+"""Runs one role in this process after setting up logging, metrics and signal handlers."""
 
 import asyncio
 import gc
@@ -22,7 +22,7 @@
 def run_role(
     role: str, metrics_port: int | None, settings: SiteSettings, listeners: Listeners
 ) -> None:
-    """Run a role until a signal stops it; ``metrics_port``: of the metrics page, if any."""
+    """Run a role until a signal stops it; ``metrics_port``: of the metrics endpoint, if any."""
     writer = log_to(sys.stdout.fileno())
     name_process(settings.nodeName, f"{random.getrandbits(32):08x}")
     asyncio.run(_run(role, metrics_port, settings, listeners, writer))
@@ -45,7 +45,7 @@
         loop.add_signal_handler(signal_number, stopping.set)
     loop.add_signal_handler(signal.SIGHUP, _log_changed_settings, settings)
     if role == "node":
-        from bendshed.platform.front import FrontProcess  # noqa: PLC0415 (a role loads its part)
+        from bendshed.platform.front import FrontProcess  # noqa: PLC0415 (each role imports only its own modules)
 
         _enable_garbage_collection()
         await FrontProcess(settings, listeners, registry).run(stopping)
@@ -59,13 +59,13 @@
 
 
 def _enable_garbage_collection() -> None:
-    """From now on; what was loaded stays for good and is not looked at again."""
+    """Enable garbage collection; imported objects live forever and are excluded from it."""
     gc.freeze()
     gc.enable()
 
 
 def _log_changed_settings(current: SiteSettings) -> None:
-    """Read the settings again and say what differs from the old ones."""
+    """Read the settings again and log the fields that differ from the current ones."""
     try:
         reloaded = load_site_settings()
     except SiteSettingsInvalid as error:
--- a/src/bendshed/platform/runner_protocol.py
+++ b/src/bendshed/platform/runner_protocol.py
@@ -1,4 +1,4 @@
-"""How the platform's runners are spoken to."""
+"""The platform's protocol towards runners."""
 
 from bendshed.platform import names
 from bendshed.ports.http_messages import ClientRequest, ResponseHead
@@ -6,12 +6,12 @@
 
 
 class PlatformRunnerProtocol(RunnerProtocol):
-    """Headers towards runners, and what their answers say."""
+    """Builds requests to runners and classifies their responses."""
 
     def request(
         self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
     ) -> ClientRequest:
-        """Pass the caller's headers on, with the tenant, the time left and the runner meant."""
+        """Forward the caller's headers with tenant, remaining time and intended runner."""
         headers = list(request.headers)
         headers.append((names.DEADLINE_MS, str(sending.left_ms).encode()))
         headers.append((names.EXPECT_RUNNER, sending.runner.runner_id.encode()))
@@ -28,7 +28,7 @@
         )
 
     def verdict(self, head: ResponseHead) -> Verdict:
-        """Read the proofs that a request was not run."""
+        """Classify the response by status and headers that prove the request was not run."""
         if head.status == names.OTHER_RUNNER_STATUS:
             return Verdict.OTHER_RUNNER
         if head.get(names.NOT_RUN) is not None:
@@ -37,7 +37,7 @@
 
 
 def _matches(head: ResponseHead, expected: bytes) -> bool:
-    """An answer carries the request's id; one that says "not run" may lack it."""
+    """Return whether a response belongs to a request; one that proves "not run" may lack the id."""
     found = head.get(names.REQUEST_ID)
     if found is None:
         return head.get(names.NOT_RUN) is not None or head.status == names.OTHER_RUNNER_STATUS
--- a/src/bendshed/platform/settings.py
+++ b/src/bendshed/platform/settings.py
@@ -1,10 +1,10 @@
-"""Reads the settings file that the platform lays on each machine.
+"""Reads the settings file that the platform places on each machine.
 
-The deploy file asks for JSON (`deploy/settings.template`), which is read at once; YAML, the form
-that the platform lays otherwise, is read too and costs each start its library's load.
+The deploy file requests JSON (`deploy/settings.template`), which needs no further import; YAML, the
+platform's default, is supported too but each start then imports its library.
 
-Checked by msgspec and not by the library of the product's own settings: that one costs each process
-of the platform 20 MB of memory and a third of its start (docs/CAPACITY.md).
+Validated by msgspec instead of the library of the product's own settings: that one costs each
+process of the platform 20 MB of memory and a third of its startup time (docs/CAPACITY.md).
 """
 
 import os
@@ -38,7 +38,7 @@
 
 
 class SiteSettingsInvalid(Exception):
-    """The file is missing or a field is impossible; the text names field and cure."""
+    """The file is missing or a field is invalid; the message names the field and the remedy."""
 
 
 class _Section(msgspec.Struct, frozen=True):
@@ -46,7 +46,7 @@
 
 
 class Listen(_Section, frozen=True):
-    """Addresses of what the role serves."""
+    """Addresses on which the role listens."""
 
     front: HostAndPort | None = None
     ready: HostAndPort | None = None
@@ -54,7 +54,7 @@
 
 
 class FaultTolerance(_Section, frozen=True):
-    """How many machines, zones or regions may be lost at once."""
+    """Number of machines, zones or regions that may fail simultaneously."""
 
     machines: ToleratedLosses = 1
     zones: ToleratedLosses = 0
@@ -62,7 +62,7 @@
 
     @property
     def max_lost_replicas(self) -> int:
-        """Replicas that may be lost at once: one a machine or a zone, at least one."""
+        """Maximum number of replicas lost simultaneously: one per machine or zone, at least 1."""
         return max(1, self.machines, self.zones)
 
 
@@ -81,22 +81,22 @@
 
     @property
     def cold_rate_limit(self) -> ColdRateLimit:
-        """How exact the rate of cold runners must be."""
+        """Tolerance of the dispatch rate limit of cold runners."""
         return ColdRateLimit(self.coldOver, self.coldSlack)
 
     @property
     def zone_close_s(self) -> float | None:
-        """Time within which a closed zone gets nothing new; ``None``: operators close none."""
+        """Time until a closed zone gets no new requests; ``None``: zones are never closed."""
         return self.evacMs / 1000 if self.evacMs is not None else None
 
     @property
     def quota_tolerance(self) -> QuotaTolerance:
-        """How exact the limits of tenants must be."""
+        """Tolerance of tenants' quota limits."""
         return QuotaTolerance(self.quotaWindowS, self.quotaOver, self.quotaSlack)
 
 
 class MetadataStore(_Section, frozen=True):
-    """Where the platform's store is, and how long it remembers changes."""
+    """Address of the platform's store and how long it retains its change history."""
 
     addr: HostAndPort
     historyS: Seconds = 20.0  # noqa: N815
@@ -123,42 +123,42 @@
 
     @property
     def places(self) -> Places:
-        """Regions of all zones."""
+        """Region of each zone."""
         return Places({**self.zones, self.zone: self.zones.get(self.zone, self.region)})
 
     @property
     def turn_groups(self) -> TurnGroups:
-        """Groups of the turn log, the same at all nodes: computed from shared settings alone.
+        """Groups of the turn log; identical on all nodes, computed from shared settings alone.
 
-        Where a region may be lost no group is at home in one: most of its voters would go too.
+        If a region may be lost, no group has a home region: most of its voters would be lost too.
         """
         is_regional = self.policy.regional_groups and not self.faultTolerance.regions
         return TurnGroups.from_places(Places(self.zones), is_regional)
 
     @property
     def apply_s(self) -> float:
-        """A change of the configuration or of a runner must be applied within this time."""
+        """Time limit for applying a change of the configuration or of a runner."""
         return self.bounds.applyMs / 1000
 
     @property
     def catalog_times(self) -> CatalogTimes:
-        """How often the store is read, from the limits that must be met."""
+        """Polling intervals of the store, derived from the time limits."""
         return CatalogTimes.within(self.apply_s, self.platform.historyS, self.bounds.zone_close_s)
 
     @property
     def peer_address(self) -> Address:
-        """Where other nodes reach this process."""
+        """Address on which other nodes reach this process."""
         return Address(self.ip, self.portRange[0])
 
 
 def read_address(text: str) -> Address:
-    """Read ``ip:port``."""
+    """Parse ``ip:port``."""
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
 
 
 def load_site_settings(environment: Mapping[str, str] = os.environ) -> SiteSettings:
-    """Read and check the file; raise ``SiteSettingsInvalid`` with one line."""
+    """Read and validate the file; raise ``SiteSettingsInvalid`` with a one-line message."""
     path = environment.get(SETTINGS_VARIABLE, "")
     if not path:
         raise SiteSettingsInvalid(
@@ -177,7 +177,7 @@
 
 
 def _merge_sections(path: str, content: Any) -> Any:
-    """The template puts the platform's fields beside ours; without it, they are the whole file."""
+    """Merge the platform's fields with ours; without the template they are the entire file."""
     if not isinstance(content, dict) or "site" not in content:
         return content
     for section in ("policy", "placement"):
@@ -200,7 +200,7 @@
 
 
 def _parse_yaml(path: str, text: str) -> Any:
-    import yaml  # noqa: PLC0415 (see the module's text)
+    import yaml  # noqa: PLC0415 (see the module docstring)
 
     try:
         return yaml.safe_load(text)
--- a/src/bendshed/platform/translate.py
+++ b/src/bendshed/platform/translate.py
@@ -1,4 +1,4 @@
-"""Translates the store's objects into the product's values."""
+"""Converts objects of the metadata store to and from the product's types."""
 
 from typing import Any
 
@@ -20,7 +20,7 @@
 
 
 def read_document(spec: Any) -> ServiceDocument:
-    """Read the whole configuration; raise ``KeyError``, ``ValueError`` or ``TypeError``."""
+    """Parse the configuration; raise ``KeyError``, ``ValueError`` or ``TypeError``."""
     services = [_read_service(row) for row in spec["services"]]
     return ServiceDocument(
         version=int(spec["version"]),
@@ -57,7 +57,7 @@
 
 
 def _read_tenant(row: Any) -> Tenant:
-    """Keys exist only as digests from here on."""
+    """Parse a tenant; API keys are kept only as digests."""
     return Tenant(
         name=str(row["name"]),
         credentials=tuple(credential_digest(str(key)) for key in row.get("apiKeys") or ()),
@@ -103,7 +103,7 @@
 
 
 def read_runner(item: StoredObject) -> ServiceRunner:
-    """Read a runner's entry."""
+    """Parse a runner's entry."""
     row = item.spec
     return ServiceRunner(
         runner_id=item.name,
@@ -117,12 +117,12 @@
 
 
 def write_replica(node: ReplicaNode) -> dict[str, str]:
-    """Write a replica machine's announcement."""
+    """Encode a replica machine's announcement."""
     return {"nodeId": node.node_id, "addr": str(node.address), "zone": node.zone}
 
 
 def read_replica(item: StoredObject) -> ReplicaNode:
-    """Read a replica machine's announcement."""
+    """Parse a replica machine's announcement."""
     row = item.spec
     return ReplicaNode(
         item.name, str(row["nodeId"]), read_address(str(row["addr"])), str(row["zone"])
@@ -130,5 +130,5 @@
 
 
 def read_retirement(item: StoredObject) -> Retirement:
-    """Read an operator's wish to empty a machine."""
+    """Parse an operator's request to retire a replica machine."""
     return Retirement(item.name)
