--- a/src/bendshed/cli/__init__.py
+++ b/src/bendshed/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line (cleo)."""
+"""The command line interface (cleo)."""
--- a/src/bendshed/cli/ask.py
+++ b/src/bendshed/cli/ask.py
@@ -1,4 +1,4 @@
-"""``bendshed ask``."""
+"""Command ``bendshed ask``."""
 
 import asyncio
 import getpass
@@ -17,7 +17,7 @@
 
 
 class AskCommand(Command):
-    """Asks a node a statement of the operators' language."""
+    """Sends a statement of the operators' language to a node."""
 
     name = "ask"
     description = "Ask a question or give an order in the operators' language."
@@ -34,7 +34,7 @@
     ]
 
     def handle(self) -> int:
-        """Ask and print."""
+        """Send the statement and print the answer."""
         from bendshed.adapters.http import CONNECTION_ERRORS
 
         url, token = self.option("node"), os.environ.get(TOKEN_VARIABLE, "")
--- a/src/bendshed/cli/explain.py
+++ b/src/bendshed/cli/explain.py
@@ -1,4 +1,4 @@
-"""``bendshed explain``: one request's way through the logs of several processes."""
+"""Command ``bendshed explain``: one request's timeline from the logs of several processes."""
 
 from pathlib import Path
 from typing import TYPE_CHECKING, ClassVar
@@ -28,7 +28,7 @@
     ]
 
     def handle(self) -> int:
-        """Run."""
+        """Read the log files and print the timeline and the cause."""
         from bendshed.operators.explanation import LogLine, explain, read_line
 
         lines: list[LogLine] = []
--- a/src/bendshed/cli/main.py
+++ b/src/bendshed/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point. Exit codes: 0 done, 1 refused or failed, 2 the input is wrong."""
+"""Entry point. Exit codes: 0 done, 1 refused or failed, 2 invalid input."""
 
 from cleo.application import Application
 
--- a/src/bendshed/cli/node.py
+++ b/src/bendshed/cli/node.py
@@ -1,4 +1,4 @@
-"""``bendshed node``."""
+"""Command ``bendshed node``."""
 
 import asyncio
 from typing import ClassVar
@@ -27,7 +27,7 @@
     ]
 
     def handle(self) -> int:
-        """Run."""
+        """Run the node until SIGTERM."""
         from bendshed.process import run_node
 
         loaded = load_or_report(self, self.option("settings") or "bendshed.toml")
--- a/src/bendshed/cli/options.py
+++ b/src/bendshed/cli/options.py
@@ -1,4 +1,4 @@
-"""Pieces that several commands share."""
+"""Options and exit codes that several commands share."""
 
 from pathlib import Path
 
@@ -14,17 +14,17 @@
 
 
 def set_option() -> Option:
-    """``--set section.key=value``, the flag that overrides file and environment."""
+    """Return the option ``--set section.key=value``, which overrides file and environment."""
     return option("set", None, "Override a setting: section.key=value", flag=False, multiple=True)
 
 
 def json_option() -> Option:
-    """``--json``."""
+    """Return the option ``--json``."""
     return option("json", None, "Print JSON, for machines")
 
 
 def parse_overrides(command: Command) -> dict[str, str]:
-    """Values of ``--set``; raise ``ValueError``."""
+    """Parse the values of ``--set`` by setting; raise ``ValueError`` if one is malformed."""
     overrides = {}
     for text in command.option("set") or []:
         field, equals, value = text.partition("=")
@@ -35,7 +35,7 @@
 
 
 def load_or_report(command: Command, path: str) -> LoadedSettings | None:
-    """Load settings; on a problem print all of them and return ``None``."""
+    """Load settings; if they are invalid, print all problems and return ``None``."""
     try:
         return load_settings(Path(path), parse_overrides(command))
     except SettingsInvalid as error:
--- a/src/bendshed/cli/rehearse.py
+++ b/src/bendshed/cli/rehearse.py
@@ -1,4 +1,4 @@
-"""``bendshed rehearse …``: stand-ins, demos, searches."""
+"""Commands ``bendshed rehearse …``: stand-ins, demos and fault searches."""
 
 import asyncio
 from dataclasses import asdict
@@ -20,7 +20,7 @@
 
 
 class StandinCommand(Command):
-    """Serves one stand-in."""
+    """Serves a stand-in of an external service."""
 
     name = "rehearse standin"
     description = "Serve a stand-in of the platform, an engine or a tool service."
@@ -33,7 +33,7 @@
     ]
 
     def handle(self) -> int:
-        """Serve."""
+        """Serve until interrupted."""
         from bendshed.rehearsal.engine_model import EngineParameters
         from bendshed.rehearsal.standins import run_standin
 
@@ -47,24 +47,24 @@
 
 
 class SiteDemoCommand(Command):
-    """Runs the demo of a site."""
+    """Runs the demo of fronts and stores on stand-ins."""
 
     name = "rehearse site-demo"
     description = "Serve agent programs through fronts and stores on stand-ins; kill a front."
     help = "Example: <info>bendshed rehearse site-demo</info>"
 
     def handle(self) -> int:
-        """Run."""
+        """Run the demo."""
         from bendshed.rehearsal.site.demo import main
 
         return main()
 
 
 class SearchCommand(Command):
-    """What the two searches share."""
+    """Base of the fault search commands."""
 
     def search(self, game: "Game[Any, Any, Any]", max_steps: int) -> int:
-        """Replay a trace, or play worlds until the bound or the first violation."""
+        """Replay a trace, or simulate worlds until the limit or the first violation."""
         if self.option("replay"):
             seed, steps = game.read_trace(Path(self.option("replay")).read_text())
             world, violations = game.run(seed, steps)
@@ -94,7 +94,7 @@
 
 
 def search_options() -> list[Option]:
-    """Options of each search."""
+    """Return the options that all search commands share."""
     return [
         option("seed", None, "Seed of the first world", flag=False, default="1"),
         option("seconds", None, "Time bound", flag=False, default="300"),
@@ -104,7 +104,7 @@
 
 
 class SiteFuzzCommand(SearchCommand):
-    """Searches for broken rules of a simulated site."""
+    """Searches a simulated site for violated rules by injecting random failures."""
 
     name = "rehearse site-fuzz"
     description = "Random failures against a simulated site; a violation prints a trace."
@@ -121,7 +121,7 @@
     ]
 
     def handle(self) -> int:
-        """Run."""
+        """Search or replay."""
         from bendshed.rehearsal.search import STEPS_PER_WORLD
         from bendshed.rehearsal.site.fuzz import REGIONS, SITE
 
@@ -134,7 +134,7 @@
 
 
 class FuzzCommand(SearchCommand):
-    """Searches for broken promises under virtual time."""
+    """Searches a simulated installation in virtual time for violated guarantees."""
 
     name = "rehearse fuzz"
     description = "Random failures against a simulated installation; a violation prints a trace."
@@ -149,21 +149,21 @@
     ]
 
     def handle(self) -> int:
-        """Run."""
+        """Search or replay."""
         from bendshed.rehearsal.simulator.fuzz import INSTALLATION
 
         return self.search(INSTALLATION, int(self.option("steps")))
 
 
 class DemoCommand(Command):
-    """Runs the demo."""
+    """Runs the demo of a program that survives the loss of a node."""
 
     name = "rehearse demo"
     description = "Run one program across several nodes, kill one, and print what happened."
     help = "Example: <info>bendshed rehearse demo</info>. Exit codes: 0 all held, 1 not."
 
     def handle(self) -> int:
-        """Run."""
+        """Run the demo."""
         from bendshed.rehearsal.demo import main
 
         return main()
--- a/src/bendshed/cli/settings.py
+++ b/src/bendshed/cli/settings.py
@@ -1,4 +1,4 @@
-"""``bendshed settings check`` and ``bendshed settings show``."""
+"""Commands ``bendshed settings check`` and ``bendshed settings show``."""
 
 from dataclasses import asdict
 from typing import ClassVar
@@ -19,7 +19,7 @@
 
 
 class SettingsCheckCommand(Command):
-    """Checks a settings file."""
+    """Validates a settings file."""
 
     name = "settings check"
     description = "Check a settings file and name every problem in it."
@@ -31,7 +31,7 @@
     options: ClassVar[list[Option]] = [set_option()]
 
     def handle(self) -> int:
-        """Check."""
+        """Validate the file and print its problems."""
         if load_or_report(self, self.argument("file")) is None:
             return EXIT_BAD_INPUT
         self.line("the settings are valid")
@@ -39,7 +39,7 @@
 
 
 class SettingsShowCommand(Command):
-    """Shows effective settings."""
+    """Shows the effective settings and their sources."""
 
     name = "settings show"
     description = "Show the settings in force, where each comes from, secrets hidden."
@@ -51,7 +51,7 @@
     options: ClassVar[list[Option]] = [set_option(), json_option()]
 
     def handle(self) -> int:
-        """Show."""
+        """Print the effective settings."""
         loaded = load_or_report(self, self.argument("file"))
         if loaded is None:
             return EXIT_BAD_INPUT
--- a/src/bendshed/operators/__init__.py
+++ b/src/bendshed/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' query and command language and who answers it."""
+"""The operators' query and command language and its execution."""
--- a/src/bendshed/operators/answers.py
+++ b/src/bendshed/operators/answers.py
@@ -1,4 +1,4 @@
-"""Answers the operators' statements, across all nodes where that is needed."""
+"""Executes operators' statements, querying all nodes where needed."""
 
 import asyncio
 import operator
@@ -22,9 +22,9 @@
 STATUS_METHOD = "operators.status"
 PEER_TIMEOUT_S = 2.0
 IN_FORCE_TIMEOUT_S = 13.0
-"""Limit within which a change is applied on all nodes (first letter)."""
+"""Time limit for applying a change on all nodes."""
 DISTRIBUTED_TABLES = frozenset({"programs", "calls", "groups"})
-"""Tables whose rows lie on several nodes."""
+"""Tables whose rows are spread over several nodes."""
 
 Row = dict[str, Any]
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Rows, a sentence, and the nodes that did not reply."""
+    """Result of a statement: rows, a message and the nodes that did not reply."""
 
     rows: list[Row] = field(default_factory=list)
     message: str = ""
@@ -48,14 +48,14 @@
 
 
 class OperatorService:
-    """Serves statements on one node."""
+    """Executes statements on one node."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
         node.ports.transport.handlers[STATUS_METHOD] = self._on_status
 
     async def ask(self, text: str, author: str) -> Answer | Refusal:
-        """Parse and carry out one statement."""
+        """Parse and execute one statement."""
         statement = language.parse(text)
         match statement:
             case Refusal():
@@ -73,7 +73,10 @@
                 return await self._stop(program_id, author)
 
     async def require_tenant(self, program_id: str, tenant: str) -> Row:
-        """Row of a program that belongs to the tenant, else refuse as not found."""
+        """Return the row of a tenant's program; raise a not-found refusal for any other program.
+
+        Raise a group-unavailable refusal if the program is not found while nodes do not reply.
+        """
         answer = await self._show(
             language.Show("programs", (language.Condition("program", "=", program_id),))
         )
@@ -85,7 +88,7 @@
             raise BendshedError(Refusal(ErrorKind.NOT_FOUND, "you have no such program"))
         return answer.rows[0]
 
-    # --- questions -----------------------------------------------------------------------
+    # --- queries -------------------------------------------------------------------------
 
     async def _show(self, show: language.Show) -> Answer:
         silent: list[str] = []
@@ -105,7 +108,7 @@
         return Answer(rows, message, silent)
 
     async def _gather(self, request: peer_pb2.StatusRequest) -> tuple[list[Row], list[str]]:
-        """Rows of all live nodes, and who did not reply."""
+        """Return the rows of all live nodes and the names of nodes that did not reply."""
         own_node_id = self._node.node_id
         others = [m for m in self._node.membership.view.live() if m.node_id != own_node_id]
         replies = await asyncio.gather(*(self._request_node(m.node_id, request) for m in others))
@@ -137,7 +140,7 @@
         rows = self._local_rows(peer_pb2.StatusRequest.FromString(payload))
         return peer_pb2.StatusReply(rows=orjson.dumps(rows)).SerializeToString()
 
-    # --- orders --------------------------------------------------------------------------
+    # --- commands ------------------------------------------------------------------------
 
     async def _wait_and_report(self, accepted: Accepted) -> Answer:
         state = await self._node.configuration.wait_in_force(accepted.revision, IN_FORCE_TIMEOUT_S)
--- a/src/bendshed/operators/explanation.py
+++ b/src/bendshed/operators/explanation.py
@@ -1,4 +1,4 @@
-"""Joins log lines of several processes into one request's timeline and names the cause."""
+"""Merges log lines of several processes into one request's timeline and names the cause."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 import orjson
 
 CONTEXT_BEFORE_S, CONTEXT_AFTER_S = 5.0, 1.0
-"""Events without the request's id are shown this long around it, of processes that saw it."""
+"""Context events of the involved processes are shown this long before and after the request."""
 STANDARD_FIELDS = frozenset(
     {"text", "timestamp", "task_uuid", "task_level", "message_type", "process", "life", "request"}
 )
@@ -43,10 +43,10 @@
         "logs: lines dropped: reader too slow",
     }
 )
-"""Sentences that may explain what happened to a request."""
+"""Messages without a request id that may explain what happened to a request."""
 
 REPLICA_PARTS = ("consensus: ", "supervisor: ", "replicas: ")
-"""Lines of these parts concern every front; others only those of their own process."""
+"""Log prefixes whose lines concern every front; other lines concern only their own process."""
 
 CAUSES = {
     "not_ready": "The front knows no configuration, or not surely the newest, which may allow it.",
@@ -65,7 +65,7 @@
     "bad_request": "The request's fields cannot be read (see detail).",
     "body_too_large": "The body is over the configured limit.",
 }
-"""Kind of a refusal to its cause, in a sentence."""
+"""Cause of a refusal by its kind."""
 
 ENDS = {
     "forward: request cancelled: caller disconnected": (
@@ -83,11 +83,11 @@
     "stream: stream answered": "The stream was answered whole.",
     "forward: request answered": "The request was answered whole.",
 }
-"""Last line of a request to its cause, in a sentence; the first that is found counts."""
+"""Cause by a request's final log message; the first entry that occurs is used."""
 REFUSED_MESSAGE = "forward: request refused"
 ZONE_CLOSED_MESSAGE, ZONE_OPEN_MESSAGE = "zones: zone closed", "zones: zone open again"
 ZONE_DEPENDENT_REFUSALS = frozenset({"no_runner", "overloaded", "deadline_exceeded"})
-"""Kinds of refusals that a closed zone may be the cause of."""
+"""Kinds of refusals that a closed zone may have caused."""
 DISPATCHED_MESSAGE = "forward: request dispatched"
 
 
@@ -96,8 +96,8 @@
     """One line of a process's log.
 
     Attributes:
-        at_s: wall clock of the process that wrote it.
-        process: who wrote it, with its life.
+        at_s: wall clock of the process that wrote the line.
+        process: name of the process with its incarnation (log field ``life``).
 
     """
 
@@ -109,20 +109,20 @@
 
     @property
     def process_name(self) -> str:
-        """The process without its life: a start may explain what happened to the life before."""
+        """The process without its incarnation: a start may explain what happened before it."""
         return self.process.partition("/")[0]
 
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """What is known of one request."""
+    """Timeline of one request and its cause."""
 
     lines: list[LogLine] = field(default_factory=list)
     cause: str = ""
 
 
 def read_line(raw: bytes, source: str) -> LogLine | None:
-    """Read one line; what stands before its first brace is passed over; ``None``: no log line."""
+    """Parse one line, skipping text before its first brace; ``None`` if it is no log line."""
     start = raw.find(b"{")
     if start < 0:
         return None
@@ -143,7 +143,7 @@
 
 
 def explain(request_id: str, lines: Iterable[LogLine]) -> Explanation:
-    """Join what concerns a request, and say the cause where it is known."""
+    """Merge the lines that concern a request and determine the cause if it is known."""
     all_lines = list(lines)
     request_lines = [line for line in all_lines if line.request == request_id]
     request_lines.sort(key=lambda line: line.at_s)
@@ -170,7 +170,10 @@
 
 
 def closed_zones(lines: Iterable[LogLine], at_s: float) -> list[str]:
-    """Zones that were closed at a moment, as processes said in their present lives."""
+    """Return the zones that were closed at ``at_s``, according to the given lines.
+
+    The lines must be of the processes' current incarnations.
+    """
     closed: set[str] = set()
     for line in sorted(lines, key=lambda line: line.at_s):
         zone = str(line.fields.get("zone", ""))
@@ -184,7 +187,7 @@
 
 
 def find_cause(request_lines: list[LogLine], closed: Sequence[str] = ()) -> str:
-    """The cause, from a request's own lines and the zones that were closed then."""
+    """Determine the cause from a request's own lines and the zones closed at its end."""
     for line in reversed(request_lines):
         if line.text == REFUSED_MESSAGE:
             kind, detail = str(line.fields.get("kind", "")), line.fields.get("detail", "")
@@ -200,7 +203,7 @@
 
 
 def _describe_cold_runners(request_lines: list[LogLine]) -> str:
-    """Cold runners that a request was sent to: they are slow."""
+    """Name the cold runners that the request was sent to, since they are slow."""
     cold = [
         str(line.fields.get("runner"))
         for line in request_lines
--- a/src/bendshed/operators/language.py
+++ b/src/bendshed/operators/language.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """``field comparison value``."""
+    """Row filter ``field comparison value``."""
 
     field: str
     comparison: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Show:
-    """Rows of one table."""
+    """Query for rows of one table."""
 
     table: str
     conditions: tuple[Condition, ...] = ()
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExplainCall:
-    """Why a call is where it is."""
+    """Query for a call's state and what it waits for."""
 
     program_id: str
     call_number: int
@@ -66,14 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeConfiguration:
-    """An order that becomes a change of the configuration."""
+    """Command that changes the configuration."""
 
     body: AnyChange
 
 
 @dataclass(frozen=True, slots=True)
 class StopProgram:
-    """End a program."""
+    """Command that ends a program."""
 
     program_id: str
 
@@ -82,7 +82,7 @@
 
 
 def parse(text: str) -> Statement | Refusal:
-    """Parse one statement; a refusal points at the position and says what was expected."""
+    """Parse one statement; a refusal names the error's position and the expected tokens."""
     try:
         tree = _load_parser().parse(text)
         statement: Statement = _StatementBuilder().transform(tree)
@@ -120,7 +120,7 @@
 
 
 class _StatementBuilder(Transformer[Token, Statement]):
-    """Builds statements; each method is named like its rule."""
+    """Builds statements from parse trees; each method is named after its grammar rule."""
 
     def start(self, items: list[Statement]) -> Statement:
         return items[0]
