--- a/src/bendshed/operators/answers.py
+++ b/src/bendshed/operators/answers.py
@@ -22,7 +22,7 @@
 STATUS_METHOD = "operators.status"
 PEER_TIMEOUT_S = 2.0
 IN_FORCE_TIMEOUT_S = 13.0
-"""Time limit for applying a change on all nodes."""
+"""Required time limit for applying a change on all nodes."""
 DISTRIBUTED_TABLES = frozenset({"programs", "calls", "groups"})
 """Tables whose rows are spread over several nodes."""
 
--- a/tests/patterns/test_start_of_a_node.py
+++ b/tests/patterns/test_start_of_a_node.py
@@ -1,16 +1,16 @@
-"""Load pattern: all machines lost power, and every caller waits for the nodes' start.
+"""Load pattern: after a power failure of all machines, every caller waits for the nodes to start.
 
-Grounds for the figures: on a machine with half a core a node had started 0.73 s (p50; p95 0.81 s)
-after power, six times as long as where processor time counts nothing (0.13 s), while a leader of
-the turn log stood after 0.39 s. Most of that is loading: of 440 ms there were 44 for the replicas'
-part, which a node never runs, and a twentieth for collecting garbage that is none.
+Measured on a machine with half a core: a node was up 0.73 s (p50; p95 0.81 s) after power returned,
+six times the 0.13 s where processor time is free, while the turn log had a leader after 0.39 s.
+Most of that was importing: of 440 ms, 44 went to the replicas' modules, which a node never runs,
+and a twentieth to garbage collection that found nothing.
 """
 
 import subprocess
 import sys
 import unittest
 
-NEVER_RUN_BY_A_NODE = (
+REPLICA_ONLY_MODULES = (
     "bendshed.consensus.host",
     "bendshed.consensus.raft",
     "bendshed.admission.quota_ledger",
@@ -22,16 +22,16 @@
 )
 
 
-class StartTest(unittest.TestCase):
-    def test_a_node_loads_nothing_that_only_replicas_run(self) -> None:
+class NodeStartTest(unittest.TestCase):
+    def test_node_does_not_import_replica_only_modules(self) -> None:
         code = (
             "import sys, bendshed.platform.main, bendshed.platform.roles, bendshed.platform.front;"
-            f"print([name for name in {NEVER_RUN_BY_A_NODE} if name in sys.modules])"
+            f"print([name for name in {REPLICA_ONLY_MODULES} if name in sys.modules])"
         )
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
-        self.assertEqual(done.stdout.decode().strip(), "[]")
+        process = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
+        self.assertEqual(process.stdout.decode().strip(), "[]")
 
-    def test_nothing_is_collected_while_a_role_is_loaded_and_all_is_afterwards(self) -> None:
+    def test_garbage_collection_is_disabled_during_import_and_enabled_afterwards(self) -> None:
         code = (
             "import gc, unittest.mock as mock;"
             "from bendshed.platform import main, roles;"
@@ -45,5 +45,5 @@
             "roles._enable_garbage_collection();"
             "print(seen, after, gc.isenabled(), gc.get_freeze_count() > 0)"
         )
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
-        self.assertEqual(done.stdout.decode().strip(), "[False] True True True")
+        process = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
+        self.assertEqual(process.stdout.decode().strip(), "[False] True True True")
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Who may ask: credentials, what runners see of them, where they may not stand."""
+"""Credentials of callers: authentication, forwarding to runners, and absence from stored data."""
 
 import unittest
 from typing import Any
@@ -23,7 +23,7 @@
 KEY, OTHER_KEY = "gjqnirth5mgjy5rcpihh", "acruddedev3nax7u27gx"
 
 
-def route_row(prefix: str, priority: int, public: bool = False) -> dict[str, Any]:
+def route_spec(prefix: str, priority: int, public: bool = False) -> dict[str, Any]:
     return {
         "name": prefix,
         "host": "h.example",
@@ -38,7 +38,7 @@
 
 SPEC: dict[str, Any] = {
     "version": 7,
-    "routes": [route_row("/closed/", 2), route_row("/open/", 0, public=True)],
+    "routes": [route_spec("/closed/", 2), route_spec("/open/", 0, public=True)],
     "services": [{"name": "s"}],
     "tenants": [
         {"name": "one", "apiKeys": [KEY], "priority": 0, "ratePerS": 179, "burst": 20},
@@ -63,29 +63,31 @@
     return (names.AUTHORIZATION, text.encode())
 
 
-def asker(*headers: tuple[bytes, bytes], path: int = 0) -> Principal | None:
+def principal_of(*headers: tuple[bytes, bytes], path: int = 0) -> Principal | None:
     known = document()
     return AccessIndex(known).principal(known.routes[path], request(*headers).credential)
 
 
-def headers_at_the_runner(asked: ServiceRequest, who: Principal) -> Headers:
+def headers_to_runner(incoming: ServiceRequest, principal: Principal) -> Headers:
     route = document().routes[0]
     spec = {"service": "s", "addr": "10.0.0.9:80", "state": "ready"}
     runner = translate.read_runner(StoredObject("i-1", 3, spec, None))
-    sending = RunnerDispatch(route, runner, who.name, who.is_unasked, who.urgency, 100)
-    return PlatformRunnerProtocol().request(asked, b"", sending).headers
+    sending = RunnerDispatch(
+        route, runner, principal.name, principal.is_unasked, principal.urgency, 100
+    )
+    return PlatformRunnerProtocol().request(incoming, b"", sending).headers
 
 
 class CredentialTest(unittest.TestCase):
-    def test_a_known_credential_names_its_tenant(self) -> None:
-        found = asker(authorization(f"Token {KEY}"))
+    def test_known_credential_identifies_tenant(self) -> None:
+        found = principal_of(authorization(f"Token {KEY}"))
         assert found is not None
         self.assertEqual((found.name, found.is_limited), ("one", True))
-        lower = asker(authorization(f"token {OTHER_KEY}"))
+        lower = principal_of(authorization(f"token {OTHER_KEY}"))
         assert lower is not None
         self.assertEqual((lower.name, lower.is_limited), ("two", False))
 
-    def test_what_is_no_credential(self) -> None:
+    def test_invalid_credentials_are_rejected(self) -> None:
         cases: dict[str, list[tuple[bytes, bytes]]] = {
             "missing": [],
             "unknown": [authorization("Token zzz")],
@@ -101,75 +103,75 @@
         }
         for case, headers in cases.items():
             with self.subTest(case=case):
-                self.assertIsNone(asker(*headers))
+                self.assertIsNone(principal_of(*headers))
 
-    def test_an_open_route_asks_nobody(self) -> None:
-        found = asker(path=1)
+    def test_public_route_needs_no_credential(self) -> None:
+        found = principal_of(path=1)
         assert found is not None
         self.assertEqual((found.name, found.is_unasked), ("", False))
-        known = asker(authorization(f"Token {KEY}"), path=1)
+        known = principal_of(authorization(f"Token {KEY}"), path=1)
         assert known is not None
         self.assertEqual(known.name, "one")
 
-    def test_without_tenants_nobody_is_asked(self) -> None:
+    def test_no_credential_needed_without_tenants(self) -> None:
         plain = document({**SPEC, "tenants": []})
         found = AccessIndex(plain).principal(plain.routes[0], "")
         assert found is not None
         self.assertTrue(found.is_unasked)
 
-    def test_a_routes_priority_comes_after_its_tenants(self) -> None:
+    def test_tenant_priority_outranks_route_priority(self) -> None:
         known = document()
         index = AccessIndex(known)
         one, two = credential_digest(KEY), credential_digest(OTHER_KEY)
         pairs = [(one, 1), (one, 0), (two, 1), (two, 0)]
-        found = [index.principal(known.routes[place], who) for who, place in pairs]
-        urgencies = [who.urgency for who in found if who is not None]
+        found = [index.principal(known.routes[route], credential) for credential, route in pairs]
+        urgencies = [principal.urgency for principal in found if principal is not None]
         self.assertEqual(urgencies, sorted(urgencies))
         self.assertEqual(len(set(urgencies)), 4)
 
 
-class RunnerTest(unittest.TestCase):
-    def test_a_runner_gets_the_tenant_in_the_credentials_place(self) -> None:
-        asked = request(
+class ForwardedHeadersTest(unittest.TestCase):
+    def test_runner_gets_tenant_instead_of_credential(self) -> None:
+        incoming = request(
             authorization(f"Token {KEY}"), (names.TENANT, b"two"), (names.TENANT, b"three")
         )
-        who = asker(authorization(f"Token {KEY}"))
-        assert who is not None
-        sent = headers_at_the_runner(asked, who)
+        principal = principal_of(authorization(f"Token {KEY}"))
+        assert principal is not None
+        sent = headers_to_runner(incoming, principal)
         self.assertEqual([v for name, v in sent if name == names.TENANT], [b"one"])
         self.assertNotIn(KEY.encode(), b" ".join(value for _, value in sent))
 
-    def test_a_callers_word_on_its_tenant_never_passes(self) -> None:
-        asked = request((names.TENANT, b"two"))
-        sent = headers_at_the_runner(asked, Principal(None, 0))
+    def test_tenant_header_of_caller_is_removed(self) -> None:
+        incoming = request((names.TENANT, b"two"))
+        sent = headers_to_runner(incoming, Principal(None, 0))
         self.assertEqual([v for name, v in sent if name == names.TENANT], [])
 
-    def test_without_tenants_the_header_is_the_runners(self) -> None:
-        asked = request(authorization("Basic abc"))
-        sent = headers_at_the_runner(asked, Principal(None, 0, is_unasked=True))
+    def test_authorization_is_forwarded_without_tenants(self) -> None:
+        incoming = request(authorization("Basic abc"))
+        sent = headers_to_runner(incoming, Principal(None, 0, is_unasked=True))
         self.assertIn((names.AUTHORIZATION, b"Basic abc"), sent)
 
 
-class KeptTest(unittest.TestCase):
-    def test_no_credential_stands_in_what_is_kept_told_or_shown(self) -> None:
+class CredentialLeakTest(unittest.TestCase):
+    def test_credentials_are_absent_from_stored_sent_and_printed_data(self) -> None:
         known = document()
         catalog = Catalog()
         catalog.take_document(known)
-        kept = encode_stored(StoredCatalog(catalog))
-        told = catalog.written(lambda row: orjson.dumps(orjson.loads(_plain(row))))
-        asked = request(authorization(f"Token {KEY}"))
-        for place in (kept, told, repr(known).encode(), repr(asked).encode()):
-            self.assertNotIn(KEY.encode(), place)
-        opened = decode_stored(kept).catalog.document
-        self.assertEqual(opened, known)
-
-    def test_a_document_kept_as_plain_json_opens(self) -> None:
+        stored = encode_stored(StoredCatalog(catalog))
+        sent = catalog.written(lambda row: orjson.dumps(orjson.loads(_to_plain_json(row))))
+        incoming = request(authorization(f"Token {KEY}"))
+        for data in (stored, sent, repr(known).encode(), repr(incoming).encode()):
+            self.assertNotIn(KEY.encode(), data)
+        restored = decode_stored(stored).catalog.document
+        self.assertEqual(restored, known)
+
+    def test_document_stored_as_plain_json_is_readable(self) -> None:
         known = document()
-        self.assertEqual(read_document(_plain(known)), known)
+        self.assertEqual(read_document(_to_plain_json(known)), known)
 
 
-def _plain(known: ServiceDocument) -> bytes:
-    """A document as an earlier version of the program kept it."""
+def _to_plain_json(known: ServiceDocument) -> bytes:
+    """Encode a document as an earlier version of the program stored it."""
     import msgspec  # noqa: PLC0415
 
     return msgspec.json.encode(known)
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -25,7 +25,7 @@
 
 
 class ChatTest(unittest.TestCase):
-    def test_a_usual_client_needs_no_headers(self) -> None:
+    def test_request_without_headers_uses_defaults(self) -> None:
         parsed = parse(BODY)
         assert isinstance(parsed, ParsedCall)
         self.assertEqual((parsed.call.program_id, parsed.call.call_number), ("single-r1", 1))
@@ -47,7 +47,7 @@
         self.assertEqual((call.deadline_ms, call.idempotency_key), (3000, "k"))
         self.assertEqual(call.priority, 3)  # never more urgent than the tenant
 
-    def test_refusals_name_the_field(self) -> None:
+    def test_refusals_name_the_invalid_field(self) -> None:
         cases: list[tuple[Refusal | ParsedCall, ErrorKind, str]] = [
             (parse({"model": "small"}), ErrorKind.BAD_REQUEST, "messages"),
             (parse(BODY, x_bendshed_call="0"), ErrorKind.BAD_REQUEST, "call"),
@@ -61,6 +61,6 @@
                 self.assertIs(refusal.kind, kind)
                 self.assertIn(part, refusal.detail)
 
-    def test_tokens_map_to_tenants(self) -> None:
+    def test_token_identifies_tenant(self) -> None:
         self.assertEqual(DOCUMENT.tenant_of_token("secret"), "desk")
         self.assertIsNone(DOCUMENT.tenant_of_token("other"))
--- a/tests/test_explanation.py
+++ b/tests/test_explanation.py
@@ -1,4 +1,4 @@
-"""One request's lines out of several logs, in order, with the cause."""
+"""Explanation of one request: its lines from several logs in order, and the cause."""
 
 import unittest
 
@@ -37,26 +37,26 @@
 
 
 class ExplanationTest(unittest.TestCase):
-    def test_own_lines_come_in_order_with_the_cause(self) -> None:
+    def test_request_lines_are_sorted_and_cause_is_named(self) -> None:
         explanation = explain("r1", LOST_RUNNER)
         self.assertEqual([row.at_s for row in explanation.lines], [10.0, 10.2, 10.3])
         self.assertIn("may not be repeated", explanation.cause)
 
-    def test_what_processes_believed_around_it_stands_between(self) -> None:
+    def test_context_lines_near_the_request_are_included(self) -> None:
         near = line(9.0, "store-1", "consensus: role changed", role="leader", term=4)
         far = line(2.0, "store-1", "consensus: role changed", role="follower", term=3)
         explanation = explain("r1", [near, far, *LOST_RUNNER])
         self.assertEqual(explanation.lines[0], near)
         self.assertNotIn(far, explanation.lines)
 
-    def test_what_other_fronts_believed_does_not(self) -> None:
+    def test_context_lines_of_uninvolved_fronts_are_excluded(self) -> None:
         other = line(10.1, "front-2", "registry: platform store lost: call failed", kind="config")
         same = line(10.1, "front-1", "registry: platform store lost: call failed", kind="config")
         explanation = explain("r1", [other, same, *LOST_RUNNER])
         self.assertIn(same, explanation.lines)
         self.assertNotIn(other, explanation.lines)
 
-    def test_a_closed_zone_is_named_as_a_cause(self) -> None:
+    def test_closed_zone_is_named_as_cause(self) -> None:
         closed = line(1.0, "front-1", "zones: zone closed", zone="a", revision=7)
         opened = line(4.0, "front-1", "zones: zone open again", zone="a", revision=9)
         sent = line(10.0, "front-1", "forward: request dispatched", request="r1", runner="i-1")
@@ -73,19 +73,19 @@
         elsewhere = line(1.0, "front-2", "zones: zone closed", zone="b", revision=7)
         self.assertNotIn("had closed", explain("r1", [elsewhere, sent, refused]).cause)
 
-    def test_an_unknown_request(self) -> None:
+    def test_unknown_request(self) -> None:
         explanation = explain("r9", LOST_RUNNER)
         self.assertEqual(explanation.lines, [])
         self.assertIn("r9", explanation.cause)
 
-    def test_a_caller_that_left(self) -> None:
+    def test_disconnected_caller(self) -> None:
         lines = [
             LOST_RUNNER[1],
             line(11.0, "front-1", "forward: request cancelled: caller disconnected", request="r1"),
         ]
         self.assertIn("caller closed", explain("r1", lines).cause)
 
-    def test_a_cold_runner_is_named(self) -> None:
+    def test_cold_runner_is_named(self) -> None:
         lines = [
             line(
                 10.0,
@@ -108,8 +108,8 @@
         )
         self.assertNotIn("cold", explain("r1", [warm, lines[1]]).cause)
 
-    def test_a_refusal_since_all_runners_are_cold(self) -> None:
-        told = line(
+    def test_refusal_because_all_runners_are_cold(self) -> None:
+        rejected = line(
             10.0,
             "store-1",
             "cold: request rejected: its runners are cold and full",
@@ -120,11 +120,11 @@
             10.1, "front-1", "forward: request refused", request="r1", kind="no_room", detail=""
         )
         near = line(9.0, "front-1", "cold: runner is cold", runner="i-1", for_s=8.0)
-        explanation = explain("r1", [near, told, refused])
+        explanation = explain("r1", [near, rejected, refused])
         self.assertIn("was cold", explanation.cause)
-        self.assertEqual(explanation.lines, [near, told, refused])
+        self.assertEqual(explanation.lines, [near, rejected, refused])
 
-    def test_lines_with_a_mark_in_front_and_lines_that_are_none(self) -> None:
+    def test_line_with_leading_text_and_lines_that_are_no_log_lines(self) -> None:
         read = read_line(b'  36.62 front-1 {"text":"node: draining","timestamp":3}', "x")
         assert read is not None
         self.assertEqual((read.text, read.process), ("node: draining", "x"))
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -50,9 +50,9 @@
             "DROP ROUTE beat": ChangeConfiguration(DropRoute(name="beat")),
             "SHOW routes": Show("routes"),
         }
-        for text, wanted in cases.items():
+        for text, expected in cases.items():
             with self.subTest(text=text):
-                self.assertEqual(parse(text), wanted)
+                self.assertEqual(parse(text), expected)
 
     def test_declarations(self) -> None:
         statement = parse("DECLARE PROGRAM triage MODELS small, large TURNS 20 TOKENS 9000")
@@ -61,7 +61,7 @@
         self.assertEqual(declaration.models, ["small", "large"])
         self.assertEqual((declaration.max_turns, declaration.max_tokens), (20, 9000))
 
-    def test_errors_point_at_the_place(self) -> None:
+    def test_errors_name_position_and_expected_token(self) -> None:
         cases = {
             "SHOW": "expected: TABLE",
             "SHOW nodes WHERE": "expected: NAME",
@@ -90,7 +90,7 @@
             document = apply_change(document, statement.body, revision)
         return document
 
-    def test_a_declared_route_is_what_forwarding_gets(self) -> None:
+    def test_declared_route_reaches_the_service_document(self) -> None:
         document = self.apply(
             "PUT SERVICE relay",
             "PUT SERVICE spare SLOTS 2",
@@ -108,12 +108,12 @@
         self.assertEqual((route.timeout_ms, route.priority, route.max_attempts), (1200, 2, 2))
         self.assertEqual((forwarded.version, forwarded.limits.max_body_bytes), (4, 1000))
 
-    def test_a_request_is_unrepeatable_unless_it_is_declared_otherwise(self) -> None:
+    def test_requests_are_unrepeatable_by_default(self) -> None:
         document = self.apply("PUT SERVICE s", "PUT ROUTE r HOST h PREFIX '/' TO s")
         forwarded = to_service_document(2, document.services, document.routes, document.limits)
         self.assertFalse(forwarded.routes[0].may_repeat)
 
-    def test_names_must_exist(self) -> None:
+    def test_unknown_or_referenced_names_are_rejected(self) -> None:
         route = "PUT ROUTE r HOST h PREFIX '/' TO s"
         cases = [(route,), ("DROP ROUTE r",), ("DROP SERVICE s",)]
         cases.append(("PUT SERVICE s", route, "DROP SERVICE s"))
--- a/tests/test_log_table.py
+++ b/tests/test_log_table.py
@@ -1,4 +1,4 @@
-"""The operators' table of log lines holds every sentence of the platform's path, and no other."""
+"""The operators' table of log lines lists exactly the log messages of the platform's processes."""
 
 import ast
 import re
@@ -18,7 +18,7 @@
 SOURCES = ROOT / "src" / "bendshed"
 METRIC_NAME = re.compile(r'"(bendshed_[a-z_]+)"')
 FOLDERS = ("services", "turns", "consensus", "platform", "adapters", "catalog", "paths")
-OWN_INTERFACE_ONLY = {"replica_placement.py"}
+EXCLUDED_MODULES = {"replica_placement.py"}
 """Modules that the platform's processes do not run."""
 
 
@@ -31,7 +31,7 @@
     return ""
 
 
-def sentences_of(path: Path) -> set[str]:
+def log_messages_of(path: Path) -> set[str]:
     tree = ast.parse(path.read_text())
     prefix = prefix_of(tree)
     found = set()
@@ -44,32 +44,32 @@
     return found
 
 
-def all_sentences() -> set[str]:
+def all_log_messages() -> set[str]:
     paths = [p for folder in FOLDERS for p in (SOURCES / folder).rglob("*.py")]
     found = {"logs: lines dropped: reader too slow"}
-    return found.union(*(sentences_of(p) for p in paths if p.name not in OWN_INTERFACE_ONLY))
+    return found.union(*(log_messages_of(p) for p in paths if p.name not in EXCLUDED_MODULES))
 
 
 class LogTableTest(unittest.TestCase):
-    def test_the_table_is_the_code(self) -> None:
+    def test_table_matches_code(self) -> None:
         page = (ROOT / "docs" / "OPERATIONS.md").read_text()
         rows = [line for line in page.splitlines() if line.startswith("| `")]
-        told = {
+        documented = {
             name for row in rows for name in re.findall(r"`([a-z]+: [^`]+)`", row.split("|")[1])
         }
-        self.assertEqual(told, all_sentences())
+        self.assertEqual(documented, all_log_messages())
 
-    def test_the_explanation_knows_only_lines_and_kinds_that_exist(self) -> None:
+    def test_explanation_uses_only_existing_messages_and_kinds(self) -> None:
         self.assertLessEqual(
-            {*CONTEXT_MESSAGES, *ENDS, REFUSED_MESSAGE, DISPATCHED_MESSAGE}, all_sentences()
+            {*CONTEXT_MESSAGES, *ENDS, REFUSED_MESSAGE, DISPATCHED_MESSAGE}, all_log_messages()
         )
         self.assertLessEqual(set(CAUSES), {kind.value for kind in ErrorKind})
 
 
 class MetricsTableTest(unittest.TestCase):
-    def test_the_table_is_the_code(self) -> None:
+    def test_table_matches_code(self) -> None:
         page = (ROOT / "docs" / "OPERATIONS.md").read_text()
-        told = set(re.findall(r"^\| `(bendshed_[a-z_]+)`", page, re.MULTILINE))
+        documented = set(re.findall(r"^\| `(bendshed_[a-z_]+)`", page, re.MULTILINE))
         paths = [p for folder in FOLDERS for p in (SOURCES / folder).rglob("*.py")]
-        named = set().union(*(METRIC_NAME.findall(path.read_text()) for path in paths))
-        self.assertEqual(told, named)
+        defined = set().union(*(METRIC_NAME.findall(path.read_text()) for path in paths))
+        self.assertEqual(documented, defined)
--- a/tests/test_platform_border.py
+++ b/tests/test_platform_border.py
@@ -1,4 +1,4 @@
-"""The users' platform stays behind its folder: no name of it stands elsewhere in the product."""
+"""Names of the users' platform must not occur in the product outside the platform folder."""
 
 import re
 import unittest
@@ -6,7 +6,7 @@
 
 SOURCE = Path(__file__).parent.parent / "src" / "bendshed"
 PLATFORM = SOURCE / "platform"
-PECULIAR_NAMES = (
+PLATFORM_NAMES = (
     # headers
     "X-Deadline-Ms",
     "X-Program-Id",
@@ -66,18 +66,18 @@
 )
 
 
-class BorderTest(unittest.TestCase):
-    def test_no_name_of_the_platform_stands_outside_its_folder(self) -> None:
+class PlatformBorderTest(unittest.TestCase):
+    def test_platform_names_are_absent_outside_its_folder(self) -> None:
         for path in sorted(SOURCE.rglob("*.py")):
             if PLATFORM in path.parents:
                 continue
             text = path.read_text()
-            place = path.relative_to(SOURCE).as_posix()
-            for name in PECULIAR_NAMES:
-                with self.subTest(file=place, name=name):
+            module = path.relative_to(SOURCE).as_posix()
+            for name in PLATFORM_NAMES:
+                with self.subTest(file=module, name=name):
                     pattern = rf"(?<![A-Za-z0-9_-]){re.escape(name)}(?![A-Za-z0-9_])"
                     self.assertIsNone(re.search(pattern, text, re.IGNORECASE))
 
-    def test_the_folder_stays_small(self) -> None:
+    def test_platform_folder_stays_small(self) -> None:
         lines = sum(len(path.read_text().splitlines()) for path in PLATFORM.rglob("*.py"))
         self.assertLess(lines, 1500)
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -1,4 +1,4 @@
-"""The users' platform: settings, objects, headers, answers."""
+"""Formats of the users' platform: settings, objects, request headers, refusal responses."""
 
 import contextlib
 import io
@@ -66,16 +66,16 @@
             path.write_text(content)
             return load_site_settings({names.SETTINGS_VARIABLE: str(path)})
 
-    def test_unknown_fields_are_passed_over(self) -> None:
+    def test_unknown_fields_are_ignored(self) -> None:
         settings = self.load(yaml.safe_dump(SETTINGS))
         self.assertEqual(str(settings.peer_address), "10.1.0.38:7380")  # type: ignore[attr-defined]
 
-    def test_the_form_that_the_deploy_file_asks_for(self) -> None:
+    def test_deploy_template_loads_like_plain_yaml(self) -> None:
         template = Path(__file__).parent.parent / "deploy" / "settings.template"
         filled = template.read_text().replace("{{.|json}}", orjson.dumps(SETTINGS).decode())
         self.assertEqual(self.load(filled), self.load(yaml.safe_dump(SETTINGS)))
 
-    def test_a_group_of_the_turn_log_for_each_region(self) -> None:
+    def test_one_turn_log_group_per_region(self) -> None:
         zones = {"zones": {"a": "east", "b": "west"}}
         for changes, homes in (
             (zones, ("east", "west")),
@@ -88,7 +88,7 @@
                 settings = self.load(yaml.safe_dump({**SETTINGS, **changes}))
                 self.assertEqual(settings.turn_groups.homes, homes)  # type: ignore[attr-defined]
 
-    def test_mechanisms_are_switched_off_beside_the_platforms_fields(self) -> None:
+    def test_policy_section_beside_platform_fields(self) -> None:
         content = {"site": SETTINGS, "policy": {"relays": False}}
         settings = self.load(orjson.dumps(content).decode())
         self.assertEqual(settings.policy, Policy(relays=False))  # type: ignore[attr-defined]
@@ -97,7 +97,7 @@
                 self.load(orjson.dumps({"site": SETTINGS, "policy": policy}).decode())
             self.assertIn(named, str(caught.exception))
 
-    def test_what_no_node_can_measure_is_told_beside_the_platforms_fields(self) -> None:
+    def test_placement_section_beside_platform_fields(self) -> None:
         content = {"site": SETTINGS, "placement": {"region_ms_per_kb": 0.5}}
         settings = self.load(orjson.dumps(content).decode())
         self.assertEqual(settings.placement, LinkSettings(region_ms_per_kb=0.5))  # type: ignore[attr-defined]
@@ -113,7 +113,7 @@
                 self.load(orjson.dumps({"site": SETTINGS, "placement": placement}).decode())
             self.assertIn(field, str(caught.exception))
 
-    def test_each_problem_names_its_field(self) -> None:
+    def test_errors_name_the_invalid_field(self) -> None:
         cases = {
             "platform": {name: value for name, value in SETTINGS.items() if name != "platform"},
             "listen.front": {**SETTINGS, "listen": {"front": "here"}},
@@ -129,7 +129,7 @@
                 self.load(orjson.dumps(content).decode())
             self.assertIn(field, str(caught.exception))
 
-    def test_a_file_that_is_no_yaml_or_missing(self) -> None:
+    def test_invalid_or_missing_file_is_rejected(self) -> None:
         with self.assertRaises(SiteSettingsInvalid):
             self.load("{unclosed")
         with self.assertRaises(SiteSettingsInvalid):
@@ -139,15 +139,15 @@
         with self.assertRaises(SiteSettingsInvalid):
             load_site_settings({names.SETTINGS_VARIABLE: os.devnull + "/no"})
 
-    def test_an_unknown_role_ends_with_2(self) -> None:
-        said = io.StringIO()
-        with contextlib.redirect_stderr(said):
+    def test_unknown_role_exits_with_2(self) -> None:
+        stderr = io.StringIO()
+        with contextlib.redirect_stderr(stderr):
             self.assertEqual(main(["leader"]), 2)
-        self.assertIn("give one role", said.getvalue())
+        self.assertIn("give one role", stderr.getvalue())
 
 
-class ObjectsTest(unittest.TestCase):
-    def test_the_configuration(self) -> None:
+class ObjectParsingTest(unittest.TestCase):
+    def test_configuration(self) -> None:
         document = read_document(orjson.loads(orjson.dumps(SPEC)))
         (route,) = document.routes
         self.assertEqual((document.version, route.kind), (7, RouteKind.STREAM))
@@ -159,7 +159,7 @@
         self.assertEqual(document.limits.max_body_bytes, 10)
         self.assertEqual(document.limits.max_header_bytes, 16_384)
 
-    def test_a_runner(self) -> None:
+    def test_runner(self) -> None:
         spec = {"service": "s", "addr": "10.0.0.9:80", "zone": "a", "slots": 12, "state": "ready"}
         ready = read_runner(StoredObject("i-1", 3, spec, None))
         self.assertEqual((ready.runner_id, ready.state), ("i-1", RunnerState.READY))
@@ -190,13 +190,13 @@
 ]
 
 
-class IngressTest(unittest.TestCase):
+class CallerProtocolTest(unittest.TestCase):
     def turn(self) -> ServiceRequest:
         request = read(TURN)
         assert isinstance(request, ServiceRequest)
         return request
 
-    def test_a_turn(self) -> None:
+    def test_turn_headers(self) -> None:
         request = self.turn()
         assert request.turn is not None
         self.assertEqual(request.target, b"/p/a%2Fb?x=%20")
@@ -204,7 +204,7 @@
         self.assertEqual(request.turn.budget_tokens, 2304)
         self.assertEqual((request.turn.most_tokens, request.turn.previous_turn), (288, "t0"))
 
-    def test_what_is_passed_on(self) -> None:
+    def test_forwarded_headers(self) -> None:
         passed = [name for name, _ in self.turn().headers]
         self.assertIn(b"x-other", passed)
         self.assertIn(b"x-request-id", passed)
@@ -213,7 +213,7 @@
         for name in (b"transfer-encoding", b"x-deadline-ms"):
             self.assertNotIn(name, passed)
 
-    def test_fields_that_cannot_be_read(self) -> None:
+    def test_invalid_headers_are_refused(self) -> None:
         for headers in (
             [(b"host", b"h")],
             [(b"x-request-id", b"r"), (b"x-deadline-ms", b"soon")],
@@ -226,7 +226,7 @@
 
 
 class RunnerProtocolTest(unittest.TestCase):
-    def test_towards_a_runner(self) -> None:
+    def test_request_to_runner(self) -> None:
         document = read_document(SPEC)
         request = read(TURN)
         assert isinstance(request, ServiceRequest)
@@ -240,24 +240,24 @@
         self.assertEqual(fields[names.EXPECT_RUNNER], b"i-1")
         self.assertEqual(fields[names.URGENCY], b"1")
         self.assertEqual(sent.body, b"all")
-        mine = ResponseHead(200, [(b"X-Request-Id", b"r1")])
-        others = ResponseHead(200, [(b"X-Request-Id", b"r2")])
-        self.assertEqual((sent.owns(mine), sent.owns(others)), (True, False))
+        own_response = ResponseHead(200, [(b"X-Request-Id", b"r1")])
+        other_response = ResponseHead(200, [(b"X-Request-Id", b"r2")])
+        self.assertEqual((sent.owns(own_response), sent.owns(other_response)), (True, False))
         self.assertFalse(sent.owns(ResponseHead(200)))
 
-    def test_what_proves_that_nothing_was_run(self) -> None:
+    def test_proofs_that_request_was_not_run(self) -> None:
         protocol = PlatformRunnerProtocol()
-        shed = ResponseHead(503, [(b"X-Not-Run", b"1")])
-        self.assertEqual(protocol.verdict(shed), Verdict.NOT_RUN)
+        refused_response = ResponseHead(503, [(b"X-Not-Run", b"1")])
+        self.assertEqual(protocol.verdict(refused_response), Verdict.NOT_RUN)
         self.assertEqual(protocol.verdict(ResponseHead(421)), Verdict.OTHER_RUNNER)
         for status in (500, 503, 504, 429, 400):
             self.assertEqual(protocol.verdict(ResponseHead(status)), Verdict.ANSWERED)
 
 
-class AnswersTest(unittest.TestCase):
-    def test_a_promise_is_made_only_where_nothing_was_run(self) -> None:
-        promises = (402, 404, 408, 421, 429, 503)
+class RefusalStatusTest(unittest.TestCase):
+    def test_not_run_status_only_if_nothing_was_run(self) -> None:
+        not_run_statuses = (402, 404, 408, 421, 429, 503)
         for kind in ErrorKind:
             status = status_of(Refusal(kind, ""))
             if ANSWERS[kind].ran is not WasRun.NO:
-                self.assertNotIn(status, promises, kind)
+                self.assertNotIn(status, not_run_statuses, kind)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The calls to the metadata store against a stand-in of it."""
+"""Calls to the metadata store, run against a stand-in server."""
 
 import asyncio
 import contextlib
@@ -20,33 +20,33 @@
 from bendshed.rehearsal.site.metadata import PAGE, MetadataModel, MetadataServer
 from tests.stalling_proxy import StallingProxy
 
-GUARD_S = 30.0
-"""Ends a call that hangs; a busy machine may take its time for one that is answered."""
-SILENT_S = 2.0
-"""How long a call waits that the test leaves unanswered."""
+HANG_TIMEOUT_S = 30.0
+"""Ends a hanging call; long enough for slow answers on a busy machine."""
+UNANSWERED_TIMEOUT_S = 2.0
+"""Timeout of calls that the test leaves unanswered."""
 
 
-class StoreTest(unittest.IsolatedAsyncioTestCase):
+class ObjectApiTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.model = MetadataModel()
         self.server = make_server(MetadataServer(self.model).application())
         listener = bind("127.0.0.1", 0)
         self.address = Address("127.0.0.1", listener.getsockname()[1])
         self.serving = asyncio.create_task(self.server.serve(sockets=[listener]))
-        self.api = ObjectApi(self.address, call_timeout_s=GUARD_S)
-        self.short = ObjectApi(self.address, call_timeout_s=SILENT_S)
+        self.api = ObjectApi(self.address, call_timeout_s=HANG_TIMEOUT_S)
+        self.impatient_api = ObjectApi(self.address, call_timeout_s=UNANSWERED_TIMEOUT_S)
 
     async def asyncTearDown(self) -> None:
         self.api.close()
-        self.short.close()
+        self.impatient_api.close()
         self.server.should_exit = self.server.force_exit = True
         with contextlib.suppress(asyncio.CancelledError):
             await self.serving
 
-    async def test_objects(self) -> None:
+    async def test_create_get_and_replace(self) -> None:
         self.assertIsNone(await self.api.get("kind", "a/b c"))
-        made = await self.api.create("kind", "a", {"x": 1})
-        self.assertEqual(made.spec, {"x": 1})
+        created = await self.api.create("kind", "a", {"x": 1})
+        self.assertEqual(created.spec, {"x": 1})
         with self.assertRaises(VersionConflict):
             await self.api.create("kind", "a", {"x": 2})
         self.assertTrue(await self.api.replace("kind", "a", {"x": 3}))
@@ -56,15 +56,15 @@
         assert found is not None
         self.assertEqual((found.spec, found.status), ({"x": 3}, {"state": "running"}))
 
-    async def test_pages(self) -> None:
+    async def test_list_reads_all_pages(self) -> None:
         for number in range(PAGE + 7):
             self.model.put("kind", f"n{number:05}", {})
         listed = await self.api.list("kind")
         self.assertEqual(len(listed.items), PAGE + 7)
         self.assertEqual(listed.at, self.model.revision)
 
-    async def test_a_change_between_two_pages_is_not_missed(self) -> None:
-        """What changes on an early page while a later one is read comes by the next watch."""
+    async def test_change_during_paging_is_delivered_by_watch(self) -> None:
+        """A change on an early page while a later one is read is delivered by the next watch."""
         self.model.page = 2
         for name in ("a", "b", "c"):
             self.model.put("kind", name, {"state": "ready"})
@@ -76,28 +76,28 @@
         self.model.on_page = change_once
         listed = await self.api.list("kind")
         events = (await self.api.watch("kind", listed.at, 0.0)).events
-        heard = [(event.object.name, event.object.spec["state"]) for event in events]
-        self.assertEqual(heard[-1:], [("a", "draining")])
+        received = [(event.object.name, event.object.spec["state"]) for event in events]
+        self.assertEqual(received[-1:], [("a", "draining")])
 
-    async def test_a_write_whose_answer_is_lost_was_done(self) -> None:
+    async def test_write_with_lost_answer_took_effect(self) -> None:
         self.model.lose_answers = 1
         with self.assertRaises(StoreUnavailable):
-            await self.short.create("kind", "a", {"x": 1})
+            await self.impatient_api.create("kind", "a", {"x": 1})
         found = await self.api.get("kind", "a")
         assert found is not None
         self.assertEqual(found.spec, {"x": 1})
 
-    async def test_a_late_founding_does_not_replace_the_one_that_came_first(self) -> None:
-        """Two stores found at once; the write of one is done only seconds later."""
+    async def test_late_bootstrap_write_does_not_replace_first_one(self) -> None:
+        """Two stores bootstrap at once; the write of one takes effect only seconds later."""
         registry = PlatformReplicaRegistry(self.api)
         self.model.delay_writes = 1
         with self.assertRaises(RegistryUnavailable):
-            await PlatformReplicaRegistry(self.short).found(["one"])
+            await PlatformReplicaRegistry(self.impatient_api).found(["one"])
         self.assertEqual(await registry.found(["two"]), ["two"])
         self.model.do_late_writes()
         self.assertEqual(await registry.bootstrap_voters(), ["two"])
 
-    async def test_a_watch_hears_of_changes_and_of_a_lost_history(self) -> None:
+    async def test_watch_reports_changes_and_expired_history(self) -> None:
         at = (await self.api.list("kind")).at
         watching = asyncio.create_task(self.api.watch("kind", at, 5.0))
         await asyncio.sleep(0)
@@ -112,11 +112,11 @@
         with self.assertRaises(HistoryGone):
             await self.api.watch("kind", at, 5.0)
 
-    async def test_a_watch_without_changes_ends(self) -> None:
+    async def test_watch_without_changes_returns(self) -> None:
         changes = await self.api.watch("kind", 0, 0.0)
         self.assertEqual(changes.events, [])
 
-    async def test_a_store_that_refuses(self) -> None:
+    async def test_failing_store_raises_store_unavailable(self) -> None:
         self.model.calls_left = 0
         with self.assertRaises(StoreUnavailable):
             await self.api.list("kind")
@@ -125,13 +125,13 @@
         with self.assertRaises(StoreUnavailable):
             await self.api.get("kind", "a")
 
-    async def test_no_store(self) -> None:
+    async def test_unreachable_store_raises_store_unavailable(self) -> None:
         self.server.should_exit = self.server.force_exit = True
         await self.serving
         with self.assertRaises(StoreUnavailable):
             await self.api.list("kind")
 
-    async def test_the_registry(self) -> None:
+    async def test_replica_registry(self) -> None:
         registry = PlatformReplicaRegistry(self.api)
         me = ReplicaNode("store-1", "disk-1", self.address, "z")
         await registry.announce(me)
@@ -153,7 +153,7 @@
 
 
 class RoundTripTest(unittest.TestCase):
-    def test_what_is_written_reads_back(self) -> None:
+    def test_encoded_values_are_parsed_back(self) -> None:
         document = make_document(7)
         self.assertEqual(read_document(write_document(document, all_keys())), document)
         address = Address("10.0.0.1", 80)
@@ -162,18 +162,17 @@
         self.assertEqual(read_runner(item), runner)
 
 
-class SilentConnectionsTest(unittest.IsolatedAsyncioTestCase):
-    """Kept connections to the store that fall silent without being closed, while new ones work.
+class StalledConnectionsTest(unittest.IsolatedAsyncioTestCase):
+    """Pooled connections to the store that stall without being closed, while new ones work.
 
-    Seen: twelve seconds after the return of power nothing was served at a site; no log was kept.
-    How it comes about at one process: its watches keep a connection each, all of which fall silent.
-    Cause: a call that timed out dropped its own connection and took the next silent one, so the
-    store counted as lost for one time-out and one pause more a kept connection. Proof: a proxy that
-    goes on reading and passes nothing on. It delays the return of a process and does not prevent
-    it, and processes that have just started have no such connections.
+    A call that timed out used to drop only its own connection and then take the next stalled one,
+    so the store counted as lost for one timeout and one pause per pooled connection; each watch of
+    a process keeps one. Seen at a site that served nothing twelve seconds after power returned (no
+    log was kept). Stalled connections delay the return of a process but do not prevent it, and
+    processes that have just started have none. The proxy keeps reading and forwards nothing.
     """
 
-    NUM_KEPT = 4
+    NUM_POOLED = 4
 
     async def asyncSetUp(self) -> None:
         self.model = MetadataModel()
@@ -181,7 +180,7 @@
         listener = bind("127.0.0.1", 0)
         self.serving = asyncio.create_task(self.server.serve(sockets=[listener]))
         self.proxy = StallingProxy(Address("127.0.0.1", listener.getsockname()[1]))
-        self.api = ObjectApi(await self.proxy.start(), call_timeout_s=SILENT_S)
+        self.api = ObjectApi(await self.proxy.start(), call_timeout_s=UNANSWERED_TIMEOUT_S)
 
     async def asyncTearDown(self) -> None:
         self.api.close()
@@ -190,10 +189,10 @@
         with contextlib.suppress(asyncio.CancelledError):
             await self.serving
 
-    async def test_one_call_that_times_out_is_enough(self) -> None:
+    async def test_one_timeout_discards_all_pooled_connections(self) -> None:
         self.model.put("kind", "a", {})
-        await asyncio.gather(*(self.api.get("kind", "a") for _ in range(self.NUM_KEPT)))
-        self.assertEqual(self.proxy.num_opened, self.NUM_KEPT)
+        await asyncio.gather(*(self.api.get("kind", "a") for _ in range(self.NUM_POOLED)))
+        self.assertEqual(self.proxy.num_opened, self.NUM_POOLED)
         self.proxy.fall_silent()
         with self.assertRaises(StoreUnavailable):
             await self.api.get("kind", "a")
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -1,4 +1,4 @@
-"""Drives real processes, waiting for events."""
+"""End-to-end test with real processes; waits for events instead of fixed times."""
 
 import asyncio
 import tempfile
@@ -11,15 +11,15 @@
 
 
 class SmokeTest(unittest.IsolatedAsyncioTestCase):
-    async def test_program_survives_a_kill_and_a_rolling_stop(self) -> None:
+    async def test_program_survives_killed_and_stopped_nodes(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             installation = await Installation.start(Path(folder))
             try:
-                await self._drive(installation)
+                await self._run_scenario(installation)
             finally:
                 await installation.stop()
 
-    async def _drive(self, installation: Installation) -> None:
+    async def _run_scenario(self, installation: Installation) -> None:
         client = installation.client
 
         async def turn(node: str, call: Call, token: str = CALLER_TOKEN):
@@ -33,7 +33,7 @@
         self.assertEqual((again.whole, again.text), (True, first.text))
         other_body = await turn("node-2", Call("p", 1, "something else"))
         self.assertEqual(other_body.error_kind, "conflict")
-        await self._use_a_declared_route(installation)
+        await self._check_declared_route(installation)
         await installation.kill_node("node-1")
         second = await turn("node-4", Call("p", 2, "go on", unrepeatable=True))
         self.assertTrue(second.whole, second)
@@ -43,8 +43,8 @@
         streamed = await stream
         self.assertTrue(streamed.whole, streamed)
 
-    async def _use_a_declared_route(self, installation: Installation) -> None:
-        """A request on a declared route goes to a machine of its service, at any node."""
+    async def _check_declared_route(self, installation: Installation) -> None:
+        """Any node forwards a request on a declared route to a machine of its service."""
         await installation.list_service("tool-1", "lookup")
         await installation.order("PUT SERVICE lookup SLOTS 4")
         route = "PUT ROUTE tools HOST '127.0.0.1' PREFIX '/tools/' TO lookup KIND idempotent"
@@ -68,11 +68,11 @@
 
 
 class RollingRestartTest(unittest.IsolatedAsyncioTestCase):
-    """Every node is stopped and started again under load: no stream is cut, no call is lost."""
+    """Restarts every node in turn under load; no stream may break and no call may be lost."""
 
-    PROGRAMS = 4
+    NUM_PROGRAMS = 4
 
-    async def test_no_stream_is_cut(self) -> None:
+    async def test_streams_complete_during_rolling_restart(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             installation = await Installation.start(Path(folder))
             try:
@@ -81,37 +81,39 @@
                 await installation.stop()
 
     async def _restart_all(self, installation: Installation) -> None:
-        over = asyncio.Event()
+        stopping = asyncio.Event()
         programs = [
-            asyncio.create_task(self._program(installation, f"rolling-{number}", over))
-            for number in range(self.PROGRAMS)
+            asyncio.create_task(self._run_program(installation, f"rolling-{number}", stopping))
+            for number in range(self.NUM_PROGRAMS)
         ]
         for name in list(installation.nodes):
             self.assertEqual(await installation.stop_node(name), 0)
             await installation.start_node(installation.plans[name])
             await installation.wait_ready(members=4, groups=4, runners=2)
-        over.set()
+        stopping.set()
         turns = await asyncio.gather(*programs)
         self.assertGreater(min(turns), 0)
 
-    async def _program(self, installation: Installation, program: str, over: asyncio.Event) -> int:
-        """Issue turns until told to end; return how many were whole."""
+    async def _run_program(
+        self, installation: Installation, program: str, stopping: asyncio.Event
+    ) -> int:
+        """Issue turns until ``stopping`` is set; return how many were answered completely."""
         turns = 0
-        while not over.is_set():
+        while not stopping.is_set():
             call = Call(program, turns + 1, f"turn {turns + 1} of {program}")
-            await self._turn(installation, call, turns)
+            await self._run_turn(installation, call, turns)
             turns += 1
         return turns
 
-    async def _turn(self, installation: Installation, call: Call, first: int) -> None:
-        """Try node after node; a stream that has begun must end whole."""
+    async def _run_turn(self, installation: Installation, call: Call, first: int) -> None:
+        """Try node after node; a stream that has started must complete."""
         for number in range(first, first + 200):
             nodes = list(installation.nodes.values())
             node = nodes[number % len(nodes)]
             try:
                 report = await send_call(installation.client, node.url, CALLER_TOKEN, call)
             except CONNECTION_ERRORS:
-                continue  # stopped between look-up and connection
+                continue  # the node stopped before the connection was made
             if report.status == 200:
                 self.assertTrue(report.whole, (node.name, report))
                 return
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a start of one process or of all of them costs those who wait for it."""
+"""Startup time of one process or of all processes, as seen by waiting clients."""
 
 import asyncio
 import os
@@ -30,26 +30,26 @@
 from bendshed.services.metrics import ServiceMetrics
 from bendshed.services.runners import RunnerTable
 
-LEADER_GOAL_S = 0.25
-SERVED_GOAL_S = 0.15
+LEADER_ELECTED_LIMIT_S = 0.25
+REQUESTS_SERVED_LIMIT_S = 0.15
 NUM_TURNS = 6
-HEAVY = ("uvicorn", "prometheus_client", "eliot", "google.protobuf", "yaml", "asyncio")
+SLOW_IMPORTS = ("uvicorn", "prometheus_client", "eliot", "google.protobuf", "yaml", "asyncio")
 
 
-class ListenEarlyTest(unittest.TestCase):
-    def test_a_front_takes_connections_before_it_loads_its_parts(self) -> None:
+class ListenBeforeImportTest(unittest.TestCase):
+    def test_front_accepts_connections_before_role_is_imported(self) -> None:
         ports = free_ports(3)
-        seen: list[Listeners] = []
+        seen_listeners: list[Listeners] = []
 
         def run_role(
             _role: str, _port: int | None, _settings: SiteSettings, listeners: Listeners
         ) -> None:
             for port in ports[1:]:
                 socket.create_connection((HOST, port)).close()
-            seen.append(listeners)
+            seen_listeners.append(listeners)
 
-        handler = signal.getsignal(signal.SIGHUP)
-        self.addCleanup(signal.signal, signal.SIGHUP, handler)
+        previous_handler = signal.getsignal(signal.SIGHUP)
+        self.addCleanup(signal.signal, signal.SIGHUP, previous_handler)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.yaml"
             path.write_text(write_settings("f", "a", ports, Address(HOST, 1), HOST, None))
@@ -58,16 +58,17 @@
                 mock.patch.object(roles, "run_role", run_role),
             ):
                 self.assertEqual(platform_main.main(["node"]), 0)
-        self.assertEqual(seen[0].front_port, ports[1])
-        for listener in seen[0].sockets:
+        self.assertEqual(seen_listeners[0].front_port, ports[1])
+        for listener in seen_listeners[0].sockets:
             listener.close()
 
-    def test_nothing_heavy_is_loaded_before_it_listens(self) -> None:
+    def test_no_slow_import_before_listening(self) -> None:
         code = (
-            f"import sys, bendshed.platform.main; print([n for n in {HEAVY} if n in sys.modules])"
+            "import sys, bendshed.platform.main; "
+            f"print([n for n in {SLOW_IMPORTS} if n in sys.modules])"
         )
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
-        self.assertEqual(done.stdout.decode().strip(), "[]")
+        process = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
+        self.assertEqual(process.stdout.decode().strip(), "[]")
 
 
 class FirstDocumentTest(unittest.IsolatedAsyncioTestCase):
@@ -84,7 +85,7 @@
             side_effect=lambda refusal: self.refused.append(refusal.kind.value)
         )
 
-    async def test_a_request_waits_for_the_first_document(self) -> None:
+    async def test_request_waits_for_first_document(self) -> None:
         serving = asyncio.create_task(self.forwarder.serve(self.request, self.caller))
         await asyncio.sleep(0)
         self.assertEqual(self.refused, [])
@@ -92,7 +93,7 @@
         await serving
         self.assertEqual(self.refused, ["not_found"])
 
-    async def test_it_is_refused_at_once_when_the_node_waited_before(self) -> None:
+    async def test_request_is_refused_at_once_after_an_earlier_wait(self) -> None:
         loop = asyncio.get_running_loop()
         with mock.patch.object(loop, "time", return_value=loop.time()) as clock:
             first = asyncio.create_task(self.forwarder.serve(self.request, self.caller))
@@ -106,7 +107,7 @@
 
 
 class RestartOfAllStoresTest(unittest.TestCase):
-    def test_a_leader_is_there_soon(self) -> None:
+    def test_leader_is_elected_within_limit(self) -> None:
         for seed in range(1, 9):
             with self.subTest(seed=seed):
                 world = SiteWorld.started(seed)
@@ -116,17 +117,17 @@
                 world.run_for(1.0)
                 for store in world.stores.values():
                     world.restart(store)
-                back_s = world.loop.time()
+                restarted_s = world.loop.time()
                 while not world.is_led():
                     world.run_for(0.01)
-                self.assertLess(world.loop.time() - back_s, LEADER_GOAL_S)
+                self.assertLess(world.loop.time() - restarted_s, LEADER_ELECTED_LIMIT_S)
 
-    def test_fronts_that_start_before_the_voters_are_served_at_once(self) -> None:
+    def test_fronts_started_before_voters_serve_within_limit(self) -> None:
         for seed in range(1, 5):
             with self.subTest(seed=seed):
                 world = SiteWorld.started(seed)
                 self.addCleanup(world.close)
-                voters = self.voters(world)
+                voters = self.find_voters(world)
                 machines = [*world.fronts.values(), *world.stores.values()]
                 for machine in machines:
                     world.kill(machine)
@@ -140,13 +141,13 @@
                 for voter in voters:
                     world.restart(voter)
                 world.wait_for(world.is_led, 2.0)
-                world.run_for(SERVED_GOAL_S)
+                world.run_for(REQUESTS_SERVED_LIMIT_S)
                 ran = {run.request_id for run in world.seen.runs}
                 self.assertEqual(len(ran), NUM_TURNS)
                 world.run_for(3.0)  # all turns end
 
     @staticmethod
-    def voters(world: SiteWorld) -> list[SimMachine]:
+    def find_voters(world: SiteWorld) -> list[SimMachine]:
         leader = world.leader()
         assert leader is not None
         assert leader.replica is not None
