--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -43,8 +43,8 @@
 COMPACT_AFTER_ENTRIES = 60_000
 """Log compaction threshold for small entries, which store no text. For larger entries the host's
 limit in bytes is reached first."""
-HAND_OVER_TIMEOUT_S = 1.0
-HAND_OVER_POLL_INTERVAL_S = 0.02
+LEADERSHIP_TRANSFER_TIMEOUT_S = 1.0
+LEADERSHIP_TRANSFER_POLL_INTERVAL_S = 0.02
 
 log = PartLog("replica")
 
@@ -273,8 +273,8 @@
         log.say("started", node=self.host.node_id, homes=list(self._groups.homes))
 
     async def stop(self) -> None:
-        """Hand leadership over, then stop all parts."""
-        await self._hand_over()
+        """Transfer leadership, then stop all parts."""
+        await self._transfer_leadership()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -282,10 +282,10 @@
         await self.host.stop()
         log.say("stopped", node=self.host.node_id)
 
-    async def _hand_over(self) -> None:
+    async def _transfer_leadership(self) -> None:
         """Transfer leadership to other replicas before this one stops."""
         loop = asyncio.get_running_loop()
-        deadline_s = loop.time() + HAND_OVER_TIMEOUT_S
+        deadline_s = loop.time() + LEADERSHIP_TRANSFER_TIMEOUT_S
         while self.host.led_groups() and loop.time() < deadline_s:
             self.host.transfer_all_leadership()
-            await asyncio.sleep(HAND_OVER_POLL_INTERVAL_S)
+            await asyncio.sleep(LEADERSHIP_TRANSFER_POLL_INTERVAL_S)
