--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -262,9 +262,9 @@
             ReplicaSettings(
                 self.layout.num_voters,
                 TIMES,
-                quotas=QUOTA_TERMS,
+                quota_tolerance=QUOTA_TERMS,
                 groups=self.layout.groups,
-                cold=COLD_TERMS,
+                cold_rate_limit=COLD_TERMS,
             ),
             rng,
             metrics,
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -231,10 +231,10 @@
     def _has_lost_turns(self) -> bool:
         if self._turns.client.is_isolated:
             return True
-        lost_since_s = self._turns.client.lost_since_s
-        if lost_since_s is None:
+        unreachable_since_s = self._turns.client.unreachable_since_s
+        if unreachable_since_s is None:
             return False
-        return asyncio.get_running_loop().time() - lost_since_s > TURNS_LOST_S
+        return asyncio.get_running_loop().time() - unreachable_since_s > TURNS_LOST_S
 
     async def watch_turn_log(self) -> None:
         """Find the leaders at the start; probe while no replica answers.
@@ -252,7 +252,7 @@
                 await asyncio.sleep(PROBE_INTERVAL_S)
                 # A request that its caller gave up tells of a failed path and of no loss; while the
                 # node rejects turns as isolated, only a probe can show that others answer again.
-                if client.lost_since_s is not None or client.is_isolated:
+                if client.unreachable_since_s is not None or client.is_isolated:
                     await client.probe()
         finally:
             for task in looking:
--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -147,7 +147,7 @@
         return decode_permit_decision(reply) if reply is not None else None
 
     def _timeout_s(self, left_s: float) -> float:
-        is_lost = self._client.lost_since_s is not None
+        is_lost = self._client.unreachable_since_s is not None
         timeout_s = LOST_PERMIT_TIMEOUT_S if is_lost else PERMIT_TIMEOUT_S
         timeout_s += EXTRA_TIMEOUT_ROUND_TRIPS * self._client.expected_round_trip_home_s
         return min(timeout_s, left_s)
--- a/src/bendshed/turns/client.py
+++ b/src/bendshed/turns/client.py
@@ -52,8 +52,8 @@
 
     Attributes:
         home_group: the group that serves this node's callers; only its silence counts as a loss.
-        lost_since_s: loop time of the first failed attempt since the last reply; ``None``: the last
-            attempt was answered.
+        unreachable_since_s: loop time of the first failed attempt since the last reply; ``None``:
+            the last attempt was answered.
 
     """
 
@@ -65,7 +65,7 @@
         home_group: int = TURN_GROUP,
     ) -> None:
         self.home_group = home_group
-        self.lost_since_s: float | None = None
+        self.unreachable_since_s: float | None = None
         self._is_loss_logged = False
         self._is_isolated = is_isolated
         self._rng = rng
@@ -184,7 +184,7 @@
         return self._groups.round_trip_to_leader_s(self.home_group)
 
     async def probe(self) -> None:
-        """Send an empty preview, which has no effect, to update ``lost_since_s``."""
+        """Send an empty preview, which has no effect, to update ``unreachable_since_s``."""
         await self.preview(wire.TurnPreview(group=self.home_group))
 
     def _record_contact(self, was_answered: bool) -> None:
@@ -193,12 +193,12 @@
         if was_answered:
             if self._is_loss_logged:
                 log.say("turn log regained: a replica answered")
-            self.lost_since_s = None
+            self.unreachable_since_s = None
             self._is_loss_logged = False
             return
-        if self.lost_since_s is None:
-            self.lost_since_s = now_s
-        elif not self._is_loss_logged and now_s - self.lost_since_s > LOSS_LOG_DELAY_S:
+        if self.unreachable_since_s is None:
+            self.unreachable_since_s = now_s
+        elif not self._is_loss_logged and now_s - self.unreachable_since_s > LOSS_LOG_DELAY_S:
             log.say("turn log lost: no replica answers")
             self._is_loss_logged = True
 
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -89,9 +89,9 @@
     num_voters: int
     times: CatalogTimes
     policy: Policy = EVERYTHING
-    quotas: QuotaTolerance = NO_TOLERANCE
+    quota_tolerance: QuotaTolerance = NO_TOLERANCE
     groups: TurnGroups = ONE_GROUP
-    cold: ColdRateLimit = field(default_factory=ColdRateLimit)
+    cold_rate_limit: ColdRateLimit = field(default_factory=ColdRateLimit)
     links: LinkSettings = field(default_factory=LinkSettings)
 
 
@@ -188,7 +188,7 @@
         self, settings: ReplicaSettings, rng: random.Random, metrics: TurnLogMetrics
     ) -> TurnPlacement:
         catalog = self.catalog.catalog
-        cold = ColdAdmission(catalog.cold, settings.cold, metrics, settings.groups.count)
+        cold = ColdAdmission(catalog.cold, settings.cold_rate_limit, metrics, settings.groups.count)
         return TurnPlacement(catalog, cold, rng, self._distance)
 
     def _build_service(
@@ -205,7 +205,9 @@
             transport,
             metrics,
             placement,
-            lambda: QuotaCounting(catalog, settings.quotas, settings.policy.programs_first),
+            lambda: QuotaCounting(
+                catalog, settings.quota_tolerance, settings.policy.programs_first
+            ),
             settings.groups,
             peers.command,
         )
--- a/src/bendshed/turns/quota_counting.py
+++ b/src/bendshed/turns/quota_counting.py
@@ -29,11 +29,11 @@
     """
 
     def __init__(
-        self, catalog: Catalog, terms: QuotaTolerance, puts_programs_first: bool = True
+        self, catalog: Catalog, tolerance: QuotaTolerance, prioritizes_running_programs: bool = True
     ) -> None:
         self._catalog = catalog
-        self._terms = terms
-        self._ledger = QuotaLedger(int(terms.window_s * 1000), puts_programs_first)
+        self._tolerance = tolerance
+        self._ledger = QuotaLedger(int(tolerance.window_s * 1000), prioritizes_running_programs)
         self._limits: dict[str, TenantLimit] = {}
         self._version = -1
 
@@ -120,7 +120,7 @@
         if document is not None and document.version != self._version:
             self._version = document.version
             self._limits = {
-                row.name: tenant_limit(row, self._terms)
+                row.name: tenant_limit(row, self._tolerance)
                 for row in document.tenants
                 if row.rate_per_s > 0
             }
--- a/tests/test_cold_sendings.py
+++ b/tests/test_cold_sendings.py
@@ -383,7 +383,7 @@
     """Answers each question alike, after it took note."""
 
     def __init__(self, reply: wire.TurnReply | None) -> None:
-        self.lost_since_s = None
+        self.unreachable_since_s = None
         self.home_group = 0
         self.reply = reply
         self.permits: list[wire.RunnerAsk] = []
