--- a/tests/test_budget_use.py
+++ b/tests/test_budget_use.py
@@ -38,10 +38,12 @@
 class GatheredSharesTest(unittest.TestCase):
     """A turn that one group's share does not hold, by what all groups use."""
 
-    def status(self, here: BudgetUse, elsewhere: BudgetUse, has_all: bool = True) -> BudgetStatus:
+    def status(
+        self, here: BudgetUse, use_elsewhere: BudgetUse, is_complete: bool = True
+    ) -> BudgetStatus:
         begin = wire.BeginTurn(most_tokens=MAX_TOKENS, budget_tokens=BUDGET)
         reply = wire.TurnReply(spent_tokens=here.spent_tokens, reserved_tokens=here.reserved_tokens)
-        return GatheredShares(has_all, elsewhere).classify_shortage(begin, reply)
+        return GatheredShares(is_complete, use_elsewhere).classify_shortage(begin, reply)
 
     def test_tokens_spent_in_all_groups_count(self) -> None:
         self.assertEqual(self.status(BudgetUse(11, 0), BudgetUse(10, 0)), BudgetStatus.SPENT)
@@ -54,5 +56,5 @@
         self.assertEqual(self.status(BudgetUse(10, 0), BudgetUse(10, 0)), BudgetStatus.SUFFICIENT)
 
     def test_no_status_is_given_while_a_group_is_silent(self) -> None:
-        silent = self.status(BudgetUse(11, 0), BudgetUse(), has_all=False)
+        silent = self.status(BudgetUse(11, 0), BudgetUse(), is_complete=False)
         self.assertEqual(silent, BudgetStatus.SUFFICIENT)
