--- a/src/bendshed/consensus/raft.py
+++ b/src/bendshed/consensus/raft.py
@@ -1,7 +1,7 @@
-"""One replica of one group as a pure state machine (Raft, Ongaro 2014).
+"""One replica of one group as a deterministic state machine (Raft, Ongaro 2014).
 
-Events go in through the public methods; each returns a list of effects. Nothing here waits,
-reads a clock or touches a disk. Follows the thesis: pre-vote (9.6), leader stickiness (4.2.3),
+Events arrive through the public methods; each returns a list of effects. Nothing here waits,
+reads a clock or accesses a disk. Follows the thesis: pre-vote (9.6), leader stickiness (4.2.3),
 leadership transfer (3.10), single-server membership changes (4.1), and parallel writes to the
 leader's own disk (10.2.1).
 """
@@ -32,9 +32,9 @@
 
 HEARTBEAT_TICKS = 3
 MAX_APPEND_ENTRIES = 128
-"""Entries in one append message."""
+"""Maximum number of entries in one append message."""
 MAX_IN_FLIGHT_ENTRIES = 1024
-"""Entries sent to a follower and not yet acknowledged."""
+"""Maximum number of entries sent to a follower and not yet acknowledged."""
 
 
 class RaftReplica:
@@ -42,16 +42,16 @@
 
     Invariants: at most one leader per term; a committed entry is in the log of every later
     leader; ``applied_index <= commit_index <= last_index``; a vote or an acknowledgement leaves
-    only after what it speaks of is durable.
+    only after the state that it refers to is durable.
 
     Attributes:
         term, voted_for: hard state.
-        role, leader_id: current role; the leader of this term, empty when unknown.
+        role, leader_id: current role; the leader of this term, empty if unknown.
         membership: the latest membership in the log, committed or not.
         persisted_index: last entry of this replica known to be durable.
-        followers: what the leader knows of the others.
+        followers: the leader's replication state of the other replicas.
         log: entries since the last snapshot.
-        lost: identities whose disks are proven to be lost for good.
+        lost_nodes: identities whose disks are proven to be permanently lost.
 
     """
 
@@ -61,7 +61,7 @@
         stored: StoredGroup,
         rng: random.Random,
         campaigns_at_start: bool = True,
-        order: ElectionOrder = SINGLE_REGION_ORDER,
+        election_order: ElectionOrder = SINGLE_REGION_ORDER,
     ) -> None:
         self.node_id = node_id
         self.group_id = stored.group_id
@@ -74,9 +74,9 @@
         self.applied_index = stored.snapshot.index
         self.persisted_index = self.log.last_index
         self.followers = FollowerTable(node_id)
-        self.lost: frozenset[str] = frozenset()
+        self.lost_nodes: frozenset[str] = frozenset()
         self._votes: set[str] = set()
-        self._timer = ElectionTimer(rng, order)
+        self._timer = ElectionTimer(rng, election_order)
         self._ticks_since_heartbeat = 0
         self._transfer_target = ""
         self.membership = self.log.membership_at(self.log.last_index)
@@ -84,7 +84,7 @@
             self._timer.start(node_id, self.membership.voters)
         self._effects: list[Effect] = []
 
-    # --- state for the shells ------------------------------------------------------------
+    # --- state for the host --------------------------------------------------------------
 
     @property
     def last_index(self) -> int:
@@ -93,7 +93,7 @@
 
     @property
     def snapshot_index(self) -> int:
-        """Index up to which the log was compacted."""
+        """Last index that the snapshot covers."""
         return self.log.snapshot.index
 
     @property
@@ -103,12 +103,12 @@
 
     @property
     def is_ready_leader(self) -> bool:
-        """Leader that knows all earlier terms' entries to be settled."""
+        """Whether this leader has committed in its term, and with that all earlier entries."""
         return self.role is Role.LEADER and self.has_committed_in_term
 
     @property
     def has_majority(self) -> bool:
-        """Leader, as long as an election's quorum of replicas replied lately."""
+        """Whether this is a leader to which an election quorum has replied recently."""
         return self.role is Role.LEADER and self._has_majority()
 
     @property
@@ -117,20 +117,20 @@
         return self.node_id in self.membership.voters
 
     @property
-    def membership_settled(self) -> bool:
-        """Whether no membership change is uncommitted."""
-        pending = self.log.between(self.commit_index + 1, self.last_index)
+    def is_membership_committed(self) -> bool:
+        """Whether the log contains no uncommitted membership change."""
+        pending = self.log.entries_between(self.commit_index + 1, self.last_index)
         return not any(entry.kind == wire.ENTRY_KIND_MEMBERSHIP for entry in pending)
 
     @property
     def is_transferring_leadership(self) -> bool:
-        """Whether this leader waits for another voter to take over."""
+        """Whether this leader is waiting for another voter to take over."""
         return bool(self._transfer_target)
 
     # --- events --------------------------------------------------------------------------
 
     def tick(self) -> list[Effect]:
-        """One unit of time has passed."""
+        """Advance the time by one tick."""
         if self.role is Role.LEADER:
             self._tick_leader()
         else:
@@ -140,27 +140,27 @@
         return self._take_effects()
 
     def propose(self, data: bytes) -> tuple[int, list[Effect]]:
-        """Append a command; returns its index, 0 when this replica is not the leader."""
+        """Append a command and return its index; 0 if this replica accepts no proposals now."""
         if self.role is not Role.LEADER or self._transfer_target:
             return 0, []
-        index = self._append_own(wire.ENTRY_KIND_COMMAND, data)
+        index = self._append_entry(wire.ENTRY_KIND_COMMAND, data)
         self._replicate_all()
         return index, self._take_effects()
 
     def propose_membership(self, membership: wire.GroupMembership) -> tuple[int, list[Effect]]:
-        """Append a membership that differs from the present one by a single replica."""
-        if not self.is_ready_leader or not self.membership_settled:
+        """Append a membership that differs from the current one by at most one voter."""
+        if not self.is_ready_leader or not self.is_membership_committed:
             return 0, []
         changed = set(membership.voters) ^ set(self.membership.voters)
         if len(changed) > 1:
             raise ValueError("a membership change may add or remove one voter")
-        index = self._append_own(wire.ENTRY_KIND_MEMBERSHIP, membership.SerializeToString())
-        self._adopt_membership(membership)
+        index = self._append_entry(wire.ENTRY_KIND_MEMBERSHIP, membership.SerializeToString())
+        self._use_membership(membership)
         self._replicate_all()
         return index, self._take_effects()
 
     def persisted(self, last_index: int, entry_term: int) -> list[Effect]:
-        """The log is durable up to the entry ``last_index`` of ``entry_term``."""
+        """Handle that the log is durable up to the entry ``last_index`` of ``entry_term``."""
         if self.log.term_at(last_index) == entry_term:
             self.persisted_index = max(self.persisted_index, last_index)
         if self.role is Role.LEADER:
@@ -168,7 +168,7 @@
         return self._take_effects()
 
     def transfer_leadership(self, among: Collection[str]) -> list[Effect]:
-        """Ask the most advanced of some voters to take over; do nothing without one."""
+        """Ask the most advanced of the given voters to take over; no effect if none replies."""
         if self.role is not Role.LEADER:
             return []
         voters = [node for node in self.membership.voters if node in among]
@@ -180,7 +180,7 @@
         return self._take_effects()
 
     def compact(self, index: int, state: bytes) -> list[Effect]:
-        """Replace the log up to ``index`` (applied) by a snapshot of the state."""
+        """Replace the log up to ``index``, which must be applied, by a snapshot of the state."""
         term = self.log.term_at(index)
         if term is None or index <= self.snapshot_index or index > self.applied_index:
             return []
@@ -192,7 +192,7 @@
         return self._take_effects()
 
     def receive(self, message: wire.ConsensusMessage) -> list[Effect]:
-        """Handle a message of a peer."""
+        """Handle a message from a peer."""
         if self._is_disruptive(message):
             return []
         if message.term > self.term and not message.pre_vote:
@@ -217,7 +217,7 @@
     # --- elections -----------------------------------------------------------------------
 
     def _is_disruptive(self, message: wire.ConsensusMessage) -> bool:
-        """A vote request while a leader sends heartbeats; a removed replica must not disturb."""
+        """Whether a vote request, e.g. of a removed replica, comes while a leader is active."""
         if message.kind != wire.CONSENSUS_KIND_VOTE_REQUEST or message.transfer:
             return False
         if self.role is Role.LEADER:
@@ -236,7 +236,7 @@
 
     @property
     def _survivors(self) -> list[str]:
-        return [node for node in self.membership.voters if node not in self.lost]
+        return [node for node in self.membership.voters if node not in self.lost_nodes]
 
     def _start_pre_vote(self) -> None:
         self._timer.reset()
@@ -265,7 +265,7 @@
         for node in self.membership.voters:
             if node == self.node_id:
                 continue
-            message = self._message(wire.CONSENSUS_KIND_VOTE_REQUEST, node)
+            message = self._new_message(wire.CONSENSUS_KIND_VOTE_REQUEST, node)
             message.term = term
             message.pre_vote = pre_vote
             message.transfer = transfer
@@ -274,18 +274,18 @@
             self._send(message)
 
     def _on_vote_request(self, message: wire.ConsensusMessage) -> None:
-        held = (self.log.last_term, self.log.last_index)
-        up_to_date = (message.previous_term, message.previous_index) >= held
+        own_position = (self.log.last_term, self.log.last_index)
+        up_to_date = (message.previous_term, message.previous_index) >= own_position
         if message.pre_vote:
             granted = message.term > self.term and up_to_date and self.role is not Role.LEADER
         else:
-            free = self.voted_for in ("", message.sender)
-            granted = message.term == self.term and free and up_to_date
+            can_vote = self.voted_for in ("", message.sender)
+            granted = message.term == self.term and can_vote and up_to_date
         if granted and not message.pre_vote:
             self.voted_for = message.sender
             self._timer.reset()
             self._persist_hard_state()
-        reply = self._message(wire.CONSENSUS_KIND_VOTE_REPLY, message.sender)
+        reply = self._new_message(wire.CONSENSUS_KIND_VOTE_REPLY, message.sender)
         reply.term = message.term if granted else self.term
         reply.pre_vote = message.pre_vote
         reply.granted = granted
@@ -296,10 +296,10 @@
             if not message.granted and message.term > self.term:
                 self._become_follower(message.term, "")
                 return
-            counts = self.role is Role.PRE_CANDIDATE and message.term == self.term + 1
+            is_expected = self.role is Role.PRE_CANDIDATE and message.term == self.term + 1
         else:
-            counts = self.role is Role.CANDIDATE and message.term == self.term
-        if not counts or not message.granted or message.sender not in self.membership.voters:
+            is_expected = self.role is Role.CANDIDATE and message.term == self.term
+        if not is_expected or not message.granted or message.sender not in self.membership.voters:
             return
         self._votes.add(message.sender)
         if len(self._votes) < self._quorum:
@@ -314,7 +314,7 @@
         self.leader_id = self.node_id
         self._transfer_target = ""
         self.followers.reset(self._peers(), self.log.last_index + 1)
-        self._append_own(wire.ENTRY_KIND_EMPTY, b"")
+        self._append_entry(wire.ENTRY_KIND_EMPTY, b"")
         self._effects.append(RoleChanged(self.role, self.term, self.leader_id))
         self._replicate_all()
 
@@ -348,7 +348,7 @@
             for node in self._peers():
                 self._replicate(node, heartbeat=True)
 
-    def _append_own(self, kind: "wire.EntryKind.ValueType", data: bytes) -> int:
+    def _append_entry(self, kind: "wire.EntryKind.ValueType", data: bytes) -> int:
         entry = wire.LogEntry(index=self.log.last_index + 1, term=self.term, kind=kind, data=data)
         self.log.extend([entry])
         self._persist(GroupWrite(self.group_id, entries=[entry]))
@@ -367,10 +367,14 @@
             return
         in_flight = previous - progress.match_index
         last = min(self.log.last_index, previous + MAX_APPEND_ENTRIES)
-        entries = [] if in_flight > MAX_IN_FLIGHT_ENTRIES else self.log.between(previous + 1, last)
+        entries = (
+            []
+            if in_flight > MAX_IN_FLIGHT_ENTRIES
+            else self.log.entries_between(previous + 1, last)
+        )
         if not entries and not heartbeat:
             return
-        message = self._message(wire.CONSENSUS_KIND_APPEND_REQUEST, node)
+        message = self._new_message(wire.CONSENSUS_KIND_APPEND_REQUEST, node)
         message.previous_index = previous
         message.previous_term = previous_term
         message.commit_index = self.commit_index
@@ -380,21 +384,21 @@
         self._send_now(message)
 
     def _send_snapshot(self, node: str, progress: Progress, heartbeat: bool) -> None:
-        is_sent = progress.pending_snapshot_index == self.snapshot_index
-        if is_sent and (not heartbeat or progress.ticks_since_reply % 10):
+        is_already_sent = progress.pending_snapshot_index == self.snapshot_index
+        if is_already_sent and (not heartbeat or progress.ticks_since_reply % 10):
             return
         progress.pending_snapshot_index = self.snapshot_index
-        message = self._message(wire.CONSENSUS_KIND_SNAPSHOT, node)
+        message = self._new_message(wire.CONSENSUS_KIND_SNAPSHOT, node)
         message.snapshot.CopyFrom(self.log.snapshot)
         self._send_now(message)
 
     def _on_append_request(self, message: wire.ConsensusMessage) -> None:
-        reply = self._message(wire.CONSENSUS_KIND_APPEND_REPLY, message.sender)
+        reply = self._new_message(wire.CONSENSUS_KIND_APPEND_REPLY, message.sender)
         if message.term < self.term:
             reply.previous_index = self.log.last_index
             self._send(reply)
             return
-        self._hear_leader(message.sender)
+        self._record_leader_contact(message.sender)
         if message.previous_index < self.snapshot_index:
             reply.granted = True
             reply.previous_index = self.snapshot_index
@@ -413,16 +417,16 @@
         self._send(reply)
 
     def _store_entries(self, entries: list[wire.LogEntry]) -> None:
-        first = self.log.first_difference(entries)
-        if first is None:
+        first_new = self.log.first_difference(entries)
+        if first_new is None:
             return
-        write = GroupWrite(self.group_id, entries=[e for e in entries if e.index >= first])
-        if first <= self.log.last_index:
-            if first <= self.commit_index:
+        write = GroupWrite(self.group_id, entries=[e for e in entries if e.index >= first_new])
+        if first_new <= self.log.last_index:
+            if first_new <= self.commit_index:
                 raise AssertionError("a committed entry would be overwritten")
-            write.truncate_from = first
-            self.log.truncate_from(first)
-            self.persisted_index = min(self.persisted_index, first - 1)
+            write.truncate_from = first_new
+            self.log.truncate_from(first_new)
+            self.persisted_index = min(self.persisted_index, first_new - 1)
         self.log.extend(list(write.entries))
         if write.truncate_from or any(e.kind == wire.ENTRY_KIND_MEMBERSHIP for e in write.entries):
             self.membership = self.log.membership_at(self.log.last_index)
@@ -434,10 +438,10 @@
             return
         progress.ticks_since_reply = 0
         if not message.granted:
-            missing = max(progress.match_index, message.previous_index) + 1
-            if not progress.is_resend_in_flight(missing):
-                progress.record_resend(missing)
-                progress.next_index = missing
+            first_missing = max(progress.match_index, message.previous_index) + 1
+            if not progress.is_resend_in_flight(first_missing):
+                progress.record_resend(first_missing)
+                progress.next_index = first_missing
                 self._replicate(message.sender, heartbeat=True)
             return
         progress.pending_snapshot_index = 0
@@ -455,27 +459,27 @@
         if node == self._transfer_target and (
             self.followers[node].match_index == self.log.last_index
         ):
-            self._send_now(self._message(wire.CONSENSUS_KIND_TIMEOUT_NOW, node))
+            self._send_now(self._new_message(wire.CONSENSUS_KIND_TIMEOUT_NOW, node))
 
     def _advance_commit(self) -> None:
         candidate = self.followers.quorum_index(self._survivors, self.persisted_index, self._quorum)
         if candidate > self.commit_index and self.log.term_at(candidate) == self.term:
             self._commit_to(candidate)
-            if not self.is_voter and self.membership_settled:
+            if not self.is_voter and self.is_membership_committed:
                 self._become_follower(self.term, "")
 
     def _commit_to(self, index: int) -> None:
         if index <= self.commit_index:
             return
         self.commit_index = index
-        entries = self.log.between(self.applied_index + 1, index)
+        entries = self.log.entries_between(self.applied_index + 1, index)
         self.applied_index = index
         self._effects.append(Apply(entries))
 
     def _on_snapshot(self, message: wire.ConsensusMessage) -> None:
         if message.term < self.term:
             return
-        self._hear_leader(message.sender)
+        self._record_leader_contact(message.sender)
         snapshot = message.snapshot
         if snapshot.index > self.commit_index:
             self.log = ReplicaLog(snapshot)
@@ -485,19 +489,19 @@
             self.membership = snapshot.membership
             self._persist(GroupWrite(self.group_id, truncate_from=1, snapshot=snapshot))
             self._effects.append(Restore(snapshot))
-        reply = self._message(wire.CONSENSUS_KIND_APPEND_REPLY, message.sender)
+        reply = self._new_message(wire.CONSENSUS_KIND_APPEND_REPLY, message.sender)
         reply.granted = True
         reply.previous_index = self.commit_index
         self._send(reply)
 
-    # --- small pieces --------------------------------------------------------------------
+    # --- helpers -------------------------------------------------------------------------
 
-    def _hear_leader(self, leader_id: str) -> None:
+    def _record_leader_contact(self, leader_id: str) -> None:
         self._timer.record_heartbeat()
         if self.role is not Role.FOLLOWER or self.leader_id != leader_id:
             self._become_follower(self.term, leader_id)
 
-    def _adopt_membership(self, membership: wire.GroupMembership) -> None:
+    def _use_membership(self, membership: wire.GroupMembership) -> None:
         self.membership = membership
         if self.role is Role.LEADER:
             self.followers.update_members(self._peers(), self.log.last_index)
@@ -506,7 +510,7 @@
         members = (*self.membership.voters, *self.membership.learners)
         return [node for node in members if node != self.node_id]
 
-    def _message(
+    def _new_message(
         self, kind: "wire.ConsensusKind.ValueType", receiver: str
     ) -> wire.ConsensusMessage:
         return wire.ConsensusMessage(
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -1,4 +1,4 @@
-"""A node that forwards requests: its parts, and what it does with updates."""
+"""A node that forwards requests: builds its components and applies updates to them."""
 
 import asyncio
 import random
@@ -40,21 +40,22 @@
 from bendshed.turns.group_locator import GroupLocator
 from bendshed.turns.methods import PREVIEW_METHOD, QUOTA_METHOD, RUNNER_METHOD, TURN_METHOD
 
-TRANSCRIPT_BYTES = 16 * 1024 * 1024
-TURNS_LOST_S = 1.5
-"""A node that no replica of the turn log answered for this long sends its clients elsewhere."""
+TRANSCRIPT_CACHE_BYTES = 16 * 1024 * 1024
+TURN_LOG_LOST_AFTER_S = 1.5
+"""A node that got no answer from any replica of the turn log for this long is not ready, so that
+clients use other nodes."""
 PROBE_INTERVAL_S = 0.4
 RELAYED_METHODS = frozenset(
     {TURN_METHOD, PREVIEW_METHOD, QUOTA_METHOD, RUNNER_METHOD, CATALOG_METHOD}
 )
-"""Requests that may be repeated without harm, so that they may go through another node."""
+"""Idempotent methods, whose requests may also be relayed through another node."""
 
 log = PartLog("node")
 
 
 @dataclass(frozen=True, slots=True)
-class NodePlace:
-    """Where a node is, and where other nodes reach it.
+class NodeLocation:
+    """Zone and address of a node.
 
     Attributes:
         places: regions of all zones.
@@ -67,18 +68,18 @@
 
 
 class ServiceNode:
-    """Everything of a node but its shells.
+    """The components of a node, without its listeners and process.
 
-    Invariants: a document is only ever replaced by a newer one; a node without a document, one
-    that drains and one that no replica of the turn log answers any more is not ready.
+    Invariants: a document is replaced only by a newer one; a node is not ready while it has no
+    document, drains, or gets no answer from any replica of the turn log.
 
     Attributes:
-        directory: where the turn log's replicas are.
-        host_locations: where other nodes are located.
-        catalog: requests configuration and runners of replica machines.
+        directory: addresses of the turn log's replicas.
+        host_locations: zones of other nodes, by host.
+        catalog: requests the configuration and the runners from replica machines.
         forwarder: serves requests.
-        quotas: what the node may admit of each tenant.
-        zones: closed zones, where operators close any.
+        quotas: admits requests within the quota of each tenant.
+        zones: zones that operators closed.
         on_document: called with each document that comes into force.
 
     """
@@ -88,7 +89,7 @@
         transport: Transport,
         connections: RunnerConnections,
         protocol: RunnerProtocol,
-        place: NodePlace,
+        location: NodeLocation,
         times: CatalogTimes,
         rng: random.Random,
         metrics: ServiceMetrics,
@@ -96,39 +97,44 @@
         groups: TurnGroups = ONE_GROUP,
     ) -> None:
         self.directory = ReplicaDirectory()
-        self.host_locations = HostLocations(place.zone, place.places)
-        self.directory.on_change.append(self._note_replicas)
+        self.host_locations = HostLocations(location.zone, location.places)
+        self.directory.on_change.append(self._record_replica_locations)
         self._knows_replicas = asyncio.Event()
         self.directory.on_change.append(self._knows_replicas.set)
         self.on_document: Callable[[ServiceDocument], None] = lambda _document: None
         self.is_draining = False
         self._policy = policy
         self._groups = groups
-        self._places = place.places
+        self._places = location.places
         self._zones_lag_s = times.zones_lag_s
         self._pool = connections
-        self.zones = ZoneKeeper(place.places)
+        self.zones = ZoneKeeper(location.places)
         self._table = self._build_table()
-        self._requests = RelayedRequests(
+        self._relayed_requests = RelayedRequests(
             transport, rng, self._other_nodes, RELAYED_METHODS, self.host_locations
         )
-        self.catalog = self._build_follower(transport, place, times, rng)
-        self._turns = self._build_turns(place, rng, metrics)
-        self.quotas = self._turns.quotas
-        self.forwarder = Forwarder(self._build_runners(protocol, place, rng, metrics), self._turns)
+        self.catalog = self._build_follower(transport, location, times, rng)
+        self._turn_ports = self._build_turn_ports(location, rng, metrics)
+        self.quotas = self._turn_ports.quotas
+        self.forwarder = Forwarder(
+            self._build_runner_ports(protocol, location, rng, metrics), self._turn_ports
+        )
         self._add_gauges(metrics)
         self.zones.add_gauges(metrics)
 
     def _build_follower(
-        self, transport: Transport, place: NodePlace, times: CatalogTimes, rng: random.Random
+        self, transport: Transport, location: NodeLocation, times: CatalogTimes, rng: random.Random
     ) -> CatalogFollower:
         return CatalogFollower(
             FollowerPaths(
-                transport, self._requests, self.host_locations, self._requests.is_relay_only
+                transport,
+                self._relayed_requests,
+                self.host_locations,
+                self._relayed_requests.is_relay_only,
             ),
             self.directory,
-            _CatalogTaker(self),
-            place.address,
+            _CatalogReceiver(self),
+            location.address,
             times,
             rng,
             self._policy.shared_reading,
@@ -139,73 +145,73 @@
         self.zones.on_zone_opened.append(table.cold.reopen)
         return table
 
-    def _build_turns(
-        self, place: NodePlace, rng: random.Random, metrics: ServiceMetrics
+    def _build_turn_ports(
+        self, location: NodeLocation, rng: random.Random, metrics: ServiceMetrics
     ) -> TurnPorts:
-        """What a request needs of the turn log; each start draws a new incarnation."""
+        """Build what turns need of the turn log; each start draws a new incarnation."""
         leaders = GroupClient(
-            self._requests,
+            self._relayed_requests,
             rng,
             self._groups.count,
             self.directory.resolve,
             self.directory.node_ids,
             lambda group: self.directory.node_ids_in(self._groups.home_zones(group)),
-            self._requests.expected_round_trip_s,
+            self._relayed_requests.expected_round_trip_s,
         )
-        home_group = self._groups.home_group_of_zone(place.zone)
-        client = TurnClient(rng, leaders, self._refuses_alone, home_group)
-        incarnation = f"{place.address}/{rng.getrandbits(48):012x}"
+        home_group = self._groups.home_group_of_zone(location.zone)
+        client = TurnClient(rng, leaders, self._refuses_when_isolated, home_group)
+        incarnation = f"{location.address}/{rng.getrandbits(48):012x}"
         quotas = QuotaClient(incarnation, client, metrics, self._groups)
-        transcripts = TranscriptCache(TRANSCRIPT_BYTES)
+        transcripts = TranscriptCache(TRANSCRIPT_CACHE_BYTES)
         locator = GroupLocator(self._groups, home_group)
         return TurnPorts(client, transcripts, metrics, quotas, self._policy, locator)
 
-    def _build_runners(
+    def _build_runner_ports(
         self,
         protocol: RunnerProtocol,
-        place: NodePlace,
+        location: NodeLocation,
         rng: random.Random,
         metrics: ServiceMetrics,
     ) -> RunnerPorts:
-        """What an attempt needs to reach a runner."""
+        """Build what attempts need to reach a runner."""
         return RunnerPorts(
             self._table,
             self._pool,
             protocol,
-            place.zone,
-            str(place.address),
+            location.zone,
+            str(location.address),
             rng,
             metrics,
             self._policy,
-            PermitClient(self._turns.client, metrics),
-            place.places,
+            PermitClient(self._turn_ports.client, metrics),
+            location.places,
         )
 
-    def _note_replicas(self) -> None:
-        """Remember where replica machines are located."""
+    def _record_replica_locations(self) -> None:
+        """Record the zones of replica machines."""
         for replica in self.directory.by_name.values():
             self.host_locations.put(replica.address.host, replica.zone)
 
     def _other_nodes(self) -> list[Address]:
         return self.catalog.fronts if self._policy.relays else []
 
-    def _refuses_alone(self) -> bool:
-        return self._policy.refusal_when_isolated and self._requests.is_isolated
+    def _refuses_when_isolated(self) -> bool:
+        return self._policy.refusal_when_isolated and self._relayed_requests.is_isolated
 
     def _add_gauges(self, metrics: ServiceMetrics) -> None:
-        """Add gauges that are read when metrics are scraped."""
-        opened = metrics.gauge("bendshed_open_requests", "Requests under way")
-        opened.set_function(lambda: self.forwarder.num_open)
+        """Add gauges that are evaluated when metrics are scraped."""
+        open_requests = metrics.gauge("bendshed_open_requests", "Requests under way")
+        open_requests.set_function(lambda: self.forwarder.num_open)
         ready = metrics.gauge("bendshed_ready", "1 while new clients may be sent here")
         ready.set_function(lambda: float(self.is_ready))
         relayed = metrics.gauge("bendshed_requests_relayed", "Answers that came through others")
-        relayed.set_function(lambda: float(self._requests.num_relayed))
+        relayed.set_function(lambda: float(self._relayed_requests.num_relayed))
         doubled = metrics.gauge(
             "bendshed_requests_doubled", "Requests that went directly and through others"
         )
-        doubled.set_function(lambda: float(self._requests.num_doubled))
+        doubled.set_function(lambda: float(self._relayed_requests.num_doubled))
         ends = metrics.gauge("bendshed_turn_ends_pending", "Ends of turns to be committed")
-        ends.set_function(lambda: float(self._turns.ends.num_pending))
+        ends.set_function(lambda: float(self._turn_ports.ends.num_pending))
         fresh = metrics.gauge(
             "bendshed_catalog_fresh", "1 while replica machines read for this node"
         )
@@ -224,42 +230,43 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new clients may be sent here."""
-        knows = self.forwarder.index is not None
-        return knows and not self.is_draining and not self._has_lost_turns()
+        """Whether new clients may be routed to this node."""
+        has_routes = self.forwarder.index is not None
+        return has_routes and not self.is_draining and not self._has_lost_turn_log()
 
-    def _has_lost_turns(self) -> bool:
-        if self._turns.client.is_isolated:
+    def _has_lost_turn_log(self) -> bool:
+        if self._turn_ports.client.is_isolated:
             return True
-        unreachable_since_s = self._turns.client.unreachable_since_s
+        unreachable_since_s = self._turn_ports.client.unreachable_since_s
         if unreachable_since_s is None:
             return False
-        return asyncio.get_running_loop().time() - unreachable_since_s > TURNS_LOST_S
+        return asyncio.get_running_loop().time() - unreachable_since_s > TURN_LOG_LOST_AFTER_S
 
     async def watch_turn_log(self) -> None:
         """Find the leaders at the start; probe while no replica answers.
 
-        A node becomes ready again by that. A region that is cut off must not hold it up.
+        A successful probe makes the node ready again. Leaders of other groups are searched
+        concurrently, so that a region that is cut off does not delay the node.
         """
         await self._knows_replicas.wait()
-        client = self._turns.client
+        client = self._turn_ports.client
         loop = asyncio.get_running_loop()
         others = self._groups.other_ids(client.home_group)
-        looking = [loop.create_task(client.find_leader(group)) for group in others]
+        searches = [loop.create_task(client.find_leader(group)) for group in others]
         try:
             await client.find_leader(client.home_group)
             while True:
                 await asyncio.sleep(PROBE_INTERVAL_S)
-                # A request that its caller gave up tells of a failed path and of no loss; while the
-                # node rejects turns as isolated, only a probe can show that others answer again.
+                # A request that its caller gave up shows a failed path but no loss of the turn log.
+                # While the node rejects turns as isolated, only a probe shows that others answer.
                 if client.unreachable_since_s is not None or client.is_isolated:
                     await client.probe()
         finally:
-            for task in looking:
+            for task in searches:
                 task.cancel()
 
-    def take_document(self, document: ServiceDocument) -> bool:
-        """Apply a newer document; an older one changes nothing."""
+    def apply_document(self, document: ServiceDocument) -> bool:
+        """Apply a newer document and return ``True``; an older one changes nothing."""
         index = self.forwarder.index
         before = index.document.version if index is not None else None
         if before is not None and document.version <= before:
@@ -280,89 +287,89 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether no other node has answered for a while, on any path."""
-        return self._turns.client.is_isolated
+        """Whether no other node has answered for some time on any path."""
+        return self._turn_ports.client.is_isolated
 
-    def list_runners(self, runners: Collection[ServiceRunner], trusted: bool) -> None:
-        """Take the whole list of runners; see ``remove_runner`` for ``trusted``."""
+    def replace_runners(self, runners: Collection[ServiceRunner], is_trusted: bool) -> None:
+        """Replace the list of runners; see ``remove_runner`` for ``is_trusted``."""
         listed = {runner.runner_id for runner in runners}
         for runner_id in [name for name in self._table.by_id if name not in listed]:
-            self.remove_runner(runner_id, trusted)
+            self.remove_runner(runner_id, is_trusted)
         for runner in runners:
             self.put_runner(runner)
 
     def put_runner(self, runner: ServiceRunner) -> None:
-        """Take one runner's state."""
+        """Add or update one runner."""
         self.host_locations.put(runner.address.host, runner.zone)
         self._table.put(runner)
 
-    def remove_runner(self, runner_id: str, trusted: bool) -> None:
-        """A runner is not listed any more; ``trusted``: the list's keeper is well."""
+    def remove_runner(self, runner_id: str, is_trusted: bool) -> None:
+        """Remove a runner that is no longer listed; ``is_trusted``: the registry was healthy."""
         record = self._table.by_id.get(runner_id)
-        self._table.remove(runner_id, asyncio.get_running_loop().time(), trusted)
-        if record is not None and trusted:
+        self._table.remove(runner_id, asyncio.get_running_loop().time(), is_trusted)
+        if record is not None and is_trusted:
             self._pool.forget(record.listed.address)
 
-    def take_zones(self, update: ZoneUpdate) -> None:
-        """Take which zones are closed; an older update changes nothing.
+    def apply_zones(self, update: ZoneUpdate) -> None:
+        """Apply an update of the closed zones; an older update changes nothing.
 
-        Requests under way there end; nothing new is dispatched there from here on.
+        Requests already running there complete; no new request is dispatched there.
         """
         self.zones.take(update)
         self._table.filter = self.zones.filter
         self.catalog.note_zones(update.zones.revision)
 
     def confirm_zones(self, age_s: float) -> None:
-        """The registry confirmed everything so long ago, closed zones perhaps somewhat earlier."""
+        """Record the age of the registry's last confirmation; closed zones may lag behind it."""
         if self._zones_lag_s is not None:
             self.zones.confirm(age_s + self._zones_lag_s)
 
     def start_drain(self) -> None:
-        """Be not ready from now on; what comes is still served."""
+        """Report not ready from now on; requests that still arrive are served."""
         self.is_draining = True
         log.say("draining", open=self.forwarder.num_open)
 
-    async def finish_late_turns(self) -> None:
-        """Wait for the ends of turns that no caller waits for."""
-        await self._turns.finish_late()
+    async def finish_background_work(self) -> None:
+        """Wait for pending begins and ends of turns that no caller waits for."""
+        await self._turn_ports.finish_background_work()
 
     def close(self) -> None:
-        """Close idle connections to runners; log what is left of turns."""
-        self._turns.ends.log_left()
+        """Close idle connections to runners; log uncommitted turn ends."""
+        self._turn_ports.ends.log_uncommitted()
         self._pool.close()
 
 
-class _CatalogTaker:
-    """Passes updates on to the node; revisions are the follower's matter."""
+class _CatalogReceiver:
+    """Passes updates on to the node; the follower handles revisions."""
 
     def __init__(self, node: ServiceNode) -> None:
         self._node = node
 
     def take_document(self, document: ServiceDocument) -> bool:
-        """Take a configuration; an older one changes nothing."""
-        return self._node.take_document(document)
+        """Apply a configuration; an older one changes nothing."""
+        return self._node.apply_document(document)
 
     def put_runner(self, known: KnownRunner) -> None:
-        """Take one runner's state."""
+        """Add or update one runner."""
         self._node.put_runner(known.runner)
 
     def remove_runner(self, runner_id: str, _at: int, is_trusted: bool) -> None:
-        """A runner is not listed any more."""
+        """Remove a runner that is no longer listed."""
         self._node.remove_runner(runner_id, is_trusted)
 
     def list_runners(self, runners: list[KnownRunner], _at: int, is_trusted: bool) -> None:
-        """Take the whole list."""
-        self._node.list_runners([known.runner for known in runners], is_trusted)
+        """Replace the list of runners."""
+        self._node.replace_runners([known.runner for known in runners], is_trusted)
 
     def take_zones(self, update: ZoneUpdate) -> None:
-        """Take which zones are closed."""
-        self._node.take_zones(update)
+        """Apply an update of the closed zones."""
+        self._node.apply_zones(update)
 
     def confirm_all(self, age_s: float, _runners_at: int) -> None:
-        """Only the age of closed zones is used here."""
+        """Use only the age of the closed zones."""
         self._node.confirm_zones(age_s)
 
 
 def _loop_time() -> float:
-    """Steady time of the running loop."""
+    """Monotonic time of the running loop."""
     return asyncio.get_running_loop().time()
--- a/src/bendshed/services/turn_codec.py
+++ b/src/bendshed/services/turn_codec.py
@@ -1,4 +1,4 @@
-"""Writes a turn's commands for the turn log, and reads why a begin was refused."""
+"""Encodes a turn's commands for the turn log and decodes refusals of its begin."""
 
 from dataclasses import dataclass
 
@@ -6,8 +6,8 @@
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.model.service_document import Route
 from bendshed.ports.runner import ServiceRequest, TurnDetails
-from bendshed.services.permit_client import no_room
-from bendshed.services.quota_client import refusal_of
+from bendshed.services.permit_client import no_room_refusal
+from bendshed.services.quota_client import quota_refusal_of
 from bendshed.services.turn_output import TurnOutput
 from bendshed.wire import turns_pb2 as wire
 
@@ -17,14 +17,14 @@
     """How a turn ended at its runner.
 
     Attributes:
-        is_whole: its stream came to a proper end.
-        runner_id: whose answer was taken; empty: none.
-        failed: ids of runners that were unreachable or gave no answer.
-        may_have_run: a runner may have begun work on it.
+        is_complete: its stream ended properly.
+        runner_id: id of the runner whose response was accepted; empty: none.
+        failed: ids of runners that were unreachable or gave no response.
+        may_have_run: a runner may have started to execute it.
 
     """
 
-    is_whole: bool
+    is_complete: bool
     runner_id: str
     failed: list[str]
     may_have_run: bool
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnCodec:
-    """Commands of one turn.
+    """Encoder of one turn's commands.
 
     Attributes:
-        tenant: whom it is counted for; empty: nobody.
+        tenant: name of the tenant that the turn is charged to; empty: none.
 
     """
 
@@ -43,8 +43,8 @@
     route: Route
     tenant: str
 
-    def begin(self, num_groups: int) -> wire.BeginTurn:
-        """Write the reservation of the turn's worst case; its budget is shared by the groups."""
+    def encode_begin(self, num_groups: int) -> wire.BeginTurn:
+        """Encode the reservation of the turn's maximum cost; the groups share its budget."""
         turn = self._turn
         return wire.BeginTurn(
             program_id=self.request.program_id,
@@ -58,9 +58,9 @@
             num_groups=num_groups,
         )
 
-    def finish(self, group: int, output: TurnOutput, end: TurnEnd) -> wire.TurnCommand:
-        """Write the turn's end: what it used, what is stored of it, and what it saw of runners."""
-        keep = end.is_whole and self.route.keeps_turns
+    def encode_finish(self, group: int, output: TurnOutput, end: TurnEnd) -> wire.TurnCommand:
+        """Encode the turn's end: its usage, its content to store, and its report on runners."""
+        keep = end.is_complete and self.route.keeps_turns
         finish = wire.FinishTurn(
             program_id=self.request.program_id,
             turn_id=self.request.request_id,
@@ -82,12 +82,12 @@
 
     @property
     def _turn(self) -> TurnDetails:
-        assert self.request.turn is not None  # the forwarder makes records of turns only
+        assert self.request.turn is not None  # the forwarder creates records for turns only
         return self.request.turn
 
 
 def _outcome(output: TurnOutput, end: TurnEnd) -> "wire.TurnOutcome.ValueType":
-    if end.is_whole:
+    if end.is_complete:
         return wire.TURN_OUTCOME_WHOLE
     if output.num_events == 0:
         return wire.TURN_OUTCOME_NOTHING_HANDED_ON
@@ -95,21 +95,21 @@
 
 
 def is_granted(reply: wire.TurnReply) -> bool:
-    """Whether a begin reserved its tokens, or would as a preview says."""
+    """Whether a begin reserved its tokens or, for a preview, would do so."""
     return reply.answer == wire.TURN_ANSWER_GRANTED
 
 
 def transcript_of(reply: wire.TurnReply) -> bytes:
-    """The chain before the turn, as far as the reply holds it."""
+    """Return the chain before the turn, as far as the reply contains it."""
     return b"".join(piece.transcript for piece in reply.chain)
 
 
 def refusal_of_begin(reply: wire.TurnReply) -> Refusal:
-    """Read why a begin reserved nothing."""
+    """Decode the refusal of a begin that reserved nothing."""
     if reply.answer == wire.TURN_ANSWER_QUOTA_EXCEEDED:
-        return refusal_of(reply)
+        return quota_refusal_of(reply)
     if reply.answer == wire.TURN_ANSWER_NO_ROOM:
-        return no_room(reply)
+        return no_room_refusal(reply)
     if reply.answer == wire.TURN_ANSWER_UNKNOWN_TURN:
         return Refusal(ErrorKind.NOT_FOUND, "no such turn is kept")
     if reply.answer == wire.TURN_ANSWER_BUDGET_RESERVED:
