--- a/tests/test_cold_runner_dispatch.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -385,7 +385,7 @@
     """Records each permit request and returns the same reply."""
 
     def __init__(self, reply: wire.TurnReply | None) -> None:
-        self.lost_since_s = None
+        self.unreachable_since_s = None
         self.home_group = 0
         self.reply = reply
         self.permit_requests: list[wire.RunnerAsk] = []
