--- a/src/bendshed/gateway/service_protocol.py
+++ b/src/bendshed/gateway/service_protocol.py
@@ -12,7 +12,7 @@
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.ports.caller_protocol import CallerProtocol, ReceivedRequest, RefusalAnswer
 from bendshed.ports.http_messages import ClientRequest, Headers, ResponseHead, end_to_end
-from bendshed.ports.runner import RunnerDispatch, RunnerProtocol, ServiceRequest, Verdict
+from bendshed.ports.runner import ResponseClass, RunnerDispatch, RunnerProtocol, ServiceRequest
 
 REQUEST = b"x-bendshed-request"
 PROGRAM = b"x-bendshed-program"
@@ -94,13 +94,13 @@
             lambda head: head.get(REQUEST) in (None, wanted),
         )
 
-    def verdict(self, head: ResponseHead) -> Verdict:
+    def classify(self, head: ResponseHead) -> ResponseClass:
         """Read the proofs that a request was not run."""
         if head.status == MISDIRECTED:
-            return Verdict.OTHER_RUNNER
+            return ResponseClass.OTHER_RUNNER
         if head.get(NOT_RUN) is not None:
-            return Verdict.NOT_RUN
-        return Verdict.ANSWERED
+            return ResponseClass.NOT_RUN
+        return ResponseClass.ANSWERED
 
 
 def _text(fields: dict[bytes, bytes], name: bytes) -> str:
--- a/src/bendshed/platform/runner_protocol.py
+++ b/src/bendshed/platform/runner_protocol.py
@@ -2,7 +2,7 @@
 
 from bendshed.platform import names
 from bendshed.ports.http_messages import ClientRequest, ResponseHead
-from bendshed.ports.runner import RunnerDispatch, RunnerProtocol, ServiceRequest, Verdict
+from bendshed.ports.runner import ResponseClass, RunnerDispatch, RunnerProtocol, ServiceRequest
 
 
 class PlatformRunnerProtocol(RunnerProtocol):
@@ -27,13 +27,13 @@
             request.method, request.target, headers, body, lambda head: _owns(head, wanted)
         )
 
-    def verdict(self, head: ResponseHead) -> Verdict:
+    def classify(self, head: ResponseHead) -> ResponseClass:
         """Read the proofs that a request was not run."""
         if head.status == names.OTHER_RUNNER_STATUS:
-            return Verdict.OTHER_RUNNER
+            return ResponseClass.OTHER_RUNNER
         if head.get(names.NOT_RUN) is not None:
-            return Verdict.NOT_RUN
-        return Verdict.ANSWERED
+            return ResponseClass.NOT_RUN
+        return ResponseClass.ANSWERED
 
 
 def _owns(head: ResponseHead, wanted: bytes) -> bool:
--- a/src/bendshed/ports/runner.py
+++ b/src/bendshed/ports/runner.py
@@ -92,7 +92,7 @@
         """End the connection so that the answer cannot look complete."""
 
 
-class Verdict(StrEnum):
+class ResponseClass(StrEnum):
     """What an answer's head says of the request."""
 
     ANSWERED = "answered"
@@ -131,5 +131,5 @@
         """Build the request for one runner."""
 
     @abstractmethod
-    def verdict(self, head: ResponseHead) -> Verdict:
+    def classify(self, head: ResponseHead) -> ResponseClass:
         """Read whether the request was run."""
--- a/src/bendshed/rehearsal/site/sim_runners.py
+++ b/src/bendshed/rehearsal/site/sim_runners.py
@@ -11,7 +11,7 @@
     ResponseBroken,
     ResponseHead,
 )
-from bendshed.ports.runner import RunnerDispatch, RunnerProtocol, ServiceRequest, Verdict
+from bendshed.ports.runner import ResponseClass, RunnerDispatch, RunnerProtocol, ServiceRequest
 from bendshed.ports.runner_connections import RunnerConnection, RunnerConnections
 from bendshed.rehearsal.simulator.loop import SimProcess
 from bendshed.rehearsal.simulator.network import MIN_GAP_S, Network
@@ -44,11 +44,11 @@
         ]
         return ClientRequest(request.method, request.target, headers, body, lambda _head: True)
 
-    def verdict(self, head: ResponseHead) -> Verdict:
+    def classify(self, head: ResponseHead) -> ResponseClass:
         """Read the proof."""
         if head.status == 421:
-            return Verdict.OTHER_RUNNER
-        return Verdict.ANSWERED if head.get(NOT_RUN) is None else Verdict.NOT_RUN
+            return ResponseClass.OTHER_RUNNER
+        return ResponseClass.ANSWERED if head.get(NOT_RUN) is None else ResponseClass.NOT_RUN
 
 
 @dataclass(slots=True)
--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -21,7 +21,7 @@
     ResponseBroken,
     ResponseHead,
 )
-from bendshed.ports.runner import RunnerDispatch, ServiceRequest, Verdict
+from bendshed.ports.runner import ResponseClass, RunnerDispatch, ServiceRequest
 from bendshed.ports.runner_connections import RunnerConnection, RunnerConnections
 from bendshed.retries.decisions import (
     GiveUp,
@@ -173,17 +173,17 @@
                 record.in_flight -= 1
         if response is None:
             return None
-        match self.ports.protocol.verdict(response.head):
-            case Verdict.ANSWERED:
+        match self.ports.protocol.classify(response.head):
+            case ResponseClass.ANSWERED:
                 self.answered_by = runner.runner_id
                 self._count_result(AttemptResult.ANSWERED)
                 return response
-            case Verdict.NOT_RUN:
+            case ResponseClass.NOT_RUN:
                 record.note_full(asyncio.get_running_loop().time())
                 await self._drain_not_run_response(
                     response, "runner rejected the request without running it"
                 )
-            case Verdict.OTHER_RUNNER:
+            case ResponseClass.OTHER_RUNNER:
                 record.note_unreachable(asyncio.get_running_loop().time())
                 await self._drain_not_run_response(response, "another runner uses the address")
         return None
--- a/tests/test_cold_runner_dispatch.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -25,7 +25,7 @@
 from bendshed.model.service_document import Route, RouteKind, Service, ServiceDocument
 from bendshed.placement.cold_runners import ColdRateLimit
 from bendshed.ports.http_messages import ClientRequest, ConnectFailed, ResponseHead
-from bendshed.ports.runner import RunnerDispatch, RunnerProtocol, ServiceRequest, Verdict
+from bendshed.ports.runner import ResponseClass, RunnerDispatch, RunnerProtocol, ServiceRequest
 from bendshed.ports.runner_connections import RunnerConnection, RunnerConnections
 from bendshed.rehearsal.site.programs import ProgramPlan
 from bendshed.rehearsal.site.records import Kind
@@ -320,8 +320,8 @@
     ) -> ClientRequest:
         return ClientRequest(b"POST", b"/", [], body, lambda _head: True)
 
-    def verdict(self, head: ResponseHead) -> Verdict:
-        return Verdict.ANSWERED
+    def classify(self, head: ResponseHead) -> ResponseClass:
+        return ResponseClass.ANSWERED
 
 
 class FakeConnection(RunnerConnection):
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -24,7 +24,7 @@
 from bendshed.ports.caller_protocol import ReceivedRequest
 from bendshed.ports.http_messages import Headers, ResponseHead
 from bendshed.ports.objects import StoredObject
-from bendshed.ports.runner import RunnerDispatch, ServiceRequest, Verdict
+from bendshed.ports.runner import ResponseClass, RunnerDispatch, ServiceRequest
 
 SETTINGS = {
     "nodeName": "front-1",
@@ -248,10 +248,10 @@
     def test_what_proves_that_nothing_was_run(self) -> None:
         protocol = PlatformRunnerProtocol()
         shed = ResponseHead(503, [(b"X-Not-Run", b"1")])
-        self.assertEqual(protocol.verdict(shed), Verdict.NOT_RUN)
-        self.assertEqual(protocol.verdict(ResponseHead(421)), Verdict.OTHER_RUNNER)
+        self.assertEqual(protocol.classify(shed), ResponseClass.NOT_RUN)
+        self.assertEqual(protocol.classify(ResponseHead(421)), ResponseClass.OTHER_RUNNER)
         for status in (500, 503, 504, 429, 400):
-            self.assertEqual(protocol.verdict(ResponseHead(status)), Verdict.ANSWERED)
+            self.assertEqual(protocol.classify(ResponseHead(status)), ResponseClass.ANSWERED)
 
 
 class AnswersTest(unittest.TestCase):
