--- a/src/bendshed/gateway/forwarding.py
+++ b/src/bendshed/gateway/forwarding.py
@@ -46,7 +46,7 @@
     async def refuse(self, refusal: Refusal) -> None:
         """Answer with an error of ours, or break off what has begun."""
         if self._has_begun:
-            self.break_off()
+            self.abort()
             return
         content = orjson.dumps(refusal.body())
         headers = [
@@ -80,7 +80,7 @@
         if not self._is_broken:
             await self._send({"type": "http.response.body", "body": b"", "more_body": False})
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the answer without its last part; the server closes such a connection."""
         self._is_broken = True
 
--- a/src/bendshed/gateway/service_protocol.py
+++ b/src/bendshed/gateway/service_protocol.py
@@ -75,16 +75,16 @@
 class ServiceRunnerProtocol(RunnerProtocol):
     """Runners of declared services."""
 
-    def request(
-        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+    def build_request(
+        self, request: ServiceRequest, body: bytes, dispatch: RunnerDispatch
     ) -> ClientRequest:
         """Pass the caller's headers on, with our id, the time left and the runner meant."""
         wanted = request.request_id.encode()
         headers = [
             *request.headers,
             (REQUEST, wanted),
-            (DEADLINE_MS, str(sending.left_ms).encode()),
-            (RUNNER, sending.runner.runner_id.encode()),
+            (DEADLINE_MS, str(dispatch.remaining_ms).encode()),
+            (RUNNER, dispatch.runner.runner_id.encode()),
         ]
         return ClientRequest(
             request.method,
--- a/src/bendshed/platform/runner_protocol.py
+++ b/src/bendshed/platform/runner_protocol.py
@@ -8,19 +8,19 @@
 class PlatformRunnerProtocol(RunnerProtocol):
     """Headers towards runners, and what their answers say."""
 
-    def request(
-        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+    def build_request(
+        self, request: ServiceRequest, body: bytes, dispatch: RunnerDispatch
     ) -> ClientRequest:
         """Pass the caller's headers on, with the tenant, the time left and the runner meant."""
         headers = list(request.headers)
-        headers.append((names.DEADLINE_MS, str(sending.left_ms).encode()))
-        headers.append((names.EXPECT_RUNNER, sending.runner.runner_id.encode()))
-        if sending.tenant:
-            headers.append((names.TENANT, sending.tenant.encode()))
-        if sending.passes_authorization:
+        headers.append((names.DEADLINE_MS, str(dispatch.remaining_ms).encode()))
+        headers.append((names.EXPECT_RUNNER, dispatch.runner.runner_id.encode()))
+        if dispatch.tenant:
+            headers.append((names.TENANT, dispatch.tenant.encode()))
+        if dispatch.forwards_authorization:
             headers.extend(request.authorization)
-        if sending.route.is_sticky:
-            urgency = min(max(sending.urgency, names.MOST_URGENT), names.LEAST_URGENT)
+        if dispatch.route.is_sticky:
+            urgency = min(max(dispatch.urgency, names.MOST_URGENT), names.LEAST_URGENT)
             headers.append((names.URGENCY, str(urgency).encode()))
         wanted = request.request_id.encode()
         return ClientRequest(
--- a/src/bendshed/ports/runner.py
+++ b/src/bendshed/ports/runner.py
@@ -88,7 +88,7 @@
         """The body is whole."""
 
     @abstractmethod
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the connection so that the answer cannot look complete."""
 
 
@@ -107,26 +107,26 @@
 
     Attributes:
         tenant: on whose behalf; empty: no tenant.
-        passes_authorization: the configuration names no tenants, so that header is the runner's.
+        forwards_authorization: the configuration names no tenants, so that header is the runner's.
         urgency: 0 is the most urgent.
-        left_ms: time that the runner may use.
+        remaining_ms: time that the runner may use.
 
     """
 
     route: Route
     runner: ServiceRunner
     tenant: str
-    passes_authorization: bool
+    forwards_authorization: bool
     urgency: int
-    left_ms: int
+    remaining_ms: int
 
 
 class RunnerProtocol(ABC):
     """The protocol of runners."""
 
     @abstractmethod
-    def request(
-        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+    def build_request(
+        self, request: ServiceRequest, body: bytes, dispatch: RunnerDispatch
     ) -> ClientRequest:
         """Build the request for one runner."""
 
--- a/src/bendshed/rehearsal/site/sim_caller.py
+++ b/src/bendshed/rehearsal/site/sim_caller.py
@@ -49,7 +49,7 @@
     async def refuse(self, refusal: Refusal) -> None:
         """Answer with an error."""
         if self._has_begun:
-            self.break_off()
+            self.abort()
             return
         status = STATUS.get(refusal.kind, 503 if refusal.answer.ran is WasRun.NO else 502)
         await self.begin(ResponseHead(status))
@@ -74,7 +74,7 @@
         if not self._is_broken:
             self._deliver(lambda: self._end(self._request, True))
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """A visible cut."""
         self._is_broken = True
         self._deliver(lambda: self._end(self._request, False))
--- a/src/bendshed/rehearsal/site/sim_runners.py
+++ b/src/bendshed/rehearsal/site/sim_runners.py
@@ -33,14 +33,14 @@
 class SimRunnerProtocol(RunnerProtocol):
     """How simulated runners are spoken to."""
 
-    def request(
-        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+    def build_request(
+        self, request: ServiceRequest, body: bytes, dispatch: RunnerDispatch
     ) -> ClientRequest:
         """Build a request."""
         headers = [
             *request.headers,
-            (WANTED, sending.runner.runner_id.encode()),
-            (TENANT, sending.tenant.encode()),
+            (WANTED, dispatch.runner.runner_id.encode()),
+            (TENANT, dispatch.tenant.encode()),
         ]
         return ClientRequest(request.method, request.target, headers, body, lambda _head: True)
 
--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -204,7 +204,7 @@
             self._withdraw_dispatch(choice, connection)
             return None
         left_ms = max(1, int((self.history.deadline_s - loop.time()) * 1000))
-        message = self.ports.protocol.request(
+        message = self.ports.protocol.build_request(
             self.request, body, self._runner_dispatch(choice, left_ms)
         )
         self.history.record_dispatch()
--- a/src/bendshed/services/forwarder.py
+++ b/src/bendshed/services/forwarder.py
@@ -288,7 +288,7 @@
                 await caller.send(b"".join(buffered))
     except ResponseBroken:
         if has_begun:
-            caller.break_off()
+            caller.abort()
             return False
         raise
     if not has_begun:
--- a/src/bendshed/services/stream_exchange.py
+++ b/src/bendshed/services/stream_exchange.py
@@ -78,7 +78,7 @@
                 events=self.num_events,
                 reason=str(error),
             )
-            self.caller.break_off()
+            self.caller.abort()
         finally:
             response.close(is_complete)
         return ServedOutcome.ANSWERED if is_complete else ServedOutcome.BROKEN_OFF
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -72,8 +72,8 @@
     route = document().routes[0]
     spec = {"service": "s", "addr": "10.0.0.9:80", "state": "ready"}
     runner = translate.read_runner(StoredObject("i-1", 3, spec, None))
-    sending = RunnerDispatch(route, runner, who.name, who.is_unasked, who.urgency, 100)
-    return PlatformRunnerProtocol().request(asked, b"", sending).headers
+    dispatch = RunnerDispatch(route, runner, who.name, who.is_unasked, who.urgency, 100)
+    return PlatformRunnerProtocol().build_request(asked, b"", dispatch).headers
 
 
 class CredentialTest(unittest.TestCase):
--- a/tests/test_cold_runner_dispatch.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -315,7 +315,7 @@
 
 
 class FakeProtocol(RunnerProtocol):
-    def request(
+    def build_request(
         self, request: ServiceRequest, body: bytes, dispatch: RunnerDispatch
     ) -> ClientRequest:
         return ClientRequest(b"POST", b"/", [], body, lambda _head: True)
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -233,8 +233,8 @@
         spec = {"service": "s", "addr": "10.0.0.9:80", "state": "ready"}
         target = read_runner(StoredObject("i-1", 3, spec, None))
         protocol = PlatformRunnerProtocol()
-        sending = RunnerDispatch(document.routes[0], target, "", True, 1, 1234)
-        sent = protocol.request(request, b"all", sending)
+        dispatch = RunnerDispatch(document.routes[0], target, "", True, 1, 1234)
+        sent = protocol.build_request(request, b"all", dispatch)
         fields = dict(sent.headers)
         self.assertEqual(fields[names.DEADLINE_MS], b"1234")
         self.assertEqual(fields[names.EXPECT_RUNNER], b"i-1")
--- a/tests/test_runner_answers.py
+++ b/tests/test_runner_answers.py
@@ -64,7 +64,7 @@
     async def end(self) -> None:
         self.is_complete = True
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         self.is_broken = True
 
 
