--- a/src/bendshed/platform/caller_protocol.py
+++ b/src/bendshed/platform/caller_protocol.py
@@ -123,9 +123,9 @@
     return TurnDetails(
         previous_turn=_text(fields, names.PREVIOUS_TURN),
         budget_tokens=_read_int(fields, names.TOKEN_BUDGET),
-        most_tokens=int(most),
+        max_answer_tokens=int(most),
         parts=parts,
-        line=line,
+        chain_id=line,
     )
 
 
--- a/src/bendshed/ports/runner.py
+++ b/src/bendshed/ports/runner.py
@@ -18,17 +18,17 @@
     Attributes:
         previous_turn: id of the turn that it continues; empty at a chain's start.
         budget_tokens: what the whole program may generate; ``None``: no bound.
-        most_tokens: most that this turn may generate.
+        max_answer_tokens: most that this turn may generate.
         parts: of its prompt, in order; requests may share all but the last.
-        line: name of the chain that the turn belongs to; its turns continue each other.
+        chain_id: name of the chain that the turn belongs to; its turns continue each other.
 
     """
 
     previous_turn: str
     budget_tokens: int | None
-    most_tokens: int
+    max_answer_tokens: int
     parts: tuple[PromptPart, ...] = ()
-    line: str = ""
+    chain_id: str = ""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/bendshed/services/permit_client.py
+++ b/src/bendshed/services/permit_client.py
@@ -81,7 +81,7 @@
         connected=report.connected,
         avoided=report.avoided,
         zone=zone,
-        line=(turn.line if turn is not None else "") or request.session,
+        line=(turn.chain_id if turn is not None else "") or request.session,
         tried=tried,
         regions=sorted(regions or ()),
     )
--- a/src/bendshed/services/turn_codec.py
+++ b/src/bendshed/services/turn_codec.py
@@ -52,7 +52,7 @@
             previous_turn=turn.previous_turn if self.route.keeps_turns else "",
             budget_tokens=turn.budget_tokens or 0,
             has_budget=turn.budget_tokens is not None,
-            most_tokens=turn.most_tokens,
+            most_tokens=turn.max_answer_tokens,
             retention_ms=self.route.retention_ms,
             tenant=self.tenant,
             num_groups=num_groups,
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -202,7 +202,7 @@
         self.assertEqual(request.target, b"/p/a%2Fb?x=%20")
         self.assertEqual((request.wait_ms, request.session), (4000, "p1"))
         self.assertEqual(request.turn.budget_tokens, 2304)
-        self.assertEqual((request.turn.most_tokens, request.turn.previous_turn), (288, "t0"))
+        self.assertEqual((request.turn.max_answer_tokens, request.turn.previous_turn), (288, "t0"))
 
     def test_what_is_passed_on(self) -> None:
         passed = [name for name, _ in self.turn().headers]
