--- a/src/bendshed/admission/access.py
+++ b/src/bendshed/admission/access.py
@@ -28,7 +28,7 @@
         precedence; the route's priority decides between equal ones.
         """
         if not self._has_tenants:
-            return Principal(None, route.priority, is_unasked=True)
+            return Principal(None, route.priority, is_authentication_disabled=True)
         tenant = self._by_credential.get(credential) if credential else None
         if tenant is not None:
             return Principal(tenant, tenant.priority * self._num_ranks + route.priority)
--- a/src/bendshed/model/principal.py
+++ b/src/bendshed/model/principal.py
@@ -12,13 +12,13 @@
     Attributes:
         tenant: ``None``: the configuration names no tenants, or the route is open to all.
         urgency: of its requests on this route; 0 is the most urgent.
-        is_unasked: the configuration names no tenants.
+        is_authentication_disabled: the configuration names no tenants.
 
     """
 
     tenant: Tenant | None
     urgency: int
-    is_unasked: bool = False
+    is_authentication_disabled: bool = False
 
     @property
     def name(self) -> str:
--- a/src/bendshed/services/attempts.py
+++ b/src/bendshed/services/attempts.py
@@ -238,7 +238,7 @@
             self.route,
             choice.record.listed,
             principal.name,
-            principal.is_unasked,
+            principal.is_authentication_disabled,
             principal.urgency,
             left_ms,
         )
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -72,7 +72,9 @@
     route = document().routes[0]
     spec = {"service": "s", "addr": "10.0.0.9:80", "state": "ready"}
     runner = translate.read_runner(StoredObject("i-1", 3, spec, None))
-    dispatch = RunnerDispatch(route, runner, who.name, who.is_unasked, who.urgency, 100)
+    dispatch = RunnerDispatch(
+        route, runner, who.name, who.is_authentication_disabled, who.urgency, 100
+    )
     return PlatformRunnerProtocol().build_request(asked, b"", dispatch).headers
 
 
@@ -106,7 +108,7 @@
     def test_an_open_route_asks_nobody(self) -> None:
         found = asker(path=1)
         assert found is not None
-        self.assertEqual((found.name, found.is_unasked), ("", False))
+        self.assertEqual((found.name, found.is_authentication_disabled), ("", False))
         known = asker(authorization(f"Token {KEY}"), path=1)
         assert known is not None
         self.assertEqual(known.name, "one")
@@ -115,7 +117,7 @@
         plain = document({**SPEC, "tenants": []})
         found = AccessIndex(plain).principal(plain.routes[0], "")
         assert found is not None
-        self.assertTrue(found.is_unasked)
+        self.assertTrue(found.is_authentication_disabled)
 
     def test_a_routes_priority_comes_after_its_tenants(self) -> None:
         known = document()
@@ -146,7 +148,7 @@
 
     def test_without_tenants_the_header_is_the_runners(self) -> None:
         asked = request(authorization("Basic abc"))
-        sent = headers_at_the_runner(asked, Principal(None, 0, is_unasked=True))
+        sent = headers_at_the_runner(asked, Principal(None, 0, is_authentication_disabled=True))
         self.assertIn((names.AUTHORIZATION, b"Basic abc"), sent)
 
 
