--- a/src/bendshed/adapters/connection_pool.py
+++ b/src/bendshed/adapters/connection_pool.py
@@ -41,10 +41,10 @@
             return connection
         self.num_opened += 1
         began_s = asyncio.get_running_loop().time()
-        far_s = CONNECT_TRIPS * (self._round_trips.least_s(address, began_s) or 0.0)
+        far_s = CONNECT_TRIPS * (self._round_trips.min_s(address, began_s) or 0.0)
         opened = await open_connection(address, max(self._connect_timeout_s, far_s))
         now_s = asyncio.get_running_loop().time()
-        self._round_trips.note(address, now_s - began_s, now_s)
+        self._round_trips.record(address, now_s - began_s, now_s)
         # Kept connections fall silent together; each would lose one more request.
         opened.on_silent = partial(self.forget, address)
         return opened
--- a/src/bendshed/adapters/tcp_transport.py
+++ b/src/bendshed/adapters/tcp_transport.py
@@ -203,7 +203,7 @@
 
     def round_trip_s(self, peer: Address) -> float | None:
         """Seconds to a peer and back, the least that was measured lately; ``None``: never."""
-        return self.round_trips.least_s(peer, asyncio.get_running_loop().time())
+        return self.round_trips.min_s(peer, asyncio.get_running_loop().time())
 
     async def request(self, peer: Address, method: str, payload: bytes, timeout_s: float) -> bytes:
         """Send a request and wait for its reply."""
@@ -220,7 +220,7 @@
                     connection.end_request(request_id)
                 now_s = asyncio.get_running_loop().time()
                 expected_round_trip_s = now_s - sent_s - reply.served_us / 1_000_000
-                self.round_trips.note(peer, expected_round_trip_s, now_s)
+                self.round_trips.record(peer, expected_round_trip_s, now_s)
                 return reply.payload
         except TimeoutError as error:
             raise PeerUnreachable(f"{peer} did not answer {method} in time") from error
@@ -285,7 +285,7 @@
             _, connection = await loop.create_connection(
                 lambda: _Connection(self), peer.host, peer.port
             )
-        self.round_trips.note(peer, loop.time() - began_s, loop.time())
+        self.round_trips.record(peer, loop.time() - began_s, loop.time())
         return connection
 
     def on_frame(self, connection: _Connection, frame: Frame) -> None:
--- a/src/bendshed/paths/adaptive_timeout.py
+++ b/src/bendshed/paths/adaptive_timeout.py
@@ -49,7 +49,7 @@
 
     def note(self, peer: Address, method: str, took_s: float, now_s: float) -> None:
         """Record how long a peer's direct answer took."""
-        self._answers.note((peer, method), took_s, now_s)
+        self._answers.record((peer, method), took_s, now_s)
 
     def expected_round_trip_s(self, peer: Address) -> float:
         """Return the measured round trip to a peer, or the default for its distance."""
@@ -57,7 +57,7 @@
 
     def expected_answer_s(self, peer: Address, method: str, now_s: float) -> float:
         """Return the fastest answer of a peer to a method: the round trip and the processing."""
-        known = self._answers.least_s((peer, method), now_s)
+        known = self._answers.min_s((peer, method), now_s)
         return known if known is not None else self.expected_round_trip_s(peer)
 
     def direct_timeout_s(self, peer: Address, method: str, now_s: float) -> float:
--- a/src/bendshed/paths/echo.py
+++ b/src/bendshed/paths/echo.py
@@ -95,7 +95,7 @@
         return True
 
     def _medians_ms(self) -> dict[Distance, float]:
-        known_s = self._transport.round_trips.all_s(asyncio.get_running_loop().time())
+        known_s = self._transport.round_trips.all_min_s(asyncio.get_running_loop().time())
         found_s = self._host_locations.medians_s(known_s)
         return {kind: 1000 * median_s for kind, median_s in found_s.items()}
 
--- a/src/bendshed/rehearsal/simulator/network.py
+++ b/src/bendshed/rehearsal/simulator/network.py
@@ -104,7 +104,7 @@
 
     def round_trip_s(self, peer: Address) -> float | None:
         """Seconds to a peer and back, the least that was measured lately; ``None``: never."""
-        return self.round_trips.least_s(peer, self._network.loop.time())
+        return self.round_trips.min_s(peer, self._network.loop.time())
 
     async def request(self, peer: Address, method: str, payload: bytes, timeout_s: float) -> bytes:
         """Send a request; lost messages show as a timeout, a closed port at once."""
@@ -117,7 +117,7 @@
             reply = await asyncio.wait_for(answer, timeout_s)
         except TimeoutError as error:
             raise PeerUnreachable(f"{peer} did not answer {method}") from error
-        self.round_trips.note(peer, loop.time() - sent_s - reply.served_s, loop.time())
+        self.round_trips.record(peer, loop.time() - sent_s - reply.served_s, loop.time())
         return reply.payload
 
     def serve(
--- a/tests/test_round_trips.py
+++ b/tests/test_round_trips.py
@@ -11,7 +11,7 @@
 from bendshed.paths.adaptive_timeout import MIN_DIRECT_TIMEOUT_S, AdaptiveTimeout
 from bendshed.paths.echo import UNREACHABLE_ROUNDS, RegionReachability
 from bendshed.paths.host_locations import DEFAULT_ROUND_TRIPS_S, HostLocations
-from bendshed.ports.round_trips import MAX_PEERS, MEMORY_S, WINDOW_S, RoundTrips
+from bendshed.ports.round_trips import EXPIRY_S, MAX_PEERS, WINDOW_S, RoundTrips
 
 PLACES = Places({"a": "east", "b": "east", "x": "west"})
 LOCAL = "127.0.0.1"
@@ -23,35 +23,35 @@
 
     def test_minimum_of_a_window_counts(self) -> None:
         for number, took_s in enumerate((0.09, 0.061, 0.3, 0.07)):
-            self.round_trips.note("peer", took_s, number)
-        self.assertEqual(self.round_trips.least_s("peer", 4.0), 0.061)
-        self.assertIsNone(self.round_trips.least_s("another", 4.0))
+            self.round_trips.record("peer", took_s, number)
+        self.assertEqual(self.round_trips.min_s("peer", 4.0), 0.061)
+        self.assertIsNone(self.round_trips.min_s("another", 4.0))
 
     def test_longer_round_trip_is_known_after_two_windows(self) -> None:
-        self.round_trips.note("peer", 0.06, 0.0)
+        self.round_trips.record("peer", 0.06, 0.0)
         for second in range(1, int(2 * WINDOW_S) + 2):
-            self.round_trips.note("peer", 0.6, second)
-        self.assertEqual(self.round_trips.least_s("peer", 2 * WINDOW_S + 2), 0.6)
+            self.round_trips.record("peer", 0.6, second)
+        self.assertEqual(self.round_trips.min_s("peer", 2 * WINDOW_S + 2), 0.6)
 
     def test_shorter_round_trip_is_known_at_once(self) -> None:
-        self.round_trips.note("peer", 0.6, 0.0)
-        self.round_trips.note("peer", 0.06, 0.1)
-        self.assertEqual(self.round_trips.least_s("peer", 0.1), 0.06)
+        self.round_trips.record("peer", 0.6, 0.0)
+        self.round_trips.record("peer", 0.06, 0.1)
+        self.assertEqual(self.round_trips.min_s("peer", 0.1), 0.06)
 
     def test_after_a_gap_only_the_new_measurement_counts(self) -> None:
-        self.round_trips.note("peer", 0.06, 0.0)
-        self.round_trips.note("peer", 0.6, 3 * WINDOW_S)
-        self.assertEqual(self.round_trips.least_s("peer", 3 * WINDOW_S), 0.6)
+        self.round_trips.record("peer", 0.06, 0.0)
+        self.round_trips.record("peer", 0.6, 3 * WINDOW_S)
+        self.assertEqual(self.round_trips.min_s("peer", 3 * WINDOW_S), 0.6)
 
     def test_old_measurement_expires(self) -> None:
-        self.round_trips.note("peer", 0.06, 0.0)
-        self.assertEqual(self.round_trips.least_s("peer", MEMORY_S), 0.06)
-        self.assertIsNone(self.round_trips.least_s("peer", MEMORY_S + 1))
+        self.round_trips.record("peer", 0.06, 0.0)
+        self.assertEqual(self.round_trips.min_s("peer", EXPIRY_S), 0.06)
+        self.assertIsNone(self.round_trips.min_s("peer", EXPIRY_S + 1))
 
     def test_number_of_peers_is_bounded(self) -> None:
         for number in range(MAX_PEERS + 10):
-            self.round_trips.note(str(number), 0.01, 0.0)
-        self.assertEqual(len(self.round_trips.all_s(0.0)), MAX_PEERS)
+            self.round_trips.record(str(number), 0.01, 0.0)
+        self.assertEqual(len(self.round_trips.all_min_s(0.0)), MAX_PEERS)
 
 
 class HostLocationsTest(unittest.TestCase):
