--- a/src/bendshed/catalog/watcher.py
+++ b/src/bendshed/catalog/watcher.py
@@ -7,7 +7,7 @@
 
 from bendshed.logs import PartLog
 from bendshed.ports.objects import (
-    HistoryGone,
+    HistoryExpired,
     ObjectEvent,
     ObjectList,
     ObjectSource,
@@ -72,7 +72,7 @@
                 take(item)
 
         def on_event(event: ObjectEvent) -> None:
-            if not event.is_gone:
+            if not event.is_deleted:
                 take(event.object)
 
         return cls(on_list, on_event, on_confirmed)
@@ -94,7 +94,7 @@
 
         def on_event(event: ObjectEvent) -> None:
             name = event.object.name
-            if event.is_gone:
+            if event.is_deleted:
                 present.discard(name)
                 gone.add(name)
             else:
@@ -173,7 +173,7 @@
                 await self._call
                 self._note_regained()
                 await asyncio.sleep(self.pace_s)
-            except HistoryGone:
+            except HistoryExpired:
                 log.say("listing again: change history expired", kind=self._kind)
                 self._at = None
             except (StoreUnavailable, KeyError, ValueError, TypeError) as error:
@@ -218,19 +218,19 @@
     async def _step(self) -> None:
         if self._at is None:
             listed = await self._source.list(self._kind)
-            self._at = listed.at
+            self._at = listed.revision
             self._listed = {item.name: item.revision for item in listed.items}
             self._handler.on_list(listed)
-            self._handler.on_confirmed(listed.at)
+            self._handler.on_confirmed(listed.revision)
             return
         wait_s = LOST_WAIT_S if self._is_lost or self._is_again else self.wait_s
         changes = await self._source.watch(self._kind, self._at, wait_s)
         self._is_again = False
-        self._at = changes.at
+        self._at = changes.revision
         for event in changes.events:
             if not self._is_old(event):
                 self._handler.on_event(event)
-        self._handler.on_confirmed(changes.at)
+        self._handler.on_confirmed(changes.revision)
 
     def _is_old(self, event: ObjectEvent) -> bool:
         """A list of several pages holds later states than those at which its watch begins."""
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -191,7 +191,7 @@
         self._node.replace_runners(runners, is_trusted=not self._runners.is_in_doubt)
 
     def _on_runner(self, event: ObjectEvent) -> None:
-        if event.is_gone:
+        if event.is_deleted:
             trusted = not self._runners.is_in_doubt
             self._node.remove_runner(event.object.name, trusted)
         else:
--- a/src/bendshed/platform/objects.py
+++ b/src/bendshed/platform/objects.py
@@ -11,7 +11,7 @@
 from bendshed.platform import names
 from bendshed.ports.http_messages import ClientRequest, ConnectFailed, ResponseBroken
 from bendshed.ports.objects import (
-    HistoryGone,
+    HistoryExpired,
     ObjectEvent,
     ObjectEvents,
     ObjectList,
@@ -52,7 +52,7 @@
     async def list(self, kind: str, may_be_stale: bool = False) -> ObjectList:
         """Read all objects of a kind, page by page.
 
-        ``at`` is the first page's, since objects of a page may change while a later one is read.
+        ``revision`` is the first page's: objects of a page may change while a later one is read.
         ``may_be_stale``: the answer may be seconds old, at a tenth of the price.
         """
         items: list[StoredObject] = []
@@ -70,14 +70,14 @@
                 return ObjectList(items, first_at)
             after = items[-1].name
 
-    async def watch(self, kind: str, at: int, wait_s: float) -> ObjectEvents:
-        """Wait for changes after a revision; raise ``HistoryGone``."""
-        query = f"?watch={at}&{names.WAIT_MS}={int(wait_s * 1000)}"
+    async def watch(self, kind: str, after_revision: int, wait_s: float) -> ObjectEvents:
+        """Wait for changes after a revision; raise ``HistoryExpired``."""
+        query = f"?watch={after_revision}&{names.WAIT_MS}={int(wait_s * 1000)}"
         status, content = await self._call(
             b"GET", _path(kind) + query, None, wait_s + WATCH_MARGIN_S
         )
         if status == 410:
-            raise HistoryGone(kind)
+            raise HistoryExpired(kind)
         listed_at = int(content["at"])
         events = [
             ObjectEvent(_read_object(row["object"]), bool(row["gone"]), listed_at)
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -140,13 +140,13 @@
     def _list_runners(self, listed: ObjectList) -> None:
         runners = [KnownRunner(read_runner(item), item.revision) for item in listed.items]
         trusted = not self._runners.is_in_doubt
-        self._node.catalog.list_runners(runners, listed.at, trusted)
+        self._node.catalog.list_runners(runners, listed.revision, trusted)
 
     def _on_runner(self, event: ObjectEvent) -> None:
         item = event.object
-        if event.is_gone:
+        if event.is_deleted:
             trusted = not self._runners.is_in_doubt
-            self._node.catalog.remove_runner(item.name, event.at, trusted)
+            self._node.catalog.remove_runner(item.name, event.revision, trusted)
         else:
             self._node.catalog.put_runner(KnownRunner(read_runner(item), item.revision))
 
@@ -166,7 +166,7 @@
 
     def _on_retirement(self, event: ObjectEvent) -> None:
         wish = read_retirement(event.object)
-        if event.is_gone:
+        if event.is_deleted:
             self._node.directory.remove_retiring(wish.name)
         else:
             self._node.directory.add_retiring(wish.name)
--- a/src/bendshed/ports/objects.py
+++ b/src/bendshed/ports/objects.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-class HistoryGone(Exception):
+class HistoryExpired(Exception):
     """A watch requested a revision that the store has forgotten; list again."""
 
 
@@ -24,13 +24,13 @@
     """One change of a kind.
 
     Attributes:
-        at: revision up to which the answer holds changes; not below that of the change.
+        revision: up to which the answer holds changes; not below that of the change.
 
     """
 
     object: StoredObject
-    is_gone: bool
-    at: int
+    is_deleted: bool
+    revision: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
     """All objects of a kind at a revision."""
 
     items: list[StoredObject]
-    at: int
+    revision: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
     """Changes of a kind up to a revision."""
 
     events: list[ObjectEvent]
-    at: int
+    revision: int
 
 
 class ObjectSource(ABC):
@@ -60,5 +60,5 @@
         """Read all objects of a kind; ``may_be_stale``: seconds old will do, and costs less."""
 
     @abstractmethod
-    async def watch(self, kind: str, at: int, wait_s: float) -> ObjectEvents:
-        """Wait for changes after a revision; raise ``HistoryGone``."""
+    async def watch(self, kind: str, after_revision: int, wait_s: float) -> ObjectEvents:
+        """Wait for changes after a revision; raise ``HistoryExpired``."""
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -13,7 +13,7 @@
 from bendshed.platform.objects import ObjectApi
 from bendshed.platform.registry import PlatformReplicaRegistry
 from bendshed.platform.translate import read_document, read_runner
-from bendshed.ports.objects import HistoryGone, StoredObject
+from bendshed.ports.objects import HistoryExpired, StoredObject
 from bendshed.ports.registry import RegistryUnavailable, ReplicaNode
 from bendshed.ports.store import StoreUnavailable, VersionConflict
 from bendshed.rehearsal.site.documents import all_keys, make_document
@@ -61,7 +61,7 @@
             self.model.put("kind", f"n{number:05}", {})
         listed = await self.api.list("kind")
         self.assertEqual(len(listed.items), PAGE + 7)
-        self.assertEqual(listed.at, self.model.revision)
+        self.assertEqual(listed.revision, self.model.revision)
 
     async def test_a_change_between_two_pages_is_not_missed(self) -> None:
         """What changes on an early page while a later one is read comes by the next watch."""
@@ -75,7 +75,7 @@
 
         self.model.on_page = change_once
         listed = await self.api.list("kind")
-        events = (await self.api.watch("kind", listed.at, 0.0)).events
+        events = (await self.api.watch("kind", listed.revision, 0.0)).events
         heard = [(event.object.name, event.object.spec["state"]) for event in events]
         self.assertEqual(heard[-1:], [("a", "draining")])
 
@@ -98,7 +98,7 @@
         self.assertEqual(await registry.bootstrap_voters(), ["two"])
 
     async def test_a_watch_hears_of_changes_and_of_a_lost_history(self) -> None:
-        at = (await self.api.list("kind")).at
+        at = (await self.api.list("kind")).revision
         watching = asyncio.create_task(self.api.watch("kind", at, 5.0))
         await asyncio.sleep(0)
         self.model.put("other", "o", {})
@@ -106,10 +106,10 @@
         changes = await watching
         self.assertEqual([event.object.name for event in changes.events], ["a"])
         self.model.delete("kind", "a")
-        gone = await self.api.watch("kind", changes.at, 5.0)
-        self.assertEqual([event.is_gone for event in gone.events], [True])
+        gone = await self.api.watch("kind", changes.revision, 5.0)
+        self.assertEqual([event.is_deleted for event in gone.events], [True])
         self.model.forget_history()
-        with self.assertRaises(HistoryGone):
+        with self.assertRaises(HistoryExpired):
             await self.api.watch("kind", at, 5.0)
 
     async def test_a_watch_without_changes_ends(self) -> None:
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -13,7 +13,7 @@
     KindWatcher,
 )
 from bendshed.ports.objects import (
-    HistoryGone,
+    HistoryExpired,
     ObjectEvent,
     ObjectEvents,
     ObjectList,
@@ -43,16 +43,18 @@
         at = self.revision if self.list_at is None else self.list_at
         return ObjectList([self._object()], at)
 
-    async def watch(self, kind: str, at: int, wait_s: float) -> ObjectEvents:
+    async def watch(self, kind: str, after_revision: int, wait_s: float) -> ObjectEvents:
         await self._reach(wait_s + MARGIN_S)
-        if at < self.history_from:
-            raise HistoryGone(kind)
+        if after_revision < self.history_from:
+            raise HistoryExpired(kind)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_s):
-                if self.revision == at:
+                if self.revision == after_revision:
                     await self.changed.wait()
-        revisions = [old for old in self.older if old > at]
-        revisions += [self.revision] if self.revision > at and self.list_at is None else []
+        revisions = [old for old in self.older if old > after_revision]
+        revisions += (
+            [self.revision] if self.revision > after_revision and self.list_at is None else []
+        )
         events = [ObjectEvent(self._object(old), False, self.revision) for old in revisions]
         return ObjectEvents(events, self.revision)
 
