--- a/src/bendshed/adapters/http_connection.py
+++ b/src/bendshed/adapters/http_connection.py
@@ -214,7 +214,7 @@
             raise ValueError(
                 f"status {self._head.status} in HTTP/{self._parser.get_http_version()}"
             )
-        if not request.owns(self._head):
+        if not request.matches(self._head):
             self._foreign = True
             self._usable = False
             return
--- a/src/bendshed/ports/http_messages.py
+++ b/src/bendshed/ports/http_messages.py
@@ -56,7 +56,7 @@
 
     Attributes:
         target: path and query, as they go on the wire.
-        owns: tells an answer to this request from a surplus one.
+        matches: tells an answer to this request from a surplus one.
 
     """
 
@@ -64,7 +64,7 @@
     target: bytes
     headers: Headers
     body: bytes
-    owns: Callable[[ResponseHead], bool]
+    matches: Callable[[ResponseHead], bool]
 
     def encode(self) -> bytes:
         """Bytes on the wire; a body always goes with its length."""
--- a/tests/test_http_connection.py
+++ b/tests/test_http_connection.py
@@ -24,10 +24,10 @@
 def request(
     request_id: bytes = b"r1", method: bytes = b"POST", body: bytes = b"x"
 ) -> ClientRequest:
-    def owns(head: ResponseHead) -> bool:
+    def matches(head: ResponseHead) -> bool:
         return head.get(b"x-request-id") == request_id
 
-    return ClientRequest(method, b"/a/b?c=%20d", [(b"host", b"h")], body, owns)
+    return ClientRequest(method, b"/a/b?c=%20d", [(b"host", b"h")], body, matches)
 
 
 class Peer:
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -242,8 +242,8 @@
         self.assertEqual(sent.body, b"all")
         mine = ResponseHead(200, [(b"X-Request-Id", b"r1")])
         others = ResponseHead(200, [(b"X-Request-Id", b"r2")])
-        self.assertEqual((sent.owns(mine), sent.owns(others)), (True, False))
-        self.assertFalse(sent.owns(ResponseHead(200)))
+        self.assertEqual((sent.matches(mine), sent.matches(others)), (True, False))
+        self.assertFalse(sent.matches(ResponseHead(200)))
 
     def test_what_proves_that_nothing_was_run(self) -> None:
         protocol = PlatformRunnerProtocol()
