--- a/src/bendshed/ports/runner.py
+++ b/src/bendshed/ports/runner.py
@@ -18,17 +18,17 @@
     Attributes:
         previous_turn: id of the turn that it continues; empty at a chain's start.
         budget_tokens: what the whole program may generate; ``None``: no bound.
-        most_tokens: most that this turn may generate.
+        max_answer_tokens: most that this turn may generate.
         parts: of its prompt, in order; requests may share all but the last.
-        line: name of the chain that the turn belongs to; its turns continue each other.
+        chain_id: name of the chain that the turn belongs to; its turns continue each other.
 
     """
 
     previous_turn: str
     budget_tokens: int | None
-    most_tokens: int
+    max_answer_tokens: int
     parts: tuple[PromptPart, ...] = ()
-    line: str = ""
+    chain_id: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,11 +88,11 @@
         """The body is whole."""
 
     @abstractmethod
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """End the connection so that the answer cannot look complete."""
 
 
-class Verdict(StrEnum):
+class ResponseClass(StrEnum):
     """What an answer's head says of the request."""
 
     ANSWERED = "answered"
@@ -107,29 +107,29 @@
 
     Attributes:
         tenant: on whose behalf; empty: no tenant.
-        passes_authorization: the configuration names no tenants, so that header is the runner's.
+        forwards_authorization: the configuration names no tenants, so that header is the runner's.
         urgency: 0 is the most urgent.
-        left_ms: time that the runner may use.
+        remaining_ms: time that the runner may use.
 
     """
 
     route: Route
     runner: ServiceRunner
     tenant: str
-    passes_authorization: bool
+    forwards_authorization: bool
     urgency: int
-    left_ms: int
+    remaining_ms: int
 
 
 class RunnerProtocol(ABC):
     """The protocol of runners."""
 
     @abstractmethod
-    def request(
-        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+    def build_request(
+        self, request: ServiceRequest, body: bytes, dispatch: RunnerDispatch
     ) -> ClientRequest:
         """Build the request for one runner."""
 
     @abstractmethod
-    def verdict(self, head: ResponseHead) -> Verdict:
+    def classify(self, head: ResponseHead) -> ResponseClass:
         """Read whether the request was run."""
