--- a/src/bendshed/gateway/forwarding.py
+++ b/src/bendshed/gateway/forwarding.py
@@ -48,7 +48,7 @@
     async def refuse(self, refusal: Refusal) -> None:
         """Send an error response, or abort the response if it has started."""
         if self._has_started:
-            self.break_off()
+            self.abort()
             return
         content = orjson.dumps(refusal.body())
         headers = [
@@ -82,7 +82,7 @@
         if not self._is_aborted:
             await self._send({"type": "http.response.body", "body": b"", "more_body": False})
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Abort the response; without a final body message the server closes the connection."""
         self._is_aborted = True
 
--- a/src/bendshed/gateway/service_protocol.py
+++ b/src/bendshed/gateway/service_protocol.py
@@ -12,7 +12,7 @@
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.ports.caller_protocol import CallerProtocol, ReceivedRequest, RefusalAnswer
 from bendshed.ports.http_messages import ClientRequest, Headers, ResponseHead, end_to_end
-from bendshed.ports.runner import RunnerDispatch, RunnerProtocol, ServiceRequest, Verdict
+from bendshed.ports.runner import ResponseClass, RunnerDispatch, RunnerProtocol, ServiceRequest
 
 REQUEST_ID = b"x-bendshed-request"
 PROGRAM = b"x-bendshed-program"
@@ -78,16 +78,16 @@
 class ServiceRunnerProtocol(RunnerProtocol):
     """Protocol of runners of declared services."""
 
-    def request(
-        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+    def build_request(
+        self, request: ServiceRequest, body: bytes, dispatch: RunnerDispatch
     ) -> ClientRequest:
         """Forward the caller's headers with request id, remaining time and intended runner."""
         request_id = request.request_id.encode()
         headers = [
             *request.headers,
             (REQUEST_ID, request_id),
-            (DEADLINE_MS, str(sending.left_ms).encode()),
-            (RUNNER_ID, sending.runner.runner_id.encode()),
+            (DEADLINE_MS, str(dispatch.remaining_ms).encode()),
+            (RUNNER_ID, dispatch.runner.runner_id.encode()),
         ]
         return ClientRequest(
             request.method,
@@ -97,13 +97,13 @@
             lambda head: head.get(REQUEST_ID) in (None, request_id),
         )
 
-    def verdict(self, head: ResponseHead) -> Verdict:
+    def classify(self, head: ResponseHead) -> ResponseClass:
         """Classify the response by status and headers that prove the request was not run."""
         if head.status == MISDIRECTED_REQUEST_STATUS:
-            return Verdict.OTHER_RUNNER
+            return ResponseClass.OTHER_RUNNER
         if head.get(NOT_RUN) is not None:
-            return Verdict.NOT_RUN
-        return Verdict.ANSWERED
+            return ResponseClass.NOT_RUN
+        return ResponseClass.ANSWERED
 
 
 def _header_text(fields: dict[bytes, bytes], name: bytes) -> str:
--- a/src/bendshed/platform/caller_protocol.py
+++ b/src/bendshed/platform/caller_protocol.py
@@ -123,9 +123,9 @@
     return TurnDetails(
         previous_turn=_header_text(fields, names.PREVIOUS_TURN),
         budget_tokens=_read_int(fields, names.TOKEN_BUDGET),
-        most_tokens=int(max_output),
+        max_answer_tokens=int(max_output),
         parts=parts,
-        line=line,
+        chain_id=line,
     )
 
 
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -191,7 +191,7 @@
         self._node.replace_runners(runners, is_trusted=not self._runner_watch.is_in_doubt)
 
     def _on_runner(self, event: ObjectEvent) -> None:
-        if event.is_gone:
+        if event.is_deleted:
             is_trusted = not self._runner_watch.is_in_doubt
             self._node.remove_runner(event.object.name, is_trusted)
         else:
--- a/src/bendshed/platform/objects.py
+++ b/src/bendshed/platform/objects.py
@@ -11,7 +11,7 @@
 from bendshed.platform import names
 from bendshed.ports.http_messages import ClientRequest, ConnectFailed, ResponseBroken
 from bendshed.ports.objects import (
-    HistoryGone,
+    HistoryExpired,
     ObjectEvent,
     ObjectEvents,
     ObjectList,
@@ -52,11 +52,11 @@
     async def list(self, kind: str, may_be_stale: bool = False) -> ObjectList:
         """Read all objects of a kind, page by page.
 
-        ``at`` is the revision of the first page, since its objects may change while later pages
+        ``revision`` is that of the first page, since its objects may change while later pages
         are read. ``may_be_stale``: the answer may be seconds old and costs a tenth.
         """
         items: list[StoredObject] = []
-        first_page_at: int | None = None
+        first_page_revision: int | None = None
         after = ""
         while True:
             parameters = [f"after={quote(after, safe='')}"] if after else []
@@ -64,20 +64,20 @@
             query = f"?{'&'.join(parameters)}" if parameters else ""
             _, content = await self._call(b"GET", _path(kind) + query, None, self._call_timeout_s)
             items.extend(_read_object(row) for row in content["items"])
-            if first_page_at is None:
-                first_page_at = int(content["at"])
+            if first_page_revision is None:
+                first_page_revision = int(content["at"])
             if not content.get(names.HAS_MORE) or not items:
-                return ObjectList(items, first_page_at)
+                return ObjectList(items, first_page_revision)
             after = items[-1].name
 
-    async def watch(self, kind: str, at: int, wait_s: float) -> ObjectEvents:
-        """Wait for changes after revision ``at``; raise ``HistoryGone`` if they are discarded."""
-        query = f"?watch={at}&{names.WAIT_MS}={int(wait_s * 1000)}"
+    async def watch(self, kind: str, after_revision: int, wait_s: float) -> ObjectEvents:
+        """Wait for changes after a revision; raise ``HistoryExpired`` if they are discarded."""
+        query = f"?watch={after_revision}&{names.WAIT_MS}={int(wait_s * 1000)}"
         status, content = await self._call(
             b"GET", _path(kind) + query, None, wait_s + WATCH_MARGIN_S
         )
         if status == 410:
-            raise HistoryGone(kind)
+            raise HistoryExpired(kind)
         revision = int(content["at"])
         events = [
             ObjectEvent(_read_object(row["object"]), bool(row["gone"]), revision)
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -140,13 +140,13 @@
     def _replace_runners(self, listed: ObjectList) -> None:
         runners = [KnownRunner(read_runner(item), item.revision) for item in listed.items]
         is_trusted = not self._runner_watch.is_in_doubt
-        self._node.catalog.list_runners(runners, listed.at, is_trusted)
+        self._node.catalog.list_runners(runners, listed.revision, is_trusted)
 
     def _on_runner(self, event: ObjectEvent) -> None:
         item = event.object
-        if event.is_gone:
+        if event.is_deleted:
             is_trusted = not self._runner_watch.is_in_doubt
-            self._node.catalog.remove_runner(item.name, event.at, is_trusted)
+            self._node.catalog.remove_runner(item.name, event.revision, is_trusted)
         else:
             self._node.catalog.put_runner(KnownRunner(read_runner(item), item.revision))
 
@@ -166,7 +166,7 @@
 
     def _on_retirement(self, event: ObjectEvent) -> None:
         retirement = read_retirement(event.object)
-        if event.is_gone:
+        if event.is_deleted:
             self._node.directory.remove_retiring(retirement.name)
         else:
             self._node.directory.add_retiring(retirement.name)
--- a/src/bendshed/rehearsal/site/sim_runners.py
+++ b/src/bendshed/rehearsal/site/sim_runners.py
@@ -11,7 +11,7 @@
     ResponseBroken,
     ResponseHead,
 )
-from bendshed.ports.runner import RunnerDispatch, RunnerProtocol, ServiceRequest, Verdict
+from bendshed.ports.runner import ResponseClass, RunnerDispatch, RunnerProtocol, ServiceRequest
 from bendshed.ports.runner_connections import RunnerConnection, RunnerConnections
 from bendshed.rehearsal.simulator.loop import SimProcess
 from bendshed.rehearsal.simulator.network import MIN_GAP_S, Network
@@ -33,22 +33,22 @@
 class SimRunnerProtocol(RunnerProtocol):
     """How simulated runners are spoken to."""
 
-    def request(
-        self, request: ServiceRequest, body: bytes, sending: RunnerDispatch
+    def build_request(
+        self, request: ServiceRequest, body: bytes, dispatch: RunnerDispatch
     ) -> ClientRequest:
         """Build a request."""
         headers = [
             *request.headers,
-            (WANTED, sending.runner.runner_id.encode()),
-            (TENANT, sending.tenant.encode()),
+            (WANTED, dispatch.runner.runner_id.encode()),
+            (TENANT, dispatch.tenant.encode()),
         ]
         return ClientRequest(request.method, request.target, headers, body, lambda _head: True)
 
-    def verdict(self, head: ResponseHead) -> Verdict:
+    def classify(self, head: ResponseHead) -> ResponseClass:
         """Read the proof."""
         if head.status == 421:
-            return Verdict.OTHER_RUNNER
-        return Verdict.ANSWERED if head.get(NOT_RUN) is None else Verdict.NOT_RUN
+            return ResponseClass.OTHER_RUNNER
+        return ResponseClass.ANSWERED if head.get(NOT_RUN) is None else ResponseClass.NOT_RUN
 
 
 @dataclass(slots=True)
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -72,10 +72,10 @@
     route = document().routes[0]
     spec = {"service": "s", "addr": "10.0.0.9:80", "state": "ready"}
     runner = translate.read_runner(StoredObject("i-1", 3, spec, None))
-    sending = RunnerDispatch(
-        route, runner, principal.name, principal.is_unasked, principal.urgency, 100
+    dispatch = RunnerDispatch(
+        route, runner, principal.name, principal.is_authentication_disabled, principal.urgency, 100
     )
-    return PlatformRunnerProtocol().request(incoming, b"", sending).headers
+    return PlatformRunnerProtocol().build_request(incoming, b"", dispatch).headers
 
 
 class CredentialTest(unittest.TestCase):
@@ -108,7 +108,7 @@
     def test_public_route_needs_no_credential(self) -> None:
         found = principal_of(path=1)
         assert found is not None
-        self.assertEqual((found.name, found.is_unasked), ("", False))
+        self.assertEqual((found.name, found.is_authentication_disabled), ("", False))
         known = principal_of(authorization(f"Token {KEY}"), path=1)
         assert known is not None
         self.assertEqual(known.name, "one")
@@ -117,7 +117,7 @@
         plain = document({**SPEC, "tenants": []})
         found = AccessIndex(plain).principal(plain.routes[0], "")
         assert found is not None
-        self.assertTrue(found.is_unasked)
+        self.assertTrue(found.is_authentication_disabled)
 
     def test_tenant_priority_outranks_route_priority(self) -> None:
         known = document()
@@ -148,7 +148,7 @@
 
     def test_authorization_is_forwarded_without_tenants(self) -> None:
         incoming = request(authorization("Basic abc"))
-        sent = headers_to_runner(incoming, Principal(None, 0, is_unasked=True))
+        sent = headers_to_runner(incoming, Principal(None, 0, is_authentication_disabled=True))
         self.assertIn((names.AUTHORIZATION, b"Basic abc"), sent)
 
 
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -24,7 +24,7 @@
 from bendshed.ports.caller_protocol import ReceivedRequest
 from bendshed.ports.http_messages import Headers, ResponseHead
 from bendshed.ports.objects import StoredObject
-from bendshed.ports.runner import RunnerDispatch, ServiceRequest, Verdict
+from bendshed.ports.runner import ResponseClass, RunnerDispatch, ServiceRequest
 
 SETTINGS = {
     "nodeName": "front-1",
@@ -202,7 +202,7 @@
         self.assertEqual(request.target, b"/p/a%2Fb?x=%20")
         self.assertEqual((request.wait_ms, request.session), (4000, "p1"))
         self.assertEqual(request.turn.budget_tokens, 2304)
-        self.assertEqual((request.turn.most_tokens, request.turn.previous_turn), (288, "t0"))
+        self.assertEqual((request.turn.max_answer_tokens, request.turn.previous_turn), (288, "t0"))
 
     def test_forwarded_headers(self) -> None:
         passed = [name for name, _ in self.turn().headers]
@@ -233,8 +233,8 @@
         spec = {"service": "s", "addr": "10.0.0.9:80", "state": "ready"}
         target = read_runner(StoredObject("i-1", 3, spec, None))
         protocol = PlatformRunnerProtocol()
-        sending = RunnerDispatch(document.routes[0], target, "", True, 1, 1234)
-        sent = protocol.request(request, b"all", sending)
+        dispatch = RunnerDispatch(document.routes[0], target, "", True, 1, 1234)
+        sent = protocol.build_request(request, b"all", dispatch)
         fields = dict(sent.headers)
         self.assertEqual(fields[names.DEADLINE_MS], b"1234")
         self.assertEqual(fields[names.EXPECT_RUNNER], b"i-1")
@@ -242,16 +242,16 @@
         self.assertEqual(sent.body, b"all")
         own_response = ResponseHead(200, [(b"X-Request-Id", b"r1")])
         other_response = ResponseHead(200, [(b"X-Request-Id", b"r2")])
-        self.assertEqual((sent.owns(own_response), sent.owns(other_response)), (True, False))
-        self.assertFalse(sent.owns(ResponseHead(200)))
+        self.assertEqual((sent.matches(own_response), sent.matches(other_response)), (True, False))
+        self.assertFalse(sent.matches(ResponseHead(200)))
 
     def test_proofs_that_request_was_not_run(self) -> None:
         protocol = PlatformRunnerProtocol()
         refused_response = ResponseHead(503, [(b"X-Not-Run", b"1")])
-        self.assertEqual(protocol.verdict(refused_response), Verdict.NOT_RUN)
-        self.assertEqual(protocol.verdict(ResponseHead(421)), Verdict.OTHER_RUNNER)
+        self.assertEqual(protocol.classify(refused_response), ResponseClass.NOT_RUN)
+        self.assertEqual(protocol.classify(ResponseHead(421)), ResponseClass.OTHER_RUNNER)
         for status in (500, 503, 504, 429, 400):
-            self.assertEqual(protocol.verdict(ResponseHead(status)), Verdict.ANSWERED)
+            self.assertEqual(protocol.classify(ResponseHead(status)), ResponseClass.ANSWERED)
 
 
 class RefusalStatusTest(unittest.TestCase):
