--- a/src/bendshed/platform/caller_protocol.py
+++ b/src/bendshed/platform/caller_protocol.py
@@ -116,16 +116,16 @@
     prompt, _, max_output = counts.partition(b",")
     if not max_output.strip().isdigit():
         raise ValueError(f"X-Token-Counts: {counts!r}: write the prompt's tokens, the most out")
-    line = _header_text(fields, names.SESSION_ID)
+    chain_id = _header_text(fields, names.SESSION_ID)
     parts = _read_parts(_header_text(fields, names.PROMPT_PARTS))
     if not parts and prompt.strip().isdigit():
-        parts = (PromptPart(line, int(prompt)),)
+        parts = (PromptPart(chain_id, int(prompt)),)
     return TurnDetails(
         previous_turn=_header_text(fields, names.PREVIOUS_TURN),
         budget_tokens=_read_int(fields, names.TOKEN_BUDGET),
         max_answer_tokens=int(max_output),
         parts=parts,
-        chain_id=line,
+        chain_id=chain_id,
     )
 
 
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -201,8 +201,8 @@
         if item.name == names.CONFIGURATION_NAME:
             self._node.apply_document(read_document(item.spec))
 
-    def _apply_zones(self, zones: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self._node.apply_zones(update_of_listing(zones, at, gone))
+    def _apply_zones(self, zones: frozenset[str], revision: int, deleted: frozenset[str]) -> None:
+        self._node.apply_zones(update_of_listing(zones, revision, deleted))
         self._node.zones.confirm(0.0)
 
     def _put_replica(self, item: StoredObject) -> None:
--- a/src/bendshed/platform/registry.py
+++ b/src/bendshed/platform/registry.py
@@ -34,10 +34,10 @@
     async def bootstrap_voters(self, group_id: int = 0) -> list[str]:
         """Read the node ids of a group's initial voters."""
         try:
-            found = await self._api.get(names.GROUP_KIND, names.turn_group_name(group_id))
+            record = await self._api.get(names.GROUP_KIND, names.turn_group_name(group_id))
         except StoreUnavailable as error:
             raise RegistryUnavailable(str(error)) from error
-        return [str(voter) for voter in found.spec["voters"]] if found is not None else []
+        return [str(voter) for voter in record.spec["voters"]] if record is not None else []
 
     async def write_bootstrap_voters(self, voters: list[str], group_id: int = 0) -> list[str]:
         """Create the bootstrap record; if one exists, return its voters instead."""
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -134,8 +134,8 @@
             watcher.set_pace(pace.wait_s, pace.pace_s)
         self._zone_watch.set_pace(pace.zones_wait_s, pace.pace_s)
 
-    def _on_zones(self, zones: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self._node.take_zones(update_of_listing(zones, at, gone))
+    def _on_zones(self, zones: frozenset[str], revision: int, deleted: frozenset[str]) -> None:
+        self._node.take_zones(update_of_listing(zones, revision, deleted))
 
     def _replace_runners(self, listed: ObjectList) -> None:
         runners = [KnownRunner(read_runner(item), item.revision) for item in listed.items]
