--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -34,11 +34,11 @@
         self.address = Address("127.0.0.1", listener.getsockname()[1])
         self.serving = asyncio.create_task(self.server.serve(sockets=[listener]))
         self.api = ObjectApi(self.address, call_timeout_s=HANG_TIMEOUT_S)
-        self.impatient_api = ObjectApi(self.address, call_timeout_s=UNANSWERED_TIMEOUT_S)
+        self.short_timeout_api = ObjectApi(self.address, call_timeout_s=UNANSWERED_TIMEOUT_S)
 
     async def asyncTearDown(self) -> None:
         self.api.close()
-        self.impatient_api.close()
+        self.short_timeout_api.close()
         self.server.should_exit = self.server.force_exit = True
         with contextlib.suppress(asyncio.CancelledError):
             await self.serving
@@ -82,7 +82,7 @@
     async def test_write_with_lost_answer_took_effect(self) -> None:
         self.model.lose_answers = 1
         with self.assertRaises(StoreUnavailable):
-            await self.impatient_api.create("kind", "a", {"x": 1})
+            await self.short_timeout_api.create("kind", "a", {"x": 1})
         found = await self.api.get("kind", "a")
         assert found is not None
         self.assertEqual(found.spec, {"x": 1})
@@ -92,14 +92,14 @@
         registry = PlatformReplicaRegistry(self.api)
         self.model.delay_writes = 1
         with self.assertRaises(RegistryUnavailable):
-            await PlatformReplicaRegistry(self.impatient_api).write_bootstrap_voters(["one"])
+            await PlatformReplicaRegistry(self.short_timeout_api).write_bootstrap_voters(["one"])
         self.assertEqual(await registry.write_bootstrap_voters(["two"]), ["two"])
         self.model.do_late_writes()
         self.assertEqual(await registry.bootstrap_voters(), ["two"])
 
     async def test_watch_reports_changes_and_expired_history(self) -> None:
-        at = (await self.api.list("kind")).revision
-        watching = asyncio.create_task(self.api.watch("kind", at, 5.0))
+        listed_revision = (await self.api.list("kind")).revision
+        watching = asyncio.create_task(self.api.watch("kind", listed_revision, 5.0))
         await asyncio.sleep(0)
         self.model.put("other", "o", {})
         self.model.put("kind", "a", {"x": 1})
@@ -110,7 +110,7 @@
         self.assertEqual([event.is_deleted for event in gone.events], [True])
         self.model.forget_history()
         with self.assertRaises(HistoryExpired):
-            await self.api.watch("kind", at, 5.0)
+            await self.api.watch("kind", listed_revision, 5.0)
 
     async def test_watch_without_changes_returns(self) -> None:
         changes = await self.api.watch("kind", 0, 0.0)
