--- a/src/bendshed/node.py
+++ b/src/bendshed/node.py
@@ -25,8 +25,8 @@
 from bendshed.ports.log_storage import LogStorage
 from bendshed.ports.store import Machine, MachineList, ObjectStore
 from bendshed.ports.transport import Transport
-from bendshed.programs.departure import Departure
 from bendshed.programs.service import ProgramService, Retention, TenantBudget
+from bendshed.programs.shutdown_check import ShutdownCheck
 from bendshed.programs.state import GroupStateMachine
 from bendshed.routing.monitor import RunnerMonitor
 from bendshed.routing.runners import RunnerTable
@@ -140,7 +140,7 @@
         self.host: GroupHost | None = None
         self.programs: ProgramService | None = None
         self._placement: ReplicaPlacement | None = None
-        self._departure: Departure | None = None
+        self._shutdown_check: ShutdownCheck | None = None
         if storage is not None:
             self._add_groups(storage)
 
@@ -171,7 +171,7 @@
         self._placement = ReplicaPlacement(
             host, storage, ports.store, self.membership, settings.groups
         )
-        self._departure = Departure(
+        self._shutdown_check = ShutdownCheck(
             host,
             self.programs,
             self.membership.view,
@@ -210,11 +210,11 @@
 
     async def _wait_until_spared(self) -> None:
         """Wait, within limits, until no group needs this node any more."""
-        if self._departure is None:
+        if self._shutdown_check is None:
             return
         limit_s = SPARED_FACTOR * self.settings.groups.replace_after_s
         until_s = asyncio.get_running_loop().time() + limit_s
-        while needed := await self._departure.needed_groups():
+        while needed := await self._shutdown_check.groups_needing_this_node():
             if asyncio.get_running_loop().time() >= until_s:
                 log.say("stopping although groups need this node", groups=needed)
                 return
--- a/src/bendshed/programs/departure.py
+++ b/src/bendshed/programs/shutdown_check.py
@@ -12,11 +12,11 @@
 from bendshed.programs.service import ALIVE_METHOD, ProgramService
 from bendshed.wire.programs_pb2 import AliveRequest
 
-ANSWER_TIMEOUT_S = 0.5
+VOTER_REPLY_TIMEOUT_S = 0.5
 """A voter that does not answer within this time counts as gone."""
 
 
-class Departure:
+class ShutdownCheck:
     """Finds the groups that a stopping node must wait for."""
 
     def __init__(
@@ -33,50 +33,52 @@
         self._transport = transport
         self._num_replicas = num_replicas
 
-    async def needed_groups(self) -> list[int]:
+    async def groups_needing_this_node(self) -> list[int]:
         """Groups that have no majority without this node, and for which waiting helps.
 
         It helps while another node can take the replica over, and while calls are under way whose
         outcomes the group must still commit. Otherwise the whole installation may be stopping.
         """
-        groups = self._groups_here()
-        answering = await self._answering({voter for voters in groups.values() for voter in voters})
+        groups = self._voters_of_local_groups()
+        responding = await self._responding_voters(
+            {voter for voters in groups.values() for voter in voters}
+        )
         return [
             group_id
             for group_id, voters in groups.items()
-            if len(answering & voters) <= len(voters) // 2
-            and (self._is_replaceable() or self._programs.has_calls_under_way(group_id))
+            if len(responding & voters) <= len(voters) // 2
+            and (self._has_replacement_nodes() or self._programs.has_calls_under_way(group_id))
         ]
 
-    def _groups_here(self) -> dict[int, set[str]]:
+    def _voters_of_local_groups(self) -> dict[int, set[str]]:
         """Voters of each group in which this node is one of several."""
         voters = {
             group_id: set(group.replica.membership.voters)
             for group_id, group in self._host.groups.items()
         }
-        me = self._host.node_id
-        return {group_id: ids for group_id, ids in voters.items() if me in ids and len(ids) > 1}
+        own_id = self._host.node_id
+        return {group_id: ids for group_id, ids in voters.items() if own_id in ids and len(ids) > 1}
 
-    def _is_replaceable(self) -> bool:
+    def _has_replacement_nodes(self) -> bool:
         """Whether enough disk nodes are left for a majority of a group's replicas."""
         others = [m for m in self._membership.live() if m.has_disk]
         num_others = sum(member.node_id != self._host.node_id for member in others)
         return num_others > self._num_replicas // 2
 
-    async def _answering(self, voters: set[str]) -> set[str]:
+    async def _responding_voters(self, voters: set[str]) -> set[str]:
         """Those of the other voters that answer a request and do not leave too."""
         addresses = {
             member.node_id: Address(member.host, member.peer_port)
             for member in self._membership.live()
             if member.node_id in voters and member.node_id != self._host.node_id
         }
-        answers = await asyncio.gather(*(self._does_answer(peer) for peer in addresses.values()))
-        return {node for node, answers_now in zip(addresses, answers, strict=True) if answers_now}
+        responses = await asyncio.gather(*(self._responds(peer) for peer in addresses.values()))
+        return {node for node, responds in zip(addresses, responses, strict=True) if responds}
 
-    async def _does_answer(self, peer: Address) -> bool:
-        question = AliveRequest().SerializeToString()
+    async def _responds(self, peer: Address) -> bool:
+        request = AliveRequest().SerializeToString()
         try:
-            await self._transport.request(peer, ALIVE_METHOD, question, ANSWER_TIMEOUT_S)
+            await self._transport.request(peer, ALIVE_METHOD, request, VOTER_REPLY_TIMEOUT_S)
         except PeerUnreachable:
             return False
         return True
