--- a/src/bendshed/programs/service.py
+++ b/src/bendshed/programs/service.py
@@ -25,12 +25,12 @@
 EXECUTING_METHOD = "executor.executing"
 COMMIT_TIMEOUT_S = 3.0
 EXECUTING_TIMEOUT_S = 0.5
-ORPHAN_CHECK_S = 1.0
+ORPHAN_CHECK_INTERVAL_S = 1.0
 """How often a waiting leader requests whether the other executor still works on the call."""
 PORTIONS_PER_BUDGET = 64
 """A group borrows at least this fraction of a tenant's budget at a time."""
 SWEEP_INTERVAL_S = 1.0
-SWEEP_PROGRAMS = 200
+MAX_PROGRAMS_PER_SWEEP = 200
 """Programs looked at in one sweep of one group."""
 ORPHAN_GRACE_MS = 60_000
 """A dispatched call without an executor may be resumed by its caller for this long."""
@@ -109,12 +109,12 @@
             case "submit":
                 command.submit.now_ms = self._clock.wall_ms()
                 result = await self._commit(request.group_id, command)
-                result = await self._with_budget(request.group_id, command, result)
-                return await self._wait_for_turn(group, request, result)
+                result = await self._borrow_if_needed(request.group_id, command, result)
+                return await self._wait_until_runnable(group, request, result)
             case "dispatch":
                 command.dispatch.now_ms = self._clock.wall_ms()
                 result = await self._commit(request.group_id, command)
-                result = await self._with_budget(request.group_id, command, result)
+                result = await self._borrow_if_needed(request.group_id, command, result)
                 return self._with_history(
                     group,
                     command.dispatch.request_id,
@@ -140,23 +140,23 @@
 
     # --- order ---------------------------------------------------------------------------
 
-    async def _wait_for_turn(
+    async def _wait_until_runnable(
         self, group: HostedGroup, request: wire.GroupRequest, result: wire.CallResult
     ) -> wire.CallResult:
         """Wait until the call may be dispatched, is closed, or has lost its executor."""
         submit = request.command.submit
         loop = asyncio.get_running_loop()
-        until = loop.time() + request.wait_ms / 1000
+        deadline_s = loop.time() + request.wait_ms / 1000
         while True:
-            if result.refused_kind or self._is_settled(result, submit.request_id):
+            if result.refused_kind or self._is_wait_over(result, submit.request_id):
                 break
             if result.status == wire.CALL_STATUS_DISPATCHED and await self._is_orphaned(result):
                 result.orphaned = True
                 break
-            left_s = until - loop.time()
-            if left_s <= 0:
+            remaining_s = deadline_s - loop.time()
+            if remaining_s <= 0:
                 break
-            await self._next_change(group, min(left_s, ORPHAN_CHECK_S))
+            await self._wait_for_change(group, min(remaining_s, ORPHAN_CHECK_INTERVAL_S))
             self._host.ready_group(request.group_id)
             result = _state(group).describe(submit.program_id, submit.call_number)
         return self._with_history(
@@ -170,13 +170,13 @@
         )
 
     @staticmethod
-    def _is_settled(result: wire.CallResult, request_id: str) -> bool:
+    def _is_wait_over(result: wire.CallResult, request_id: str) -> bool:
         if result.status == wire.CALL_STATUS_DISPATCHED:
             return result.request_id == request_id
         return result.status != wire.CALL_STATUS_QUEUED or result.runnable
 
     @staticmethod
-    async def _next_change(group: HostedGroup, timeout_s: float) -> None:
+    async def _wait_for_change(group: HostedGroup, timeout_s: float) -> None:
         try:
             await asyncio.wait_for(group.changed.wait(), timeout_s)
         except TimeoutError:
@@ -189,15 +189,15 @@
         result: wire.CallResult,
         program_id: str,
         call_number: int,
-        known: int,
-        digest: bytes,
+        known_call: int,
+        known_digest: bytes,
     ) -> wire.CallResult:
         """Add the history to a grant (or to an orphan that may be taken over)."""
         granted = result.status == wire.CALL_STATUS_DISPATCHED and (
             result.request_id == request_id or result.orphaned
         )
         if granted:
-            _state(group).add_history(result, program_id, call_number, known, digest)
+            _state(group).add_history(result, program_id, call_number, known_call, known_digest)
         return result
 
     async def _is_orphaned(self, result: wire.CallResult) -> bool:
@@ -205,10 +205,10 @@
         address = self._executor_address(result.executor)
         if address is None:
             return True
-        question = wire.ExecutingRequest(request_id=result.request_id).SerializeToString()
+        request = wire.ExecutingRequest(request_id=result.request_id).SerializeToString()
         try:
             reply = await self._transport.request(
-                address, EXECUTING_METHOD, question, EXECUTING_TIMEOUT_S
+                address, EXECUTING_METHOD, request, EXECUTING_TIMEOUT_S
             )
         except PeerUnreachable:
             return False  # membership decides whether it is gone
@@ -216,35 +216,35 @@
 
     # --- tenant budget -------------------------------------------------------------------
 
-    async def _with_budget(
+    async def _borrow_if_needed(
         self, group_id: int, command: wire.ProgramCommand, result: wire.CallResult
     ) -> wire.CallResult:
         """Borrow from the tenant's home group when a grant lacks budget, then grant again."""
         if not result.needs_portion_tenant:
             return result
         kind = command.WhichOneof("command")
-        wanted = command.submit if kind == "submit" else command.dispatch
+        original = command.submit if kind == "submit" else command.dispatch
         tenant = result.needs_portion_tenant
-        if await self._borrow(group_id, tenant, result.needs_portion_tokens):
-            again = wire.DispatchCall(
-                program_id=wanted.program_id,
-                call_number=wanted.call_number,
-                executor=wanted.executor,
-                request_id=wanted.request_id,
-                runner=wanted.runner,
+        if await self._borrow_portion(group_id, tenant, result.needs_portion_tokens):
+            regrant = wire.DispatchCall(
+                program_id=original.program_id,
+                call_number=original.call_number,
+                executor=original.executor,
+                request_id=original.request_id,
+                runner=original.runner,
                 now_ms=self._clock.wall_ms(),
             )
-            result = await self._commit(group_id, wire.ProgramCommand(dispatch=again))
+            result = await self._commit(group_id, wire.ProgramCommand(dispatch=regrant))
         if not result.needs_portion_tenant:
             return result
         abandon = wire.AbandonCall(
-            program_id=wanted.program_id,
-            call_number=wanted.call_number,
+            program_id=original.program_id,
+            call_number=original.call_number,
             error_kind=ErrorKind.BUDGET_EXHAUSTED,
         )
         return await self._commit(group_id, wire.ProgramCommand(abandon=abandon))
 
-    async def _borrow(self, group_id: int, tenant: str, missing_tokens: int) -> bool:
+    async def _borrow_portion(self, group_id: int, tenant: str, missing_tokens: int) -> bool:
         budget = self._budget_of(tenant)
         state = _state(self._host.ready_group(group_id))
         sequence = state.next_portion_sequence(tenant)
@@ -268,13 +268,13 @@
         await self._commit(group_id, wire.ProgramCommand(receive=receive))
         return True
 
-    def has_calls_under_way(self, group_id: int) -> bool:
+    def has_calls_in_progress(self, group_id: int) -> bool:
         """Whether a live executor still runs a call of the group, or a call waits for its turn."""
         programs = _state(self._host.groups[group_id]).programs.values()
         now_ms = self._clock.wall_ms()
-        return any(self._is_under_way(call, now_ms) for call in open_calls(programs))
+        return any(self._is_in_progress(call, now_ms) for call in open_calls(programs))
 
-    def _is_under_way(self, call: wire.CallRecord, now_ms: int) -> bool:
+    def _is_in_progress(self, call: wire.CallRecord, now_ms: int) -> bool:
         if call.status == wire.CALL_STATUS_QUEUED:
             return now_ms <= call.deadline_ms
         return self._executor_address(call.executor) is not None
@@ -310,9 +310,9 @@
         if not programs:
             return
         first = self._sweep_position.get(group_id, 0) % len(programs)
-        chosen = programs[first : first + SWEEP_PROGRAMS]
-        self._sweep_position[group_id] = first + len(chosen)
-        for program in chosen:
+        batch = programs[first : first + MAX_PROGRAMS_PER_SWEEP]
+        self._sweep_position[group_id] = first + len(batch)
+        for program in batch:
             for command in await self._due_commands(program):
                 await self._commit(group_id, command)
                 if command.WhichOneof("command") == "end":
@@ -322,14 +322,14 @@
         """What time has made due for a program."""
         now_ms = self._clock.wall_ms()
         idle_ms = now_ms - program.last_active_ms
-        open_calls = [c for c in program.calls if c.status == wire.CALL_STATUS_DISPATCHED]
+        dispatched = [c for c in program.calls if c.status == wire.CALL_STATUS_DISPATCHED]
         if program.ended_reason:
-            if idle_ms > self._retention.ended_ms and not open_calls:
+            if idle_ms > self._retention.ended_ms and not dispatched:
                 forget = wire.ForgetProgram(program_id=program.program_id)
                 return [wire.ProgramCommand(forget=forget)]
         elif now_ms - program.started_ms > program.limits.max_seconds * 1000:
             return [_end_command(program, "time limit", now_ms)]
-        elif idle_ms > self._retention.idle_ms and not open_calls:
+        elif idle_ms > self._retention.idle_ms and not dispatched:
             return [_end_command(program, "idle", now_ms)]
         commands = [
             wire.ProgramCommand(
@@ -343,10 +343,10 @@
             if call.status == wire.CALL_STATUS_QUEUED and now_ms > call.deadline_ms
         ]
         if idle_ms > ORPHAN_GRACE_MS or program.ended_reason:  # an ended one is not resumed
-            commands += [await self._settle_orphan(program, call) for call in open_calls]
+            commands += [await self._orphan_finish_command(program, call) for call in dispatched]
         return [command for command in commands if command.WhichOneof("command")]
 
-    async def _settle_orphan(
+    async def _orphan_finish_command(
         self, program: wire.ProgramRecord, call: wire.CallRecord
     ) -> wire.ProgramCommand:
         result = wire.CallResult(executor=call.executor, request_id=call.request_id)
--- a/src/bendshed/programs/shutdown_check.py
+++ b/src/bendshed/programs/shutdown_check.py
@@ -47,7 +47,7 @@
             group_id
             for group_id, voters in groups.items()
             if len(responding & voters) <= len(voters) // 2
-            and (self._has_replacement_nodes() or self._programs.has_calls_under_way(group_id))
+            and (self._has_replacement_nodes() or self._programs.has_calls_in_progress(group_id))
         ]
 
     def _voters_of_local_groups(self) -> dict[int, set[str]]:
