--- a/src/bendshed/programs/state.py
+++ b/src/bendshed/programs/state.py
@@ -14,7 +14,7 @@
 TOKENS_PER_PROMPT = 16
 """Upper bound of tokens that a chat template adds to one prompt."""
 
-_CLOSED = (wire.CALL_STATUS_FINISHED, wire.CALL_STATUS_FAILED, wire.CALL_STATUS_ABANDONED)
+_CLOSED_STATUSES = (wire.CALL_STATUS_FINISHED, wire.CALL_STATUS_FAILED, wire.CALL_STATUS_ABANDONED)
 
 
 def find_call(program: wire.ProgramRecord, number: int) -> wire.CallRecord | None:
@@ -50,7 +50,7 @@
             break
         if other.number != expected or other.status == wire.CALL_STATUS_QUEUED:
             return False
-        if other.branch == call.branch and other.status not in _CLOSED:
+        if other.branch == call.branch and other.status not in _CLOSED_STATUSES:
             return False
         expected += 1
     return expected == call.number
@@ -60,7 +60,7 @@
     return program.highest_started > number
 
 
-def _bytes_of(messages: Iterable[wire.ChatMessage]) -> int:
+def _token_upper_bound(messages: Iterable[wire.ChatMessage]) -> int:
     sizes = [len(m.content.encode()) + len(m.extra_json) + TOKENS_PER_MESSAGE for m in messages]
     return sum(sizes)
 
@@ -175,20 +175,25 @@
         )
 
     def add_history(
-        self, result: wire.CallResult, program_id: str, number: int, known: int, digest: bytes
+        self,
+        result: wire.CallResult,
+        program_id: str,
+        number: int,
+        known_call: int,
+        known_digest: bytes,
     ) -> None:
-        """Add to a granted result the turns before the call, only those after ``known``."""
+        """Add to a granted result the turns before the call, only those after ``known_call``."""
         program = self.programs[program_id]
         call = find_call(program, number)
         assert call is not None
         chain = history_calls(program, call.previous_in_branch)
         numbers = [turn.number for turn in chain]
         start = 0
-        if known in numbers:
-            position = numbers.index(known) + 1
-            if history_digest(chain[:position]) == digest:
+        if known_call in numbers:
+            position = numbers.index(known_call) + 1
+            if history_digest(chain[:position]) == known_digest:
                 start = position
-        result.history_after_call = known if start else 0
+        result.history_after_call = known_call if start else 0
         result.history_digest = history_digest(chain)
         for turn in chain[start:]:
             result.history.append(
@@ -203,7 +208,7 @@
             return _refused(ErrorKind.CONFLICT, "this program id belongs to another tenant")
         call = find_call(program, command.call_number) if program is not None else None
         if program is not None and call is not None:
-            refused = self._submit_again(program, call, command)
+            refused = self._resubmit(program, call, command)
         else:
             refused = self._submit_new(program, command)
         if refused is not None:
@@ -211,9 +216,9 @@
         program = self.programs[command.program_id]
         call = find_call(program, command.call_number)
         assert call is not None
-        holds_cache = program.last_runner in ("", command.runner)
-        may_run = call.status == wire.CALL_STATUS_QUEUED and is_runnable(program, call)
-        if command.runner and holds_cache and may_run:
+        is_on_cache_holder = program.last_runner in ("", command.runner)
+        is_ready = call.status == wire.CALL_STATUS_QUEUED and is_runnable(program, call)
+        if command.runner and is_on_cache_holder and is_ready:
             return self._grant(
                 program, call, command.executor, command.request_id, command.runner, command.now_ms
             )
@@ -277,16 +282,18 @@
             return _refused(ErrorKind.OUT_OF_ORDER, "a later call of the program was started")
         return None
 
-    def _submit_again(
+    def _resubmit(
         self, program: wire.ProgramRecord, call: wire.CallRecord, command: wire.SubmitCall
     ) -> wire.CallResult | None:
-        same_body = call.body_digest == command.body_digest
-        if call.idempotency_key != command.idempotency_key or not same_body:
+        has_same_body = call.body_digest == command.body_digest
+        if call.idempotency_key != command.idempotency_key or not has_same_body:
             return _refused(
                 ErrorKind.CONFLICT, "this call number was issued with another key or body"
             )
-        lost = call.status == wire.CALL_STATUS_FAILED and call.error_kind == ErrorKind.ENGINE_LOST
-        if call.status == wire.CALL_STATUS_ABANDONED or (lost and not call.unrepeatable):
+        is_lost = (
+            call.status == wire.CALL_STATUS_FAILED and call.error_kind == ErrorKind.ENGINE_LOST
+        )
+        if call.status == wire.CALL_STATUS_ABANDONED or (is_lost and not call.unrepeatable):
             if program.ended_reason:
                 return _refused(ErrorKind.PROGRAM_ENDED, program.ended_reason)
             if _later_call_started(program, call.number):
@@ -306,7 +313,7 @@
             takes_over = command.replaces_attempt == call.attempt and not call.unrepeatable
             if not takes_over:
                 return self.describe(command.program_id, command.call_number)
-            self._settle(program, call, call.reserved_tokens)
+            self._charge_reservation(program, call, call.reserved_tokens)
             call.status = wire.CALL_STATUS_QUEUED
             call.error_kind = ErrorKind.ENGINE_LOST
         if call.status != wire.CALL_STATUS_QUEUED or not is_runnable(program, call):
@@ -326,29 +333,34 @@
     ) -> wire.CallResult:
         """Reserve the worst case and grant the next attempt, or refuse for good."""
         if now_ms > call.deadline_ms:
-            return self._close_unrun(program, call, ErrorKind.DEADLINE_EXCEEDED)
+            return self._close_queued(program, call, ErrorKind.DEADLINE_EXCEEDED)
         if now_ms - program.started_ms > program.limits.max_seconds * 1000:
-            return self._close_unrun(program, call, ErrorKind.PROGRAM_LIMIT)
+            return self._close_queued(program, call, ErrorKind.PROGRAM_LIMIT)
         branch = next(b for b in program.branches if b.name == call.branch)
         call.previous_in_branch = branch.last_call
-        worst = self._worst_case_tokens(program, call)
-        used = program.spent_tokens + program.reserved_tokens
-        if used + worst > program.limits.max_tokens:
-            return self._close_unrun(program, call, ErrorKind.BUDGET_EXHAUSTED)
+        worst_case_tokens = self._worst_case_tokens(program, call)
+        used_tokens = program.spent_tokens + program.reserved_tokens
+        if used_tokens + worst_case_tokens > program.limits.max_tokens:
+            return self._close_queued(program, call, ErrorKind.BUDGET_EXHAUSTED)
         portion = self._portion(program.tenant)
-        missing = portion.spent_tokens + portion.reserved_tokens + worst - portion.received_tokens
+        missing = (
+            portion.spent_tokens
+            + portion.reserved_tokens
+            + worst_case_tokens
+            - portion.received_tokens
+        )
         if missing > 0:
             result = self.describe(program.program_id, call.number)
             result.needs_portion_tenant = program.tenant
             result.needs_portion_tokens = missing
             return result
-        program.reserved_tokens += worst
-        portion.reserved_tokens += worst
-        call.reserved_tokens = worst
+        program.reserved_tokens += worst_case_tokens
+        portion.reserved_tokens += worst_case_tokens
+        call.reserved_tokens = worst_case_tokens
         call.status = wire.CALL_STATUS_DISPATCHED
         call.attempt += 1
         program.highest_started = max(program.highest_started, call.number)
-        self._advance_closed(program)
+        self._advance_closed_through(program)
         call.executor = executor
         call.request_id = request_id
         call.runner = runner
@@ -357,15 +369,15 @@
         return self.describe(program.program_id, call.number)
 
     @staticmethod
-    def _advance_closed(program: wire.ProgramRecord) -> None:
+    def _advance_closed_through(program: wire.ProgramRecord) -> None:
         """Move ``closed_through`` on, so that checks need not look at a long past.
 
         Abandoned calls may be revived, so they end the run unless a later call was started.
         """
         for call in program.calls[program.closed_through :]:
-            over = call.status in (wire.CALL_STATUS_FINISHED, wire.CALL_STATUS_FAILED)
-            over = over or call.status == wire.CALL_STATUS_ABANDONED
-            if not over or call.number != program.closed_through + 1:
+            is_closed = call.status in (wire.CALL_STATUS_FINISHED, wire.CALL_STATUS_FAILED)
+            is_closed = is_closed or call.status == wire.CALL_STATUS_ABANDONED
+            if not is_closed or call.number != program.closed_through + 1:
                 break
             if call.number >= program.highest_started:
                 break
@@ -373,13 +385,13 @@
 
     def _worst_case_tokens(self, program: wire.ProgramRecord, call: wire.CallRecord) -> int:
         """Upper bound: a token is at least one byte; earlier turns are known exactly."""
-        tokens = _bytes_of(call.messages) + TOKENS_PER_PROMPT + call.max_answer_tokens
+        tokens = _token_upper_bound(call.messages) + TOKENS_PER_PROMPT + call.max_answer_tokens
         previous = find_call(program, call.previous_in_branch)
         if previous is not None:
             tokens += previous.prompt_tokens + previous.answer_tokens + TOKENS_PER_MESSAGE
         return tokens
 
-    def _close_unrun(
+    def _close_queued(
         self, program: wire.ProgramRecord, call: wire.CallRecord, kind: ErrorKind
     ) -> wire.CallResult:
         """Close a queued call. One whose earlier attempt had started is not "not run"."""
@@ -402,17 +414,17 @@
             case wire.ATTEMPT_OUTCOME_ANSWERED:
                 self._finish_answered(program, call, command)
             case wire.ATTEMPT_OUTCOME_NOT_STARTED:
-                self._settle(program, call, 0)
+                self._charge_reservation(program, call, 0)
                 call.status = wire.CALL_STATUS_QUEUED
                 if command.final:
-                    self._close_unrun(program, call, ErrorKind(command.error_kind))
+                    self._close_queued(program, call, ErrorKind(command.error_kind))
             case wire.ATTEMPT_OUTCOME_BROKEN if not call.unrepeatable:
-                self._settle(program, call, call.reserved_tokens)
+                self._charge_reservation(program, call, call.reserved_tokens)
                 call.error_kind = ErrorKind.ENGINE_LOST
-                final = wire.CALL_STATUS_FAILED if command.final else wire.CALL_STATUS_QUEUED
-                call.status = final
+                final_status = wire.CALL_STATUS_FAILED if command.final else wire.CALL_STATUS_QUEUED
+                call.status = final_status
             case _:
-                self._settle(program, call, call.reserved_tokens)
+                self._charge_reservation(program, call, call.reserved_tokens)
                 call.status = wire.CALL_STATUS_FAILED
                 call.error_kind = command.error_kind or ErrorKind.OUTCOME_UNKNOWN
         return self.describe(command.program_id, command.call_number)
@@ -420,7 +432,7 @@
     def _finish_answered(
         self, program: wire.ProgramRecord, call: wire.CallRecord, command: wire.FinishCall
     ) -> None:
-        self._settle(program, call, command.prompt_tokens + command.answer_tokens)
+        self._charge_reservation(program, call, command.prompt_tokens + command.answer_tokens)
         call.status = wire.CALL_STATUS_FINISHED
         call.error_kind = ""
         call.answer = command.answer
@@ -431,7 +443,9 @@
         branch = next(b for b in program.branches if b.name == call.branch)
         branch.last_call = call.number
 
-    def _settle(self, program: wire.ProgramRecord, call: wire.CallRecord, tokens: int) -> None:
+    def _charge_reservation(
+        self, program: wire.ProgramRecord, call: wire.CallRecord, tokens: int
+    ) -> None:
         """Turn a reservation into what was spent."""
         portion = self._portion(program.tenant)
         program.reserved_tokens -= call.reserved_tokens
@@ -445,9 +459,9 @@
         call = find_call(program, command.call_number) if program is not None else None
         if program is None or call is None:
             return wire.CallResult(status=wire.CALL_STATUS_UNKNOWN)
-        mine = call.request_id == command.request_id or not command.request_id
-        if call.status == wire.CALL_STATUS_QUEUED and mine:
-            return self._close_unrun(program, call, ErrorKind(command.error_kind))
+        may_abandon = call.request_id == command.request_id or not command.request_id
+        if call.status == wire.CALL_STATUS_QUEUED and may_abandon:
+            return self._close_queued(program, call, ErrorKind(command.error_kind))
         return self.describe(command.program_id, command.call_number)
 
     def _end(self, command: wire.EndProgram) -> wire.CallResult:
@@ -459,7 +473,7 @@
             program.last_active_ms = command.now_ms
             for call in program.calls:
                 if call.status == wire.CALL_STATUS_QUEUED:
-                    self._close_unrun(program, call, ErrorKind.PROGRAM_ENDED)
+                    self._close_queued(program, call, ErrorKind.PROGRAM_ENDED)
         return wire.CallResult()
 
     # --- tenant budget -------------------------------------------------------------------
@@ -486,8 +500,8 @@
             return wire.CallResult(tokens=lent.tokens)
         if command.sequence != lent.sequence + 1:
             return _refused(ErrorKind.CONFLICT, "the portion's sequence is out of step")
-        free = home.limit_tokens - sum(row.total_tokens for row in home.lent)
-        tokens = min(command.tokens, free)
+        available_tokens = home.limit_tokens - sum(row.total_tokens for row in home.lent)
+        tokens = min(command.tokens, available_tokens)
         if tokens <= 0:
             return _refused(ErrorKind.BUDGET_EXHAUSTED, "the tenant's budget is spent or lent")
         lent.sequence = command.sequence
