--- a/src/bendshed/configuration/service.py
+++ b/src/bendshed/configuration/service.py
@@ -271,7 +271,7 @@
         self.snapshot = snapshot
         if self._cache is not None:
             self._cache.save(snapshot)
-        self._membership.set_revision(snapshot.revision)
+        self._membership.broadcast_revision(snapshot.revision)
         for on_change in self.on_change:
             on_change(snapshot.document)
 
--- a/src/bendshed/membership/service.py
+++ b/src/bendshed/membership/service.py
@@ -17,10 +17,10 @@
 SYNC_INTERVAL_S = 30.0
 SYNC_TIMEOUT_S = 2.0
 JOIN_RETRY_S = 0.5
-READER_KEY = "configuration-reader"
-SEED_SYNC_SHARE = 0.25
+READER_RANK_KEY = "configuration-reader"
+SEED_SYNC_PROBABILITY = 0.25
 """Comparisons made with a seed, so that parts that lost each other meet again."""
-SILENCE_S = 2.0
+SILENCE_TIMEOUT_S = 2.0
 """Without a message from any peer for this long, updates may have been missed."""
 
 log = PartLog("membership")
@@ -45,7 +45,7 @@
         self.on_leader: list[Callable[[wire.LeaderHint], None]] = []
         self.on_revision: list[Callable[[str, int], None]] = []
         self.last_message_s = float("-inf")
-        self._missed_news = True
+        self._may_have_missed_updates = True
         self._transport = transport
         self._rng = rng
         self._seeds = seeds
@@ -75,42 +75,42 @@
         """Announce that this node takes no new work."""
         self._perform(self.swim.leave())
 
-    def notice_runner(self, notice: wire.RunnerNotice) -> None:
+    def broadcast_runner_notice(self, notice: wire.RunnerNotice) -> None:
         """Spread a notice about a back end."""
-        self._perform(self.swim.notice_runner(notice))
+        self._perform(self.swim.broadcast_runner_notice(notice))
 
-    def notice_leader(self, hint: wire.LeaderHint) -> None:
+    def broadcast_leader_hint(self, hint: wire.LeaderHint) -> None:
         """Spread a group's leader."""
-        self._perform(self.swim.notice_leader(hint))
+        self._perform(self.swim.broadcast_leader_hint(hint))
 
-    def set_revision(self, revision: int) -> None:
+    def broadcast_revision(self, revision: int) -> None:
         """Spread that this node holds a configuration revision."""
-        self._perform(self.swim.set_revision(revision))
+        self._perform(self.swim.broadcast_revision(revision))
 
     def zone_readers(self) -> list[str]:
         """Live nodes of this node's zone, in the order in which they read the platform."""
         zone = self.swim.me.zone
         nodes = [member.node_id for member in self.view.live() if member.zone == zone]
-        return rendezvous_rank(READER_KEY, nodes)
+        return rendezvous_rank(READER_RANK_KEY, nodes)
 
     # --- input ---------------------------------------------------------------------------
 
     def _on_datagram(self, payload: bytes) -> None:
         gossip = wire.Gossip.FromString(payload)
-        self._note_message()
+        self._record_message()
         self._perform(self.swim.receive(gossip, self.last_message_s))
 
-    def _note_message(self) -> None:
+    def _record_message(self) -> None:
         now_s = asyncio.get_running_loop().time()
-        if now_s - self.last_message_s > SILENCE_S:
-            self._missed_news = True
+        if now_s - self.last_message_s > SILENCE_TIMEOUT_S:
+            self._may_have_missed_updates = True
         self.last_message_s = now_s
 
     @property
     def is_current(self) -> bool:
         """Whether news that all peers have would have reached this node."""
         silent_s = asyncio.get_running_loop().time() - self.last_message_s
-        return silent_s <= SILENCE_S and not self._missed_news
+        return silent_s <= SILENCE_TIMEOUT_S and not self._may_have_missed_updates
 
     async def _on_sync(self, payload: bytes) -> bytes:
         state = wire.MembershipSync.FromString(payload)
@@ -145,7 +145,7 @@
             until_s = asyncio.get_running_loop().time() + pause_s
             while asyncio.get_running_loop().time() < until_s:
                 await asyncio.sleep(JOIN_RETRY_S)
-                if joined and self._missed_news:
+                if joined and self._may_have_missed_updates:
                     break
 
     async def _sync_once(self) -> bool:
@@ -158,7 +158,7 @@
                 await self._exchange(peer, self.swim.state())
         except PeerUnreachable:
             return False
-        self._missed_news = False
+        self._may_have_missed_updates = False
         return True
 
     async def _exchange(self, peer: Address, mine: wire.MembershipSync) -> wire.MembershipSync:
@@ -166,7 +166,7 @@
         payload = await self._transport.request(
             peer, SYNC_METHOD, mine.SerializeToString(), SYNC_TIMEOUT_S
         )
-        self._note_message()
+        self._record_message()
         reply = wire.MembershipSync.FromString(payload)
         self._merge(reply)
         return reply
@@ -174,7 +174,7 @@
     def _pick_peer(self) -> Address | None:
         me = self.swim.me
         others = [m for m in self.view.live() if m.node_id != me.node_id]
-        if others and self._rng.random() >= SEED_SYNC_SHARE:
+        if others and self._rng.random() >= SEED_SYNC_PROBABILITY:
             member = self._rng.choice(others)
             return Address(member.host, member.peer_port)
         seeds = [s for s in self._seeds if s != Address(me.host, me.peer_port)]
--- a/src/bendshed/membership/swim.py
+++ b/src/bendshed/membership/swim.py
@@ -193,19 +193,19 @@
         self._spread()
         return self._take_effects()
 
-    def notice_runner(self, notice: wire.RunnerNotice) -> list[Effect]:
+    def broadcast_runner_notice(self, notice: wire.RunnerNotice) -> list[Effect]:
         """Spread that a back end leaves or came back."""
         self._merge_runner(notice)
         self._spread()
         return self._take_effects()
 
-    def notice_leader(self, hint: wire.LeaderHint) -> list[Effect]:
+    def broadcast_leader_hint(self, hint: wire.LeaderHint) -> list[Effect]:
         """Spread who leads a group."""
         self._merge_leader(hint)
         self._spread()
         return self._take_effects()
 
-    def set_revision(self, revision: int) -> list[Effect]:
+    def broadcast_revision(self, revision: int) -> list[Effect]:
         """Tell peers at once that this node holds a newer configuration."""
         self.configuration_revision = revision
         self._spread()
--- a/src/bendshed/node.py
+++ b/src/bendshed/node.py
@@ -252,7 +252,7 @@
     def _on_role_changed(self, group_id: int, change: RoleChanged) -> None:
         if change.role is Role.LEADER:
             hint = wire.LeaderHint(group_id=group_id, term=change.term, node_id=self.node_id)
-            self.membership.notice_leader(hint)
+            self.membership.broadcast_leader_hint(hint)
 
     def _on_configuration(self, document: ConfigurationDocument) -> None:
         self.table.set_drained(frozenset(document.drained_runners))
--- a/src/bendshed/routing/monitor.py
+++ b/src/bendshed/routing/monitor.py
@@ -138,7 +138,7 @@
         self._digest = xxhash.xxh3_64_intdigest(_encode(machines))
         for notice in self._table.update_list(machines):
             log.say("back end is leaving", runner=notice.runner_id)
-            self._membership.notice_runner(notice)
+            self._membership.broadcast_runner_notice(notice)
         for take in self.on_list:
             take(machines)
         self._scheduler.schedule()
@@ -154,7 +154,7 @@
         """An engine refused work because it leaves: notify all nodes."""
         notice = self._table.mark_leaving(runner_id)
         if notice is not None:
-            self._membership.notice_runner(notice)
+            self._membership.broadcast_runner_notice(notice)
 
     # --- load ----------------------------------------------------------------------------
 
