--- a/src/bendshed/configuration/service.py
+++ b/src/bendshed/configuration/service.py
@@ -122,7 +122,7 @@
     def is_reader(self) -> bool:
         """Whether this node is one of its zone's readers of the store."""
         readers = self._membership.zone_readers()[: self._readers_per_zone]
-        return self._membership.swim.me.node_id in readers
+        return self._membership.swim.local_member.node_id in readers
 
     def start(self) -> None:
         """Load the persisted configuration and begin to follow changes."""
@@ -209,7 +209,7 @@
             await asyncio.sleep(0.2)
 
     async def _request_revisions(self, revision: int) -> InForce:
-        me = self._membership.swim.me.node_id
+        me = self._membership.swim.local_member.node_id
         others = [m.node_id for m in self._membership.view.live() if m.node_id != me]
         answers = await asyncio.gather(*(self._request_revision(node) for node in others))
         missing = [
--- a/src/bendshed/membership/service.py
+++ b/src/bendshed/membership/service.py
@@ -37,9 +37,13 @@
     """
 
     def __init__(
-        self, me: wire.Member, transport: Transport, rng: random.Random, seeds: list[Address]
+        self,
+        local_member: wire.Member,
+        transport: Transport,
+        rng: random.Random,
+        seeds: list[Address],
     ) -> None:
-        self.swim = swim.SwimMembership(me, rng)
+        self.swim = swim.SwimMembership(local_member, rng)
         self.on_member: list[Callable[[wire.Member], None]] = []
         self.on_runner: list[Callable[[wire.RunnerNotice], None]] = []
         self.on_leader: list[Callable[[wire.LeaderHint], None]] = []
@@ -89,7 +93,7 @@
 
     def zone_readers(self) -> list[str]:
         """Live nodes of this node's zone, in the order in which they read the platform."""
-        zone = self.swim.me.zone
+        zone = self.swim.local_member.zone
         nodes = [member.node_id for member in self.view.live() if member.zone == zone]
         return rendezvous_rank(READER_RANK_KEY, nodes)
 
@@ -123,7 +127,7 @@
         """The state's digest without the state."""
         return wire.MembershipSync(
             digest=self.swim.digest(),
-            sender=self.swim.me.node_id,
+            sender=self.swim.local_member.node_id,
             configuration_revision=self.swim.configuration_revision,
         )
 
@@ -172,12 +176,12 @@
         return reply
 
     def _pick_peer(self) -> Address | None:
-        me = self.swim.me
-        others = [m for m in self.view.live() if m.node_id != me.node_id]
+        local = self.swim.local_member
+        others = [m for m in self.view.live() if m.node_id != local.node_id]
         if others and self._rng.random() >= SEED_SYNC_PROBABILITY:
             member = self._rng.choice(others)
             return Address(member.host, member.peer_port)
-        seeds = [s for s in self._seeds if s != Address(me.host, me.peer_port)]
+        seeds = [s for s in self._seeds if s != Address(local.host, local.peer_port)]
         addresses = seeds or [Address(m.host, m.peer_port) for m in others]
         return self._rng.choice(addresses) if addresses else None
 
@@ -192,10 +196,10 @@
                     log.say("member changed", member=member.node_id, status=member.status)
                     for on_member in self.on_member:
                         on_member(member)
-                case swim.RunnerNoticed(notice):
+                case swim.RunnerChanged(notice):
                     for on_runner in self.on_runner:
                         on_runner(notice)
-                case swim.LeaderNoticed(hint):
+                case swim.LeaderChanged(hint):
                     for on_leader in self.on_leader:
                         on_leader(hint)
                 case swim.RevisionSeen(node_id, revision):
--- a/src/bendshed/membership/swim.py
+++ b/src/bendshed/membership/swim.py
@@ -26,7 +26,7 @@
 MAX_UPDATES_PER_MESSAGE = 10
 DEAD_PROBE_INTERVAL_S = 5.0
 """How often one dead member is probed, so that a healed cut is noticed."""
-DEAD_MEMORY_S = 3600.0
+DEAD_MEMBER_RETENTION_S = 3600.0
 
 ALIVE = wire.MEMBER_STATUS_ALIVE
 SUSPECT = wire.MEMBER_STATUS_SUSPECT
@@ -52,14 +52,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunnerNoticed:
+class RunnerChanged:
     """A back end is leaving, or came back."""
 
     notice: wire.RunnerNotice
 
 
 @dataclass(frozen=True, slots=True)
-class LeaderNoticed:
+class LeaderChanged:
     """A group has a newer leader."""
 
     hint: wire.LeaderHint
@@ -73,7 +73,7 @@
     revision: int
 
 
-Effect = SendGossip | MemberChanged | RunnerNoticed | LeaderNoticed | RevisionSeen
+Effect = SendGossip | MemberChanged | RunnerChanged | LeaderChanged | RevisionSeen
 Update = wire.Member | wire.RunnerNotice | wire.LeaderHint
 
 
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True)
-class _Queued:
+class _QueuedUpdate:
     """An update that is still being spread."""
 
     update: Update
@@ -121,7 +121,7 @@
     its incarnation.
 
     Attributes:
-        me: this node's record.
+        local_member: this node's record.
         view: all known members, this node included.
         runners: latest notice by back end.
         leaders: latest hint by group.
@@ -130,15 +130,15 @@
 
     """
 
-    def __init__(self, me: wire.Member, rng: random.Random) -> None:
-        self.me = me
-        self.view = MembershipView({me.node_id: me})
+    def __init__(self, local_member: wire.Member, rng: random.Random) -> None:
+        self.local_member = local_member
+        self.view = MembershipView({local_member.node_id: local_member})
         self.runners: dict[str, wire.RunnerNotice] = {}
         self.leaders: dict[int, wire.LeaderHint] = {}
         self.configuration_revision = 0
         self.local_health = 0
         self._rng = rng
-        self._queue: dict[str, _Queued] = {}
+        self._queue: dict[str, _QueuedUpdate] = {}
         self._probe_order: list[str] = []
         self._probe: _Probe | None = None
         self._relays: dict[int, tuple[Address, int]] = {}
@@ -149,7 +149,7 @@
         self._suspected_at_s: dict[str, float] = {}
         self._died_at_s: dict[str, float] = {}
         self._effects: list[Effect] = []
-        self._enqueue(me)
+        self._enqueue(local_member)
 
     # --- events --------------------------------------------------------------------------
 
@@ -162,16 +162,16 @@
         self._expire_suspects(now_s)
         if now_s >= self._next_dead_probe_s:
             self._next_dead_probe_s = now_s + DEAD_PROBE_INTERVAL_S
-            self._probe_one_dead(now_s)
+            self._probe_dead_member(now_s)
         if now_s >= self._next_spread_s and self._queue:
             self._next_spread_s = now_s + SPREAD_INTERVAL_S
             self._spread()
-        return self._take_effects()
+        return self._drain_effects()
 
     def receive(self, gossip: wire.Gossip, now_s: float) -> list[Effect]:
         """Handle one datagram."""
         self._merge(gossip.members, gossip.runners, gossip.leaders, now_s)
-        self._see_revision(gossip.sender, gossip.configuration_revision)
+        self._observe_revision(gossip.sender, gossip.configuration_revision)
         match gossip.kind:
             case wire.GOSSIP_KIND_PING:
                 self._on_ping(gossip)
@@ -179,43 +179,43 @@
                 self._on_ping_request(gossip)
             case wire.GOSSIP_KIND_ACK:
                 self._on_ack(gossip)
-        return self._take_effects()
+        return self._drain_effects()
 
     def sync(self, state: wire.MembershipSync, sender: str, now_s: float) -> list[Effect]:
         """Merge the whole state of a peer."""
         self._merge(state.members, state.runners, state.leaders, now_s)
-        self._see_revision(sender, state.configuration_revision)
-        return self._take_effects()
+        self._observe_revision(sender, state.configuration_revision)
+        return self._drain_effects()
 
     def leave(self) -> list[Effect]:
         """Tell all members that this node takes no new work."""
-        self._set_my_status(LEAVING)
+        self._set_own_status(LEAVING)
         self._spread()
-        return self._take_effects()
+        return self._drain_effects()
 
     def broadcast_runner_notice(self, notice: wire.RunnerNotice) -> list[Effect]:
         """Spread that a back end leaves or came back."""
         self._merge_runner(notice)
         self._spread()
-        return self._take_effects()
+        return self._drain_effects()
 
     def broadcast_leader_hint(self, hint: wire.LeaderHint) -> list[Effect]:
         """Spread who leads a group."""
         self._merge_leader(hint)
         self._spread()
-        return self._take_effects()
+        return self._drain_effects()
 
     def broadcast_revision(self, revision: int) -> list[Effect]:
         """Tell peers at once that this node holds a newer configuration."""
         self.configuration_revision = revision
         self._spread()
-        return self._take_effects()
+        return self._drain_effects()
 
     def state(self) -> wire.MembershipSync:
         """Return the whole state, for a peer's ``sync``."""
         return wire.MembershipSync(
             digest=self.digest(),
-            sender=self.me.node_id,
+            sender=self.local_member.node_id,
             members=self.view.members.values(),
             runners=self.runners.values(),
             leaders=self.leaders.values(),
@@ -246,7 +246,7 @@
         """Round robin over a shuffled order, so every member is probed in bounded time."""
         while True:
             if not self._probe_order:
-                self._probe_order = self._other_live()
+                self._probe_order = self._peers_not_dead()
                 self._rng.shuffle(self._probe_order)
                 if not self._probe_order:
                     return None
@@ -260,7 +260,7 @@
             return
         if not probe.indirect_sent and now_s >= probe.ack_deadline_s:
             probe.indirect_sent = True
-            others = [node for node in self._other_live() if node != probe.target]
+            others = [node for node in self._peers_not_dead() if node != probe.target]
             for relay in self._rng.sample(others, min(INDIRECT_PROBES, len(others))):
                 self._send(relay, wire.GOSSIP_KIND_PING_REQUEST, probe.sequence, probe.target)
         if now_s >= probe.end_s:
@@ -269,8 +269,10 @@
             self._suspect(probe.target, now_s)
 
     def _on_ping(self, gossip: wire.Gossip) -> None:
-        if gossip.target == self.me.node_id:
-            self._send(gossip.sender, wire.GOSSIP_KIND_ACK, gossip.sequence, self.me.node_id)
+        if gossip.target == self.local_member.node_id:
+            self._send(
+                gossip.sender, wire.GOSSIP_KIND_ACK, gossip.sequence, self.local_member.node_id
+            )
 
     def _on_ping_request(self, gossip: wire.Gossip) -> None:
         requester = self.view.address(gossip.sender)
@@ -292,17 +294,17 @@
             self._probe = None
             self.local_health = max(0, self.local_health - 1)
 
-    def _probe_one_dead(self, now_s: float) -> None:
+    def _probe_dead_member(self, now_s: float) -> None:
         dead = [node for node, member in self.view.members.items() if member.status == DEAD]
         for node in dead:
-            if now_s - self._died_at_s.get(node, now_s) > DEAD_MEMORY_S:
+            if now_s - self._died_at_s.get(node, now_s) > DEAD_MEMBER_RETENTION_S:
                 del self.view.members[node]
                 self._died_at_s.pop(node, None)
         dead = [node for node in dead if node in self.view.members]
         if dead:
             member = self.view.members[self._rng.choice(dead)]
             gossip = self._gossip(wire.GOSSIP_KIND_SPREAD, 0, member.node_id)
-            gossip.members.extend((member, self.me))  # lets it refute, and rejoin
+            gossip.members.extend((member, self.local_member))  # lets it refute, and rejoin
             self._effects.append(SendGossip(Address(member.host, member.peer_port), gossip))
 
     # --- suspicion -----------------------------------------------------------------------
@@ -344,7 +346,7 @@
             self._merge_leader(hint)
 
     def _merge_member(self, member: wire.Member, now_s: float) -> None:
-        if member.node_id == self.me.node_id:
+        if member.node_id == self.local_member.node_id:
             self._refute(member)
             return
         known = self.view.members.get(member.node_id)
@@ -364,18 +366,21 @@
             self._effects.append(MemberChanged(stored))
 
     def _refute(self, claim: wire.Member) -> None:
-        same = claim.incarnation == self.me.incarnation and claim.status == self.me.status
-        if claim.incarnation < self.me.incarnation or same:
+        is_same = (
+            claim.incarnation == self.local_member.incarnation
+            and claim.status == self.local_member.status
+        )
+        if claim.incarnation < self.local_member.incarnation or is_same:
             return
-        self.me.incarnation = claim.incarnation
-        self._set_my_status(self.me.status)
+        self.local_member.incarnation = claim.incarnation
+        self._set_own_status(self.local_member.status)
         if claim.status == SUSPECT:
             self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
 
-    def _set_my_status(self, status: "wire.MemberStatus.ValueType") -> None:
-        self.me.status = status
-        self.me.incarnation += 1
-        self._enqueue(self.me)
+    def _set_own_status(self, status: "wire.MemberStatus.ValueType") -> None:
+        self.local_member.status = status
+        self.local_member.incarnation += 1
+        self._enqueue(self.local_member)
 
     def _merge_runner(self, notice: wire.RunnerNotice) -> None:
         known = self.runners.get(notice.runner_id)
@@ -384,7 +389,7 @@
             return
         self.runners[notice.runner_id] = notice
         self._enqueue(notice)
-        self._effects.append(RunnerNoticed(notice))
+        self._effects.append(RunnerChanged(notice))
 
     def _merge_leader(self, hint: wire.LeaderHint) -> None:
         known = self.leaders.get(hint.group_id)
@@ -392,19 +397,19 @@
             return
         self.leaders[hint.group_id] = hint
         self._enqueue(hint)
-        self._effects.append(LeaderNoticed(hint))
+        self._effects.append(LeaderChanged(hint))
 
-    def _see_revision(self, sender: str, revision: int) -> None:
+    def _observe_revision(self, sender: str, revision: int) -> None:
         if revision > self.configuration_revision and sender in self.view.members:
             self._effects.append(RevisionSeen(sender, revision))
 
     # --- spreading -----------------------------------------------------------------------
 
     def _enqueue(self, update: Update) -> None:
-        self._queue[_update_key(update)] = _Queued(update)
+        self._queue[_update_key(update)] = _QueuedUpdate(update)
 
     def _spread(self) -> None:
-        others = self._other_live()
+        others = self._peers_not_dead()
         for node in self._rng.sample(others, min(SPREAD_FANOUT, len(others))):
             self._send(node, wire.GOSSIP_KIND_SPREAD, 0, node)
 
@@ -416,27 +421,27 @@
             return
         gossip = self._gossip(kind, sequence, target)
         if member.status == DEAD:
-            gossip.members.extend((member, self.me))  # alive after all: lets it refute
+            gossip.members.extend((member, self.local_member))  # alive after all: lets it refute
         self._effects.append(SendGossip(Address(member.host, member.peer_port), gossip))
 
     def _gossip(self, kind: "wire.GossipKind.ValueType", sequence: int, target: str) -> wire.Gossip:
         gossip = wire.Gossip(
             kind=kind,
             sequence=sequence,
-            sender=self.me.node_id,
+            sender=self.local_member.node_id,
             target=target,
             configuration_revision=self.configuration_revision,
         )
         if kind == wire.GOSSIP_KIND_PING:
-            gossip.members.append(self.me)
+            gossip.members.append(self.local_member)
         self._add_updates(gossip)
         return gossip
 
     def _add_updates(self, gossip: wire.Gossip) -> None:
         """Piggyback the updates that were sent least often."""
         limit = RETRANSMIT_FACTOR * math.ceil(math.log2(len(self.view.members) + 1))
-        fewest_first = sorted(self._queue.items(), key=lambda item: item[1].transmissions)
-        for key, queued in fewest_first[:MAX_UPDATES_PER_MESSAGE]:
+        by_transmissions = sorted(self._queue.items(), key=lambda item: item[1].transmissions)
+        for key, queued in by_transmissions[:MAX_UPDATES_PER_MESSAGE]:
             match queued.update:
                 case wire.Member():
                     gossip.members.append(queued.update)
@@ -450,18 +455,18 @@
 
     # --- small pieces --------------------------------------------------------------------
 
-    def _other_live(self) -> list[str]:
+    def _peers_not_dead(self) -> list[str]:
         return [
             node
             for node, member in self.view.members.items()
-            if node != self.me.node_id and member.status != DEAD
+            if node != self.local_member.node_id and member.status != DEAD
         ]
 
     def _status(self, node_id: str) -> int:
         member = self.view.members.get(node_id)
         return DEAD if member is None else member.status
 
-    def _take_effects(self) -> list[Effect]:
+    def _drain_effects(self) -> list[Effect]:
         effects = self._effects
         self._effects = []
         return effects
--- a/src/bendshed/process.py
+++ b/src/bendshed/process.py
@@ -89,7 +89,7 @@
     server.config.app = services
     node.start()
     serving = loop.create_task(server.serve(sockets=[listener]))
-    me = node.membership.swim.me
+    me = node.membership.swim.local_member
     announce(node_id=node.node_id, peer_port=me.peer_port, http_port=me.http_port)
     await stopping.wait()
     await _stop(settings, node, server, serving)
--- a/src/bendshed/routing/monitor.py
+++ b/src/bendshed/routing/monitor.py
@@ -118,7 +118,7 @@
             await self._request_from_peer()
 
     async def _request_from_peer(self) -> None:
-        me = self._membership.swim.me.node_id
+        me = self._membership.swim.local_member.node_id
         others = [node for node in self._membership.zone_readers() if node != me]
         peers = others[:LIST_PEERS]
         address = self._membership.view.address(self._rng.choice(peers)) if peers else None
@@ -204,7 +204,7 @@
         live = sorted(member.node_id for member in self._membership.view.live())
         if live != self._ring_nodes:
             self._ring_nodes, self._ring = live, HashRing(live)
-        me = self._membership.swim.me.node_id
+        me = self._membership.swim.local_member.node_id
         for runner_id in list(self._table.runners):
             if self._ring.owner(runner_id) == me:
                 await self._reconcile_runner(runner_id)
