--- a/src/bendshed/configuration/service.py
+++ b/src/bendshed/configuration/service.py
@@ -35,12 +35,12 @@
 CHANGES_PREFIX = "configuration/changes/"
 FETCH_METHOD = "configuration.fetch"
 REVISION_METHOD = "configuration.revision"
-WATCH_S = 10.0
+WATCH_TIMEOUT_S = 10.0
 STORE_RETRY_S = 1.0
 FETCH_TIMEOUT_S = 2.0
-RECENT_CHANGES = 256
+MAX_RECENT_CHANGES = 256
 """Changes held in memory, so that a peer that lags by fewer gets changes and no snapshot."""
-SETTLE_TRIES = 5
+MAX_ATTEMPTS = 5
 
 log = PartLog("configuration")
 
@@ -65,19 +65,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class RolloutStatus:
     """Where a revision is in force.
 
     Attributes:
-        missing: node ids that hold an older revision.
-        silent: node ids that did not answer.
+        lagging: node ids that hold an older revision.
+        unreachable: node ids that did not answer.
 
     """
 
     revision: int
-    reached: int
-    missing: list[str]
-    silent: list[str]
+    num_applied: int
+    lagging: list[str]
+    unreachable: list[str]
 
 
 class ConfigurationService:
@@ -105,10 +105,10 @@
         self._transport = transport
         self._clock = clock
         self._rng = rng
-        self._recent: dict[int, AcceptedChange] = {}
+        self._recent_changes: dict[int, AcceptedChange] = {}
         self._fetching = False
         self._task: asyncio.Task[None] | None = None
-        self._fetches: set[asyncio.Task[None]] = set()
+        self._fetch_tasks: set[asyncio.Task[None]] = set()
         membership.on_revision.append(self._on_revision_seen)
         transport.handlers[FETCH_METHOD] = self._on_fetch
         transport.handlers[REVISION_METHOD] = self._on_revision_request
@@ -128,12 +128,12 @@
         """Load the persisted configuration and begin to follow changes."""
         persisted = self._cache.load() if self._cache is not None else None
         if persisted is not None:
-            self._take_over(persisted)
-        self._task = start_loop(self._read_forever(), "configuration")
+            self._install_snapshot(persisted)
+        self._task = start_loop(self._watch_forever(), "configuration")
 
     async def stop(self) -> None:
         """Stop following changes."""
-        tasks = [*self._fetches, *([self._task] if self._task is not None else [])]
+        tasks = [*self._fetch_tasks, *([self._task] if self._task is not None else [])]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -143,7 +143,7 @@
     async def submit(self, body: AnyChange, author: str) -> Accepted | Refusal:
         """Get a change accepted by the store, on top of the newest revision."""
         operation_id = f"{self._rng.getrandbits(96):024x}"
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 await self._catch_up()
                 outcome = await self._try_accept(body, author, operation_id)
@@ -175,17 +175,17 @@
         try:
             await self._store.create(change_key(revision), content)
         except (VersionConflict, StoreUnavailable):
-            return await self._settle(revision, operation_id)
+            return await self._resolve_outcome(revision, operation_id)
         self._apply(revision, change)
         return Accepted(revision)
 
-    async def _settle(self, revision: int, operation_id: str) -> Accepted | None:
+    async def _resolve_outcome(self, revision: int, operation_id: str) -> Accepted | None:
         """After a conflict or a lost answer: read whose change has this revision."""
-        for attempt in range(SETTLE_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             try:
                 stored = await self._store.get(change_key(revision))
             except StoreUnavailable:
-                if attempt == SETTLE_TRIES - 1:
+                if attempt == MAX_ATTEMPTS - 1:
                     raise
                 await asyncio.sleep(STORE_RETRY_S)
                 continue
@@ -196,37 +196,37 @@
             return Accepted(revision) if change.operation_id == operation_id else None
         return None
 
-    async def wait_in_force(self, revision: int, timeout_s: float) -> InForce:
+    async def wait_for_rollout(self, revision: int, timeout_s: float) -> RolloutStatus:
         """Wait until every live node holds the revision; say which do not."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout_s
+        deadline_s = loop.time() + timeout_s
         while True:
             state = await self._request_revisions(revision)
-            if not state.missing and not state.silent:
+            if not state.lagging and not state.unreachable:
                 return state
-            if loop.time() >= until:
+            if loop.time() >= deadline_s:
                 return state
             await asyncio.sleep(0.2)
 
-    async def _request_revisions(self, revision: int) -> InForce:
-        me = self._membership.swim.local_member.node_id
-        others = [m.node_id for m in self._membership.view.live() if m.node_id != me]
+    async def _request_revisions(self, revision: int) -> RolloutStatus:
+        own_id = self._membership.swim.local_member.node_id
+        others = [m.node_id for m in self._membership.view.live() if m.node_id != own_id]
         answers = await asyncio.gather(*(self._request_revision(node) for node in others))
-        missing = [
+        lagging = [
             n for n, r in zip(others, answers, strict=True) if r is not None and r < revision
         ]
-        silent = [n for n, r in zip(others, answers, strict=True) if r is None]
-        reached = 1 + len(others) - len(missing) - len(silent)
-        return InForce(revision, reached, missing, silent)
+        unreachable = [n for n, r in zip(others, answers, strict=True) if r is None]
+        num_applied = 1 + len(others) - len(lagging) - len(unreachable)
+        return RolloutStatus(revision, num_applied, lagging, unreachable)
 
     async def _request_revision(self, node_id: str) -> int | None:
         address = self._membership.view.address(node_id)
         if address is None:
             return None
-        question = wire.RevisionRequest().SerializeToString()
+        request = wire.RevisionRequest().SerializeToString()
         try:
             reply = await self._transport.request(
-                address, REVISION_METHOD, question, FETCH_TIMEOUT_S
+                address, REVISION_METHOD, request, FETCH_TIMEOUT_S
             )
         except PeerUnreachable:
             return None
@@ -234,14 +234,14 @@
 
     # --- following -----------------------------------------------------------------------
 
-    async def _read_forever(self) -> None:
+    async def _watch_forever(self) -> None:
         while True:
             if not self.is_reader:
                 await asyncio.sleep(STORE_RETRY_S)
                 continue
             try:
                 after = change_key(self.snapshot.revision)
-                self._apply_objects(await self._store.watch(CHANGES_PREFIX, after, WATCH_S))
+                self._apply_objects(await self._store.watch(CHANGES_PREFIX, after, WATCH_TIMEOUT_S))
             except StoreUnavailable:
                 await asyncio.sleep(STORE_RETRY_S * self._rng.uniform(0.5, 1.5))
 
@@ -257,15 +257,15 @@
     def _apply(self, revision: int, change: AcceptedChange) -> None:
         if revision != self.snapshot.revision + 1:
             return  # known already, or a gap that a later read fills
-        self._recent[revision] = change
-        self._recent.pop(revision - RECENT_CHANGES, None)
+        self._recent_changes[revision] = change
+        self._recent_changes.pop(revision - MAX_RECENT_CHANGES, None)
         with contextlib.suppress(UnknownName):
             document = apply_change(self.document, change.body, revision)
-            self._take_over(Snapshot(revision=revision, document=document))
+            self._install_snapshot(Snapshot(revision=revision, document=document))
             return
-        self._take_over(Snapshot(revision=revision, document=self.document))
+        self._install_snapshot(Snapshot(revision=revision, document=self.document))
 
-    def _take_over(self, snapshot: Snapshot) -> None:
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
         if snapshot.revision <= self.snapshot.revision:
             return
         self.snapshot = snapshot
@@ -282,37 +282,37 @@
             return
         self._fetching = True
         task = asyncio.get_running_loop().create_task(self._fetch(node_id))
-        self._fetches.add(task)
-        task.add_done_callback(self._fetches.discard)
+        self._fetch_tasks.add(task)
+        task.add_done_callback(self._fetch_tasks.discard)
 
     async def _fetch(self, node_id: str) -> None:
         try:
             address = self._membership.view.address(node_id)
             if address is None:
                 return
-            question = wire.ConfigurationRequest(have_revision=self.snapshot.revision)
+            request = wire.ConfigurationRequest(have_revision=self.snapshot.revision)
             payload = await self._transport.request(
-                address, FETCH_METHOD, question.SerializeToString(), FETCH_TIMEOUT_S
+                address, FETCH_METHOD, request.SerializeToString(), FETCH_TIMEOUT_S
             )
-            self._take_reply(wire.ConfigurationReply.FromString(payload))
+            self._apply_reply(wire.ConfigurationReply.FromString(payload))
         except PeerUnreachable:
             return  # the next gossip names a holder again
         finally:
             self._fetching = False
 
-    def _take_reply(self, reply: wire.ConfigurationReply) -> None:
+    def _apply_reply(self, reply: wire.ConfigurationReply) -> None:
         if reply.snapshot_revision > self.snapshot.revision:
-            self._take_over(Snapshot.model_validate_json(reply.snapshot))
+            self._install_snapshot(Snapshot.model_validate_json(reply.snapshot))
         for row in reply.changes:
             self._apply(row.revision, AcceptedChange.model_validate_json(row.change))
 
     async def _on_fetch(self, payload: bytes) -> bytes:
-        have = wire.ConfigurationRequest.FromString(payload).have_revision
-        wanted = range(have + 1, self.snapshot.revision + 1)
+        known_revision = wire.ConfigurationRequest.FromString(payload).have_revision
+        revisions = range(known_revision + 1, self.snapshot.revision + 1)
         reply = wire.ConfigurationReply()
-        if all(revision in self._recent for revision in wanted):
-            for revision in wanted:
-                change = self._recent[revision].model_dump_json().encode()
+        if all(revision in self._recent_changes for revision in revisions):
+            for revision in revisions:
+                change = self._recent_changes[revision].model_dump_json().encode()
                 reply.changes.append(wire.ConfigurationChange(revision=revision, change=change))
         else:
             reply.snapshot_revision = self.snapshot.revision
--- a/src/bendshed/operators/answers.py
+++ b/src/bendshed/operators/answers.py
@@ -140,13 +140,17 @@
     # --- orders --------------------------------------------------------------------------
 
     async def _report_in_force(self, accepted: Accepted) -> Answer:
-        state = await self._node.configuration.wait_in_force(accepted.revision, IN_FORCE_TIMEOUT_S)
+        state = await self._node.configuration.wait_for_rollout(
+            accepted.revision, IN_FORCE_TIMEOUT_S
+        )
         members = self._node.membership.view.members
-        late = [members[n].name if n in members else n for n in (*state.missing, *state.silent)]
+        late = [
+            members[n].name if n in members else n for n in (*state.lagging, *state.unreachable)
+        ]
         if late:
             sentence = f"accepted as revision {state.revision}; not yet in force on some nodes"
         else:
-            sentence = f"accepted as revision {state.revision}; in force on all {state.reached}"
+            sentence = f"accepted as revision {state.revision}; in force on all {state.num_applied}"
         return Answer([], sentence, late)
 
     async def _stop(self, program_id: str, author: str) -> Answer | Refusal:
--- a/tests/defects.py
+++ b/tests/defects.py
@@ -81,7 +81,7 @@
 
 def _apply_any(self: ConfigurationService, revision: int, change: Any) -> None:
     """Take whatever the store or a peer sends as the newest."""
-    self._recent[revision] = change
+    self._recent_changes[revision] = change
     self.snapshot = Snapshot(revision=revision, document=self.document)
     for on_change in self.on_change:
         on_change(self.document)
