--- a/src/bendshed/configuration/document.py
+++ b/src/bendshed/configuration/document.py
@@ -223,14 +223,14 @@
     document: ConfigurationDocument = ConfigurationDocument()
 
 
-class UnknownName(Exception):
+class InvalidReference(Exception):
     """A change names something that does not exist, or takes away what is still named."""
 
 
 def apply_change(
     document: ConfigurationDocument, body: AnyChange, revision: int
 ) -> ConfigurationDocument:
-    """Return the document after the change of ``revision``; raise ``UnknownName``."""
+    """Return the document after the change of ``revision``; raise ``InvalidReference``."""
     match body:
         case DeclareProgram():
             return _put(document, "programs", body.name, body.declaration)
@@ -239,9 +239,9 @@
         case CreatePool():
             return _put(document, "pools", body.name, body.pool)
         case SetBudget():
-            return _change_tenant(document, body.tenant, {"budget_tokens": body.budget_tokens})
+            return _update_tenant(document, body.tenant, {"budget_tokens": body.budget_tokens})
         case SetPriority():
-            return _change_tenant(document, body.tenant, {"priority": body.priority})
+            return _update_tenant(document, body.tenant, {"priority": body.priority})
         case DrainRunner():
             others = [name for name in document.drained_runners if name != body.runner]
             drained = [*others, body.runner] if body.drain else others
@@ -271,7 +271,7 @@
 def _drop(document: ConfigurationDocument, section: str, name: str) -> ConfigurationDocument:
     entries = dict(getattr(document, section))
     if name not in entries:
-        raise UnknownName(f"{section}: {name!r} does not exist; SHOW {section} lists them")
+        raise InvalidReference(f"{section}: {name!r} does not exist; SHOW {section} lists them")
     del entries[name]
     return document.model_copy(update={section: entries})
 
@@ -279,7 +279,7 @@
 def _drop_service(document: ConfigurationDocument, name: str) -> ConfigurationDocument:
     for route_name, route in document.routes.items():
         if any(target.service == name for target in route.targets):
-            raise UnknownName(f"route {route_name!r} leads to service {name!r}; drop it first")
+            raise InvalidReference(f"route {route_name!r} leads to service {name!r}; drop it first")
     return _drop(document, "services", name)
 
 
@@ -287,14 +287,14 @@
     for target in body.route.targets:
         if target.service not in document.services:
             detail = f"service {target.service!r} does not exist; add it with PUT SERVICE first"
-            raise UnknownName(detail)
+            raise InvalidReference(detail)
     return _put(document, "routes", body.name, body.route)
 
 
-def _change_tenant(
+def _update_tenant(
     document: ConfigurationDocument, name: str, update: dict[str, int]
 ) -> ConfigurationDocument:
     if name not in document.tenants:
-        raise UnknownName(f"tenant {name!r} does not exist; add it with PUT TENANT first")
+        raise InvalidReference(f"tenant {name!r} does not exist; add it with PUT TENANT first")
     tenant = document.tenants[name].model_copy(update=update)
     return _put(document, "tenants", name, tenant)
--- a/src/bendshed/configuration/service.py
+++ b/src/bendshed/configuration/service.py
@@ -19,8 +19,8 @@
     AcceptedChange,
     AnyChange,
     ConfigurationDocument,
+    InvalidReference,
     Snapshot,
-    UnknownName,
     apply_change,
 )
 from bendshed.errors import ErrorKind, Refusal
@@ -153,7 +153,7 @@
                     f"the store does not answer ({error}); "
                     f"SHOW CONFIGURATION tells later whether operation {operation_id} took effect",
                 )
-            except UnknownName as error:
+            except InvalidReference as error:
                 return Refusal(ErrorKind.NOT_FOUND, str(error))
             if outcome is not None:
                 return outcome
@@ -259,7 +259,7 @@
             return  # known already, or a gap that a later read fills
         self._recent_changes[revision] = change
         self._recent_changes.pop(revision - MAX_RECENT_CHANGES, None)
-        with contextlib.suppress(UnknownName):
+        with contextlib.suppress(InvalidReference):
             document = apply_change(self.document, change.body, revision)
             self._install_snapshot(Snapshot(revision=revision, document=document))
             return
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -5,10 +5,10 @@
     DrainRunner,
     DropRoute,
     DropService,
+    InvalidReference,
     LoadModel,
     PutService,
     SetBudget,
-    UnknownName,
     apply_change,
 )
 from bendshed.configuration.services import ServiceDeclaration, to_service_document
@@ -118,5 +118,5 @@
         cases = [(route,), ("DROP ROUTE r",), ("DROP SERVICE s",)]
         cases.append(("PUT SERVICE s", route, "DROP SERVICE s"))
         for statements in cases:
-            with self.subTest(last=statements[-1]), self.assertRaises(UnknownName):
+            with self.subTest(last=statements[-1]), self.assertRaises(InvalidReference):
                 self.apply(*statements)
