--- a/src/bendshed/configuration/services.py
+++ b/src/bendshed/configuration/services.py
@@ -19,7 +19,7 @@
 """Begins and ends with a slash."""
 MAX_TIMEOUT_MS = 3_600_000
 MAX_ATTEMPTS = 10
-LEAST_URGENT = 9
+LEAST_URGENT_PRIORITY = 9
 
 
 class _Declared(BaseModel):
@@ -52,7 +52,7 @@
     targets: list[TargetDeclaration] = Field(min_length=1)
     kind: Literal["idempotent", "non_idempotent", "stream"] = "non_idempotent"
     timeout_ms: int = Field(default=30_000, ge=1, le=MAX_TIMEOUT_MS)
-    priority: int = Field(default=5, ge=0, le=LEAST_URGENT)
+    priority: int = Field(default=5, ge=0, le=LEAST_URGENT_PRIORITY)
     max_attempts: int = Field(default=1, ge=1, le=MAX_ATTEMPTS)
     is_sticky: bool = False
 
@@ -72,13 +72,13 @@
     """Return what is in force for forwarding at a revision."""
     return ServiceDocument(
         version=revision,
-        routes=tuple(_route(name, declared) for name, declared in routes.items()),
+        routes=tuple(_to_route(name, declared) for name, declared in routes.items()),
         services={name: Service(name) for name in services},
         limits=ClientLimits(max_body_bytes=limits.max_body_bytes),
     )
 
 
-def _route(name: str, declared: RouteDeclaration) -> Route:
+def _to_route(name: str, declared: RouteDeclaration) -> Route:
     return Route(
         name=name,
         host=declared.host,
@@ -87,7 +87,9 @@
         timeout_ms=declared.timeout_ms,
         target_ms=declared.timeout_ms,
         priority=declared.priority,
-        targets=tuple(WeightedService(part.service, part.weight) for part in declared.targets),
+        targets=tuple(
+            WeightedService(target.service, target.weight) for target in declared.targets
+        ),
         max_attempts=declared.max_attempts,
         is_sticky=declared.is_sticky,
     )
