--- a/src/bendshed/services/runner_placement.py
+++ b/src/bendshed/services/runner_placement.py
@@ -1,7 +1,7 @@
-"""Finds the runner for the next attempt at one request: preferred, warm, or cold by permit.
+"""Finds the runner for the next attempt at one request: preferred, warm, or cold with a permit.
 
-Applies ``placement/node_choice.py`` to what this node knows now, and requests permits of the turn
-log's leader. It owns the preference that a preview brought.
+Applies ``placement/node_choice.py`` to the node's current state and requests permits from the turn
+log's leader. Owns the placement that a preview returned.
 """
 
 import asyncio
@@ -19,17 +19,17 @@
 from bendshed.retries.decisions import GiveUp, GiveUpReason, may_choose_runner
 from bendshed.retries.history import AttemptHistory
 from bendshed.services.metrics import ServiceMetrics
-from bendshed.services.permit_client import PermitClient, RunnerState, demand_of
+from bendshed.services.permit_client import PermitClient, RunnerReport, build_turn_demand
 from bendshed.services.runners import RunnerRecord, RunnerTable
 
 
 @dataclass(frozen=True, slots=True)
 class RunnerPorts:
-    """What attempts need of a node.
+    """Dependencies of attempts on the node.
 
     Attributes:
-        zone, node: the node's zone and a name that other nodes do not have.
-        asks: requests permits for cold runners; ``None``: no leader gives any.
+        zone, node: the node's zone and its unique name.
+        permit_client: requests permits for cold runners; ``None``: no permits are available.
 
     """
 
@@ -41,7 +41,7 @@
     rng: random.Random
     metrics: ServiceMetrics
     policy: Policy = EVERYTHING
-    permits: PermitClient | None = None
+    permit_client: PermitClient | None = None
     places: Places = field(default_factory=Places)
 
     def is_connected(self, record: RunnerRecord) -> bool:
@@ -51,14 +51,14 @@
 
 @dataclass(slots=True)
 class RunnerPlacement:
-    """Where one request may go.
+    """Chooses the runners of one request.
 
-    Invariant: a cold runner is chosen only with the leader's permit for that very dispatch.
+    Invariant: a cold runner is chosen only with a permit of the leader for that one dispatch.
 
     Attributes:
-        service: whose runners are eligible.
-        sticky_key: a session or an affinity key that requests share; empty: none.
-        regions: where its runners may be located; ``None``: anywhere.
+        service: the service whose runners are eligible.
+        sticky_key: session or affinity key that requests share; empty: none.
+        regions: where the runners may be located; ``None``: anywhere.
 
     """
 
@@ -72,18 +72,18 @@
 
     @property
     def has_preferred_runner(self) -> bool:
-        """Whether the leader of the turn log has placed the request."""
+        """Whether the leader of the turn log has placed the request at a runner."""
         return bool(self._preferred_runner)
 
     def prefer(self, runner_id: str, permit: TimedPermit) -> None:
-        """Follow the leader's placement while that runner may get the request.
+        """Use the leader's placement as long as that runner may get the request.
 
-        ``permit`` is what the runner needs if it is cold; an empty ``runner_id``: no placement.
+        ``permit`` is required if the runner is cold; an empty ``runner_id``: no placement.
         """
         self._preferred_runner, self._preferred_permit = runner_id, permit
 
     def describe_no_runner(self) -> str:
-        """Why no runner is left, for the refusal."""
+        """Explain in a refusal why no runner is left."""
         detail = f"no runner of {self.service} takes the request now"
         closed = sorted(self.ports.table.filter.zones.closed)
         if closed:
@@ -92,17 +92,19 @@
             detail += f", allowed regions: {', '.join(sorted(self.regions))}"
         return detail
 
-    def runner_state(self) -> RunnerState:
-        """What this node reports of the service's runners to a leader that places the request."""
+    def runner_report(self) -> RunnerReport:
+        """Report on the service's runners to a leader that places the request."""
         now_s = asyncio.get_running_loop().time()
-        eligible = self._usable(now_s)
+        eligible = self._eligible(now_s)
         connected: list[str] = []
         if self.ports.policy.kept_connections:
             connected = [r.listed.runner_id for r in eligible if self.ports.is_connected(r)]
-        return RunnerState(connected, [r.listed.runner_id for r in eligible if r.is_avoided(now_s)])
+        return RunnerReport(
+            connected, [r.listed.runner_id for r in eligible if r.is_avoided(now_s)]
+        )
 
-    async def find(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
-        """Find the runner of the next attempt; a refusal is the leader's, which gave no permit."""
+    async def find_runner(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
+        """Find the runner of the next attempt; ``Refusal``: the leader granted no permit."""
         now_s = asyncio.get_running_loop().time()
         if may_choose_runner(history):
             choice = self.choose(history.tried, now_s)
@@ -113,8 +115,8 @@
         return GiveUp(GiveUpReason.NO_RUNNER, self.describe_no_runner())
 
     def choose(self, tried: Collection[str], now_s: float) -> Choice | None:
-        """Choose the preferred runner if it may get the request, else a warm one from here."""
-        eligible = self._usable(now_s)
+        """Choose the preferred runner if it may get the request, else a warm one."""
+        eligible = self._eligible(now_s)
         preferred = self._choose_preferred(eligible, tried, now_s)
         if preferred is not None:
             return preferred
@@ -133,15 +135,13 @@
             self.request.affinity_key if self.sticky_key else "",
         )
 
-    def may_get(self, record: RunnerRecord, permit: TimedPermit, now_s: float) -> bool:
-        """Whether a runner may get the request now: in an open zone and an allowed region, and
-        warm or permitted.
-        """
+    def may_dispatch_to(self, record: RunnerRecord, permit: TimedPermit, now_s: float) -> bool:
+        """Whether a runner is in an open zone and an allowed region, and is warm or permitted."""
         if not self.ports.table.filter.allows(record.listed, self.regions):
             return False
         return permit.is_valid(now_s) or not self.ports.table.cold.is_cold(record.listed.runner_id)
 
-    def _usable(self, now_s: float) -> list[RunnerRecord]:
+    def _eligible(self, now_s: float) -> list[RunnerRecord]:
         return self.ports.table.eligible(self.service, now_s, self.regions)
 
     def _choose_preferred(
@@ -150,39 +150,39 @@
         permit = self._preferred_permit
         for record in eligible:
             runner_id = record.listed.runner_id
-            is_fit = runner_id not in tried and not record.is_avoided(now_s)
-            is_preferred = runner_id == self._preferred_runner and is_fit
-            if is_preferred and self.may_get(record, permit, now_s):
+            is_usable = runner_id not in tried and not record.is_avoided(now_s)
+            is_preferred = runner_id == self._preferred_runner and is_usable
+            if is_preferred and self.may_dispatch_to(record, permit, now_s):
                 return Choice(record, "advised", permit)
         return None
 
     def _has_untried_cold(self, tried: Collection[str], now_s: float) -> bool:
-        """Whether a permit could open a runner that was not tried yet."""
+        """Whether a cold runner was not tried yet, which a permit would make usable."""
         return any(
             self.ports.table.cold.is_cold(record.listed.runner_id)
-            for record in self._usable(now_s)
+            for record in self._eligible(now_s)
             if record.listed.runner_id not in tried
         )
 
     async def _request_permit(self, history: AttemptHistory) -> Choice | GiveUp | Refusal:
-        """Request a permit for one dispatch to a runner that was not tried yet."""
-        if self.ports.permits is None:
+        """Request a permit for one dispatch to an untried runner."""
+        if self.ports.permit_client is None:
             detail = f"all runners of {self.service} are cold"
             return GiveUp(GiveUpReason.NO_PERMIT, detail)
         loop = asyncio.get_running_loop()
-        demand = demand_of(
+        demand = build_turn_demand(
             self.request,
             self.service,
             history.deadline_s - loop.time(),
-            self.runner_state(),
+            self.runner_report(),
             self.ports.zone,
             history.tried,
             self.regions,
         )
-        permit = await self.ports.permits.ask(self.request, demand)
+        permit = await self.ports.permit_client.request_permit(self.request, demand)
         if isinstance(permit, Refusal):
             return permit
-        for record in self._usable(loop.time()):
+        for record in self._eligible(loop.time()):
             if record.listed.runner_id == permit.runner_id:
                 return Choice(record, "permitted", permit.permit)
         return GiveUp(GiveUpReason.NO_PERMIT, "this node does not know the permitted runner")
--- a/src/bendshed/turns/replica_gauges.py
+++ b/src/bendshed/turns/replica_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of a replica machine, read when metrics are scraped."""
+"""Gauges of a replica machine, evaluated when metrics are scraped."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaGauges:
-    """The parts that gauges read."""
+    """The objects that the gauges read."""
 
     host: GroupHost
     group_numbers: tuple[int, ...]
@@ -32,7 +32,7 @@
 
     def add_to(self, metrics: TurnLogMetrics) -> None:
         """Add all gauges."""
-        self._add_of_groups(metrics)
+        self._add_group_gauges(metrics)
         readings: tuple[tuple[str, str, Callable[[], float]], ...] = (
             (
                 "bendshed_budget_shares_taken",
@@ -61,14 +61,14 @@
             ),
         )
         for name, text, read in readings:
-            metrics.gauge(name, text).set_function(partial(_as_float, read))
-        trips = metrics.labelled_gauge(
+            metrics.gauge(name, text).set_function(partial(_read_as_float, read))
+        round_trips = metrics.labelled_gauge(
             "bendshed_round_trip_ms", "Median round trip to replica machines", "distance"
         )
         for kind in Distance:
-            trips.labels(kind.value).set_function(partial(self._round_trip_ms, kind))
+            round_trips.labels(kind.value).set_function(partial(self._round_trip_ms, kind))
 
-    def _add_of_groups(self, metrics: TurnLogMetrics) -> None:
+    def _add_group_gauges(self, metrics: TurnLogMetrics) -> None:
         readings: dict[str, tuple[str, Callable[[HostedGroup], float]]] = {
             "bendshed_turn_log_leader": (
                 "1 while this replica leads",
@@ -85,7 +85,7 @@
             ),
             "bendshed_turn_log_voters_in_a_zone": (
                 "Most voters that stand in one zone",
-                self._most_in_a_zone,
+                self._max_voters_in_zone,
             ),
         }
         for name, (text, read) in readings.items():
@@ -94,19 +94,19 @@
                 gauge.labels(str(number)).set_function(partial(self._read_group, read, number))
 
     def _read_group(self, read: Callable[[HostedGroup], float], number: int) -> float:
-        """Read a group of the turn log; 0 where this process holds no replica of it."""
+        """Read a value of a group; 0 if this process holds no replica of it."""
         group = self.host.groups.get(number)
         return float(read(group)) if group is not None else 0.0
 
-    def _most_in_a_zone(self, group: HostedGroup) -> float:
+    def _max_voters_in_zone(self, group: HostedGroup) -> float:
         zone_of = {node.node_id: node.zone for node in self.directory.by_name.values()}
         zones = Counter(zone_of.get(node, node) for node in group.replica.membership.voters)
         return float(max(zones.values(), default=0))
 
     def _round_trip_ms(self, kind: Distance) -> float:
-        """As measured; 0: no machine at this distance was."""
+        """Return the measured round trip; 0: no machine at this distance was measured."""
         return self.distance.measured_round_trip_ms.get(kind, 0.0)
 
 
-def _as_float(read: Callable[[], float]) -> float:
+def _read_as_float(read: Callable[[], float]) -> float:
     return float(read())
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -21,7 +21,7 @@
 from bendshed.rehearsal.site.sim_runners import SimConnection
 from bendshed.rehearsal.site.sim_world import SiteWorld
 from bendshed.retries import decisions
-from bendshed.services.attempts import Attempts, OpenAnswer
+from bendshed.services.attempts import Attempts, OpenResponse
 from bendshed.services.node import ServiceNode
 from bendshed.services.runners import RunnerTable
 from bendshed.services.turn_record import TurnRecord
@@ -272,7 +272,7 @@
     seed: int = 1
 
 
-async def _open_and_promise(attempts: Attempts, body: bytes) -> OpenAnswer | Refusal:
+async def _open_and_promise(attempts: Attempts, body: bytes) -> OpenResponse | Refusal:
     outcome = await _REAL_OPEN(attempts, body)
     if isinstance(outcome, Refusal):
         return Refusal(ErrorKind.OVERLOADED, outcome.detail)
@@ -280,10 +280,10 @@
 
 
 _REAL_OPEN = Attempts.open
-_REAL_BODY = OpenAnswer.body
+_REAL_BODY = OpenResponse.body
 
 
-async def _body_without_complaint(answer: OpenAnswer) -> AsyncIterator[bytes]:
+async def _body_without_complaint(answer: OpenResponse) -> AsyncIterator[bytes]:
     with contextlib.suppress(ResponseBroken):
         async for chunk in _REAL_BODY(answer):
             yield chunk
@@ -326,7 +326,7 @@
         Rule.REFUSAL, runners_lose_answers, patch(Attempts, "open", _open_and_promise)
     ),
     "a cut stream ends like a whole one": Defect(
-        Rule.WHOLE, runners_cut_answers, patch(OpenAnswer, "body", _body_without_complaint)
+        Rule.WHOLE, runners_cut_answers, patch(OpenResponse, "body", _body_without_complaint)
     ),
     "a held transcript is not checked": Defect(
         Rule.CHAIN, calm, patch(TranscriptCache, "get", _any_transcript)
@@ -337,7 +337,7 @@
         patch(TurnLogState, "_reserve", lambda _state, _program, _begin: True),
     ),
     "a turn's end is not kept": Defect(
-        Rule.FOUND, calm, patch(TurnLogState, "_keep", lambda self, finish: None)
+        Rule.FOUND, calm, patch(TurnLogState, "_store_turn", lambda self, finish: None)
     ),
     "one replica is a majority": Defect(
         Rule.FOUND, leaders_lose_their_disks, patch(RaftReplica, "_quorum", property(lambda _s: 1))
@@ -349,12 +349,12 @@
         Rule.LEAVE, clients_leave, patch(SimConnection, "abort", lambda self: None)
     ),
     "an answer is held back at its end": Defect(
-        Rule.STOP, a_front_stops, patch(TurnRecord, "finish_whole", _finish_never)
+        Rule.STOP, a_front_stops, patch(TurnRecord, "finish_complete", _finish_never)
     ),
     "any configuration is taken": Defect(
         Rule.CONFIGURATION,
         configurations_come_stale,
-        patch(ServiceNode, "take_document", _take_any_document),
+        patch(ServiceNode, "apply_document", _take_any_document),
     ),
     "what was let through is not counted": Defect(
         Rule.QUOTA, a_tenant_floods, patch(UsageWindows, "charge", lambda *_: None)
