--- a/tests/search_machine.py
+++ b/tests/search_machine.py
@@ -12,7 +12,9 @@
 amounts = st.integers(0, 10).map(lambda tenths: tenths / 10)
 
 
-def machine_of(game: Game, groups: dict[str, tuple[Any, ...]]) -> type[RuleBasedStateMachine]:  # type: ignore[type-arg]
+def build_state_machine(
+    game: Game, action_groups: dict[str, tuple[Any, ...]]  # type: ignore[type-arg]
+) -> type[RuleBasedStateMachine]:
     """Steps of each group in any order; at the end everything heals and the oracle judges."""
 
     class Machine(RuleBasedStateMachine):
@@ -31,17 +33,19 @@
             finally:
                 self.world.close()
 
-    for name, actions in groups.items():
+    for name, actions in action_groups.items():
 
-        def play(self: Machine, action: Any, which: int, amount: float) -> None:
+        def apply_action(self: Machine, action: Any, which: int, amount: float) -> None:
             game.apply(self.world, Step(action, which, amount))
 
-        play.__name__ = name
-        drawn = st.sampled_from(actions)
-        setattr(Machine, name, rule(action=drawn, which=numbers, amount=amounts)(play))
+        apply_action.__name__ = name
+        chosen_action = st.sampled_from(actions)
+        setattr(
+            Machine, name, rule(action=chosen_action, which=numbers, amount=amounts)(apply_action)
+        )
     return Machine
 
 
-def same_verdict(examples: int, steps: int) -> settings:
+def stateful_settings(examples: int, steps: int) -> settings:
     """The profile of all tests, at a size."""
     return settings(max_examples=examples, stateful_step_count=steps)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -6,7 +6,7 @@
 
 from bendshed.rehearsal.search import STEPS_PER_WORLD, Step
 from bendshed.rehearsal.simulator.fuzz import INSTALLATION, Action
-from tests.search_machine import machine_of, same_verdict
+from tests.search_machine import build_state_machine, stateful_settings
 
 EXAMPLES = 25
 STEPS = 30
@@ -15,11 +15,13 @@
 LOST_MAJORITY = (5123, 5137)
 FAULTS = tuple(action for action in Action if action not in (*LOAD, *REPAIR))
 
-InstallationMachine = machine_of(INSTALLATION, {"load": LOAD, "fault": FAULTS, "repair": REPAIR})
+InstallationMachine = build_state_machine(
+    INSTALLATION, {"load": LOAD, "fault": FAULTS, "repair": REPAIR}
+)
 
 
 class FuzzTest(InstallationMachine.TestCase):  # type: ignore[misc, name-defined]
-    settings: ClassVar = same_verdict(EXAMPLES, STEPS)
+    settings: ClassVar = stateful_settings(EXAMPLES, STEPS)
 
 
 class SearchedInstallationsTest(unittest.TestCase):
--- a/tests/test_site_fuzz.py
+++ b/tests/test_site_fuzz.py
@@ -7,7 +7,7 @@
 from bendshed.rehearsal.search import STEPS_PER_WORLD
 from bendshed.rehearsal.site.actions import CALM, WITHIN_A_REGION
 from bendshed.rehearsal.site.fuzz import REGIONS, SITE
-from tests.search_machine import machine_of, same_verdict
+from tests.search_machine import build_state_machine, stateful_settings
 
 EXAMPLES = 15
 STEPS = 25
@@ -20,11 +20,11 @@
 SEARCHED_REGIONS = 4
 FAULTS = tuple(action for action in WITHIN_A_REGION if action not in CALM)
 
-SiteMachine = machine_of(SITE, {"fault": FAULTS, "calm": CALM})
+SiteMachine = build_state_machine(SITE, {"fault": FAULTS, "calm": CALM})
 
 
 class SiteFuzzTest(SiteMachine.TestCase):  # type: ignore[misc, name-defined]
-    settings: ClassVar = same_verdict(EXAMPLES, STEPS)
+    settings: ClassVar = stateful_settings(EXAMPLES, STEPS)
 
 
 class SearchedWorldsTest(unittest.TestCase):
