--- a/tests/search_machine.py
+++ b/tests/search_machine.py
@@ -13,7 +13,8 @@
 
 
 def build_state_machine(
-    game: Game, action_groups: dict[str, tuple[Any, ...]]  # type: ignore[type-arg]
+    game: Game,  # type: ignore[type-arg]
+    action_groups: dict[str, tuple[Any, ...]],
 ) -> type[RuleBasedStateMachine]:
     """Steps of each group in any order; at the end everything heals and the oracle judges."""
 
