--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -12,7 +12,7 @@
 STEPS = 30
 LOAD = (Action.START_PROGRAM, Action.START_BRANCHES, Action.SUBMIT_TWICE)
 REPAIR = (Action.ADVANCE, Action.RESTART_NODE, Action.RESUME_NODE, Action.HEAL, Action.STORE_UP)
-LOST_MAJORITY = (5123, 5137)
+LOST_MAJORITY_SEEDS = (5123, 5137)
 FAULTS = tuple(action for action in Action if action not in (*LOAD, *REPAIR))
 
 InstallationMachine = build_state_machine(
@@ -24,15 +24,15 @@
     settings: ClassVar = stateful_settings(EXAMPLES, STEPS)
 
 
-class SearchedInstallationsTest(unittest.TestCase):
+class RegressionSeedsTest(unittest.TestCase):
     """A group lost its majority for good: of a dead voter and one that stopped, which still
     answered, the latter was removed first.
     """
 
-    def test_a_node_that_stops_outlasts_a_lost_disk(self) -> None:
+    def test_lost_disk_is_removed_before_a_stopping_node(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        for seed in LOST_MAJORITY:
+        for seed in LOST_MAJORITY_SEEDS:
             with self.subTest(seed=seed):
                 steps = INSTALLATION.random_steps(seed, STEPS_PER_WORLD)
                 world, violations = INSTALLATION.run(seed, steps)
@@ -41,7 +41,7 @@
 
 
 class TraceTest(unittest.TestCase):
-    def test_a_written_trace_reads_back(self) -> None:
+    def test_written_trace_can_be_read(self) -> None:
         steps = [Step(Action.KILL_NODE, 3, 0.25), Step(Action.ADVANCE, 0, 1.0)]
         trace = INSTALLATION.write_trace(7, steps)
         self.assertEqual(INSTALLATION.read_trace(trace), (7, steps))
