--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -18,18 +18,18 @@
     def test_every_promise_has_a_defect(self) -> None:
         self.assertEqual({defect.promise for defect in DEFECTS.values()}, PROMISES)
 
-    def test_defects_are_caught(self) -> None:
+    def test_every_defect_is_caught(self) -> None:
         for name, defect in DEFECTS.items():
             with self.subTest(defect=name):
                 with defect.plant():
                     violations = defect.scenario(defect.seed)
                 self.assertIn(defect.promise, {v.promise for v in violations})
 
-    def test_the_product_passes_the_same_scenarios(self) -> None:
+    def test_product_passes_the_same_scenarios(self) -> None:
         for scenario, seed in sorted({(d.scenario, d.seed) for d in DEFECTS.values()}, key=str):
             with self.subTest(scenario=scenario.__name__, seed=seed):
                 self.assertEqual(scenario(seed), [])
 
-    def test_an_orphan_of_an_ended_program_holds_nothing(self) -> None:
+    def test_orphan_of_ended_program_releases_cache(self) -> None:
         """Found by the search: the grace for resuming kept an ended program's cache held."""
         self.assertEqual(scenarios.executor_dies_and_program_ends(1), [])
