--- a/tests/defects.py
+++ b/tests/defects.py
@@ -31,15 +31,15 @@
     return lambda: mock.patch.object(owner, name, value)
 
 
-async def _nothing(*_arguments: Any) -> None:
+async def _do_nothing(*_arguments: Any) -> None:
     return None
 
 
-async def _no_programs(*_arguments: Any) -> list[str]:
+async def _no_gone_programs(*_arguments: Any) -> list[str]:
     return []
 
 
-async def _always(*_arguments: Any) -> bool:
+async def _always_true(*_arguments: Any) -> bool:
     return True
 
 
@@ -54,7 +54,7 @@
 
 
 @contextmanager
-def _unavailable_means_not_run() -> Iterator[None]:
+def _report_unavailable_as_not_run() -> Iterator[None]:
     """Say "not run" where nothing is known."""
     wrong = {ErrorKind.GROUP_UNAVAILABLE: ErrorAnswer(503, True, WasRun.NO, 2)}
     with mock.patch.dict(ANSWERS, wrong):
@@ -62,7 +62,7 @@
 
 
 @contextmanager
-def _order_is_ignored() -> Iterator[None]:
+def _ignore_order() -> Iterator[None]:
     with (
         mock.patch.object(state, "is_runnable", lambda _program, _call: True),
         mock.patch.object(state, "_later_call_started", lambda _program, _number: False),
@@ -71,15 +71,15 @@
 
 
 @contextmanager
-def _leaving_is_ignored() -> Iterator[None]:
+def _ignore_leaving() -> Iterator[None]:
     with (
-        mock.patch.object(RunnerMonitor, "confirm", _always),
+        mock.patch.object(RunnerMonitor, "confirm", _always_true),
         mock.patch.object(Runner, "accepts_work", lambda _self, _now: True),
     ):
         yield
 
 
-def _apply_any(self: ConfigurationService, revision: int, change: Any) -> None:
+def _apply_any_revision(self: ConfigurationService, revision: int, change: Any) -> None:
     """Take whatever the store or a peer sends as the newest."""
     self._recent_changes[revision] = change
     self.snapshot = Snapshot(revision=revision, document=self.document)
@@ -90,39 +90,41 @@
 DEFECTS = {
     "every call may run at once": Defect(
         1,
-        _order_is_ignored,
+        _ignore_order,
         scenario=scenarios.calls_arrive_out_of_order,
     ),
-    "a kept history is not checked": Defect(2, _replace(HistoryCache, "assemble", _no_history)),
+    "a cached history is not checked": Defect(2, _replace(HistoryCache, "assemble", _no_history)),
     "the worst case is not reserved": Defect(
         3,
         _replace(state.GroupStateMachine, "_worst_case_tokens", lambda *_: 1),
         scenario=scenarios.programs_reach_their_budgets,
     ),
     "no reconciliation with the engines": Defect(
-        4, _replace(RunnerMonitor, "_find_gone", _no_programs)
+        4, _replace(RunnerMonitor, "_find_gone", _no_gone_programs)
     ),
     "a resumed stream is sent twice": Defect(
         5,
         _replace(AttemptSender, "_forward", _forward_all),
         scenario=scenarios.connection_breaks_mid_stream,
     ),
-    "unknown is told as not run": Defect(
-        6, _unavailable_means_not_run, scenario=scenarios.executor_cut_off_after_grant
+    "unknown outcome is reported as not run": Defect(
+        6, _report_unavailable_as_not_run, scenario=scenarios.executor_cut_off_after_grant
     ),
     "a broken stream counts as not started": Defect(
         7,
         _replace(AttemptSender, "_settle_broken", AttemptSender._settle_not_started),
         scenario=scenarios.connection_breaks_for_long,
     ),
-    "leaving is ignored": Defect(
-        8, _leaving_is_ignored, scenario=scenarios.engine_leaves_under_load
+    "leaving notices are ignored": Defect(
+        8, _ignore_leaving, scenario=scenarios.engine_leaves_under_load
     ),
-    "the drain does not wait": Defect(
-        9, _replace(Executor, "drain", _nothing), scenario=scenarios.planned_stop_mid_stream
+    "draining does not wait for calls": Defect(
+        9, _replace(Executor, "drain", _do_nothing), scenario=scenarios.planned_stop_mid_stream
     ),
-    "news of a revision is ignored": Defect(
+    "announced revisions are ignored": Defect(
         10, _replace(ConfigurationService, "_on_revision_seen", lambda *_: None)
     ),
-    "any revision is taken": Defect(10, _replace(ConfigurationService, "_apply", _apply_any)),
+    "any revision is applied": Defect(
+        10, _replace(ConfigurationService, "_apply", _apply_any_revision)
+    ),
 }
