--- a/src/bendshed/consensus/bootstrap.py
+++ b/src/bendshed/consensus/bootstrap.py
@@ -97,7 +97,7 @@
             nodes = [DiskNode(node.node_id, node.zone) for node in self._directory.by_name.values()]
             home_zones = self._groups.home_zones(group_id)
             chosen = choose_replicas(group_id, nodes, self._num_voters, home_zones)
-            return await self._registry.found(chosen, group_id)
+            return await self._registry.write_bootstrap_voters(chosen, group_id)
         except RegistryUnavailable as error:
             log.say("bootstrap waits: registry unavailable", group=group_id, reason=str(error))
             return []
--- a/src/bendshed/platform/registry.py
+++ b/src/bendshed/platform/registry.py
@@ -39,7 +39,7 @@
             raise RegistryUnavailable(str(error)) from error
         return [str(voter) for voter in found.spec["voters"]] if found is not None else []
 
-    async def found(self, voters: list[str], group_id: int = 0) -> list[str]:
+    async def write_bootstrap_voters(self, voters: list[str], group_id: int = 0) -> list[str]:
         """Create the bootstrap record; a lost answer is settled by reading."""
         try:
             spec = {"voters": voters}
--- a/src/bendshed/ports/registry.py
+++ b/src/bendshed/ports/registry.py
@@ -49,7 +49,7 @@
         """
 
     @abstractmethod
-    async def found(self, voters: list[str], group_id: int = 0) -> list[str]:
+    async def write_bootstrap_voters(self, voters: list[str], group_id: int = 0) -> list[str]:
         """Write a group's first voters unless others were written; return those that hold."""
 
     @abstractmethod
--- a/src/bendshed/rehearsal/site/sim_registry.py
+++ b/src/bendshed/rehearsal/site/sim_registry.py
@@ -44,7 +44,7 @@
         await self._reach()
         return self.voters_of.get(group_id, [])
 
-    async def found(self, voters: list[str], group_id: int = 0) -> list[str]:
+    async def write_bootstrap_voters(self, voters: list[str], group_id: int = 0) -> list[str]:
         """Create the record if absent."""
         await self._reach()
         voters = self.voters_of.setdefault(group_id, voters)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -92,8 +92,8 @@
         registry = PlatformReplicaRegistry(self.api)
         self.model.delay_writes = 1
         with self.assertRaises(RegistryUnavailable):
-            await PlatformReplicaRegistry(self.short).found(["one"])
-        self.assertEqual(await registry.found(["two"]), ["two"])
+            await PlatformReplicaRegistry(self.short).write_bootstrap_voters(["one"])
+        self.assertEqual(await registry.write_bootstrap_voters(["two"]), ["two"])
         self.model.do_late_writes()
         self.assertEqual(await registry.bootstrap_voters(), ["two"])
 
@@ -138,10 +138,10 @@
         await registry.announce(me)
         self.assertEqual(len(self.model.kinds[names.REPLICA_KIND]), 1)
         self.assertEqual(await registry.bootstrap_voters(), [])
-        self.assertEqual(await registry.found(["a", "b"]), ["a", "b"])
-        self.assertEqual(await registry.found(["c"]), ["a", "b"])
+        self.assertEqual(await registry.write_bootstrap_voters(["a", "b"]), ["a", "b"])
+        self.assertEqual(await registry.write_bootstrap_voters(["c"]), ["a", "b"])
         self.assertEqual(await registry.bootstrap_voters(1), [])
-        self.assertEqual(await registry.found(["c"], 1), ["c"])
+        self.assertEqual(await registry.write_bootstrap_voters(["c"], 1), ["c"])
         self.assertEqual(sorted(self.model.kinds[names.GROUP_KIND]), ["turns", "turns-1"])
         self.model.put(names.RETIREMENT_KIND, "store-1", {})
         await registry.report_retirement("store-1", True)
