--- a/src/bendshed/programs/__init__.py
+++ b/src/bendshed/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Programs and their calls: the replicated state, its leader's service and its client."""
+"""Programs and their calls: the replicated state, the leader's service, the shutdown check."""
--- a/src/bendshed/programs/service.py
+++ b/src/bendshed/programs/service.py
@@ -1,4 +1,4 @@
-"""What a group's leader does for executors: commits commands, enforces order, borrows budget."""
+"""Group leader's service for executors: commits commands, enforces call order, borrows budget."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,21 +26,21 @@
 COMMIT_TIMEOUT_S = 3.0
 EXECUTING_TIMEOUT_S = 0.5
 ORPHAN_CHECK_INTERVAL_S = 1.0
-"""How often a waiting leader requests whether the other executor still works on the call."""
+"""How often a waiting leader checks that the executor of a dispatched call still works on it."""
 PORTIONS_PER_BUDGET = 64
-"""A group borrows at least this fraction of a tenant's budget at a time."""
+"""A group borrows at least a tenant's budget divided by this number at a time."""
 SWEEP_INTERVAL_S = 1.0
 MAX_PROGRAMS_PER_SWEEP = 200
-"""Programs looked at in one sweep of one group."""
+"""Programs that one sweep of one group checks."""
 ORPHAN_GRACE_MS = 60_000
-"""A dispatched call without an executor may be resumed by its caller for this long."""
+"""How long the caller of a dispatched call without an executor may resume it."""
 
 log = PartLog("programs")
 
 
 @dataclass(frozen=True, slots=True)
 class TenantBudget:
-    """Budget of a tenant in tokens and the configuration revision that set it."""
+    """A tenant's budget in tokens and the configuration revision that set it."""
 
     tokens: int
     revision: int
@@ -81,11 +81,11 @@
         transport.handlers[ALIVE_METHOD] = self._on_alive
 
     def start(self) -> None:
-        """Begin to sweep programs that ended or fell idle."""
+        """Start the periodic sweep of ended and idle programs."""
         self._task = start_loop(self._sweep_forever(), "programs")
 
     async def stop(self) -> None:
-        """Stop sweeping."""
+        """Stop the sweep."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -138,12 +138,12 @@
         assert isinstance(result, wire.CallResult)
         return result
 
-    # --- order ---------------------------------------------------------------------------
+    # --- call order ----------------------------------------------------------------------
 
     async def _wait_until_runnable(
         self, group: HostedGroup, request: wire.GroupRequest, result: wire.CallResult
     ) -> wire.CallResult:
-        """Wait until the call may be dispatched, is closed, or has lost its executor."""
+        """Wait until the call is runnable, is closed, or has lost its executor."""
         submit = request.command.submit
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + request.wait_ms / 1000
@@ -192,7 +192,7 @@
         known_call: int,
         known_digest: bytes,
     ) -> wire.CallResult:
-        """Add the history to a grant (or to an orphan that may be taken over)."""
+        """Add the history to a grant, or to an orphaned call that may be taken over."""
         granted = result.status == wire.CALL_STATUS_DISPATCHED and (
             result.request_id == request_id or result.orphaned
         )
@@ -201,7 +201,7 @@
         return result
 
     async def _is_orphaned(self, result: wire.CallResult) -> bool:
-        """Whether the executor is gone or no longer works on the request."""
+        """Whether the executor is down or no longer works on the request."""
         address = self._executor_address(result.executor)
         if address is None:
             return True
@@ -211,7 +211,7 @@
                 address, EXECUTING_METHOD, request, EXECUTING_TIMEOUT_S
             )
         except PeerUnreachable:
-            return False  # membership decides whether it is gone
+            return False  # membership decides whether the executor is down
         return not wire.ExecutingReply.FromString(reply).executing
 
     # --- tenant budget -------------------------------------------------------------------
@@ -219,7 +219,10 @@
     async def _borrow_if_needed(
         self, group_id: int, command: wire.ProgramCommand, result: wire.CallResult
     ) -> wire.CallResult:
-        """Borrow from the tenant's home group when a grant lacks budget, then grant again."""
+        """If a grant lacks budget, borrow from the tenant's home group and retry the grant.
+
+        Abandon the call if the budget still does not suffice.
+        """
         if not result.needs_portion_tenant:
             return result
         kind = command.WhichOneof("command")
@@ -261,15 +264,15 @@
                 tenant, wire.ProgramCommand(lend=lend), COMMIT_TIMEOUT_S
             )
         except GroupUnavailable as error:
-            raise CommitUnknown("the tenant's home group does not answer") from error
+            raise CommitUnknown("the tenant's home group did not reply") from error
         if lent.refused_kind or lent.tokens == 0:
-            return lent.refused_kind == ErrorKind.CONFLICT  # another borrow got ahead: try again
+            return lent.refused_kind == ErrorKind.CONFLICT  # another borrow committed first: retry
         receive = wire.ReceivePortion(tenant=tenant, sequence=sequence, tokens=lent.tokens)
         await self._commit(group_id, wire.ProgramCommand(receive=receive))
         return True
 
     def has_calls_in_progress(self, group_id: int) -> bool:
-        """Whether a live executor still runs a call of the group, or a call waits for its turn."""
+        """Whether a live executor runs a call of the group, or a queued call has time left."""
         programs = _state(self._host.groups[group_id]).programs.values()
         now_ms = self._clock.wall_ms()
         return any(self._is_in_progress(call, now_ms) for call in open_calls(programs))
@@ -279,7 +282,7 @@
             return now_ms <= call.deadline_ms
         return self._executor_address(call.executor) is not None
 
-    # --- programs that are gone ----------------------------------------------------------
+    # --- ended and idle programs ---------------------------------------------------------
 
     async def _on_alive(self, payload: bytes) -> bytes:
         request = wire.AliveRequest.FromString(payload)
@@ -319,7 +322,11 @@
                     self._report_ended(group, program.program_id)
 
     async def _due_commands(self, program: wire.ProgramRecord) -> list[wire.ProgramCommand]:
-        """What time has made due for a program."""
+        """Return the commands that a program's elapsed times make due.
+
+        They forget or end the program, abandon calls past their deadline and finish orphaned
+        calls.
+        """
         now_ms = self._clock.wall_ms()
         idle_ms = now_ms - program.last_active_ms
         dispatched = [c for c in program.calls if c.status == wire.CALL_STATUS_DISPATCHED]
@@ -342,7 +349,7 @@
             for call in program.calls
             if call.status == wire.CALL_STATUS_QUEUED and now_ms > call.deadline_ms
         ]
-        if idle_ms > ORPHAN_GRACE_MS or program.ended_reason:  # an ended one is not resumed
+        if idle_ms > ORPHAN_GRACE_MS or program.ended_reason:  # an ended program cannot be resumed
             commands += [await self._orphan_finish_command(program, call) for call in dispatched]
         return [command for command in commands if command.WhichOneof("command")]
 
--- a/src/bendshed/programs/shutdown_check.py
+++ b/src/bendshed/programs/shutdown_check.py
@@ -1,6 +1,6 @@
-"""Whether the groups of programs can do without a node that is to stop.
+"""Checks whether groups of programs keep a majority when this node stops.
 
-Relies on the voters' own answers: membership misses a node that died a moment ago.
+Asks the voters directly, because membership has not yet noticed a node that died moments ago.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 from bendshed.wire.programs_pb2 import AliveRequest
 
 VOTER_REPLY_TIMEOUT_S = 0.5
-"""A voter that does not answer within this time counts as gone."""
+"""A voter that does not reply within this time counts as down."""
 
 
 class ShutdownCheck:
@@ -34,10 +34,11 @@
         self._num_replicas = num_replicas
 
     async def groups_needing_this_node(self) -> list[int]:
-        """Groups that have no majority without this node, and for which waiting helps.
+        """Return the groups that have no majority without this node and that are worth waiting for.
 
-        It helps while another node can take the replica over, and while calls are under way whose
-        outcomes the group must still commit. Otherwise the whole installation may be stopping.
+        Waiting helps while another node can take over the replica, or while calls are in progress
+        whose outcomes the group must still commit. Otherwise the whole installation may be
+        stopping.
         """
         groups = self._voters_of_local_groups()
         responding = await self._responding_voters(
@@ -51,7 +52,7 @@
         ]
 
     def _voters_of_local_groups(self) -> dict[int, set[str]]:
-        """Voters of each group in which this node is one of several."""
+        """Return the voters of each group in which this node is one of several voters."""
         voters = {
             group_id: set(group.replica.membership.voters)
             for group_id, group in self._host.groups.items()
@@ -60,13 +61,13 @@
         return {group_id: ids for group_id, ids in voters.items() if own_id in ids and len(ids) > 1}
 
     def _has_replacement_nodes(self) -> bool:
-        """Whether enough disk nodes are left for a majority of a group's replicas."""
+        """Whether the other live disk nodes suffice for a majority of a group's replicas."""
         others = [m for m in self._membership.live() if m.has_disk]
         num_others = sum(member.node_id != self._host.node_id for member in others)
         return num_others > self._num_replicas // 2
 
     async def _responding_voters(self, voters: set[str]) -> set[str]:
-        """Those of the other voters that answer a request and do not leave too."""
+        """Return the other voters that reply to a request and are not leaving themselves."""
         addresses = {
             member.node_id: Address(member.host, member.peer_port)
             for member in self._membership.live()
--- a/src/bendshed/programs/state.py
+++ b/src/bendshed/programs/state.py
@@ -1,6 +1,6 @@
-"""The replicated state of one group: programs, calls, budgets. Pure and deterministic.
+"""The replicated state machine of one group: programs, calls, budgets. Pure and deterministic.
 
-The records are the messages of ``wire/programs.proto``: a snapshot is the state, unconverted.
+The records are messages of ``wire/programs.proto``, so a snapshot needs no conversion.
 """
 
 from collections.abc import Iterable, Iterator
@@ -10,15 +10,18 @@
 from bendshed.wire import programs_pb2 as wire
 
 TOKENS_PER_MESSAGE = 8
-"""Upper bound of tokens that a chat template adds to one message."""
+"""Upper bound on the tokens that a chat template adds to one message."""
 TOKENS_PER_PROMPT = 16
-"""Upper bound of tokens that a chat template adds to one prompt."""
+"""Upper bound on the tokens that a chat template adds to one prompt."""
 
 _CLOSED_STATUSES = (wire.CALL_STATUS_FINISHED, wire.CALL_STATUS_FAILED, wire.CALL_STATUS_ABANDONED)
 
 
 def find_call(program: wire.ProgramRecord, number: int) -> wire.CallRecord | None:
-    """Call of that number; calls are ordered by rising number, usually without gaps from 1."""
+    """Return the call with this number.
+
+    Calls are in ascending order of number, usually without gaps from 1.
+    """
     position = number - 1
     if 0 <= position < len(program.calls) and program.calls[position].number == number:
         return program.calls[position]
@@ -31,7 +34,7 @@
 
 
 def open_calls(programs: Iterable[wire.ProgramRecord]) -> Iterator[wire.CallRecord]:
-    """Calls that are queued or dispatched."""
+    """Yield the calls that are queued or dispatched."""
     for program in programs:
         for call in program.calls[program.closed_through :]:
             if call.status in (wire.CALL_STATUS_QUEUED, wire.CALL_STATUS_DISPATCHED):
@@ -39,10 +42,10 @@
 
 
 def is_runnable(program: wire.ProgramRecord, call: wire.CallRecord) -> bool:
-    """Whether the call's turn has come.
+    """Whether the program's call order lets the call run.
 
-    Every call issued before it has been dispatched or closed, and the one before it in its
-    branch is closed.
+    Every call with a lower number has been dispatched or closed, and those of its own branch are
+    closed.
     """
     expected = program.closed_through + 1
     for other in program.calls[program.closed_through :]:
@@ -66,7 +69,7 @@
 
 
 def history_calls(program: wire.ProgramRecord, last_call: int) -> list[wire.CallRecord]:
-    """Finished calls whose turns form the history that ends with ``last_call``, oldest first."""
+    """Return the finished calls that form the history up to ``last_call``, oldest first."""
     chain = []
     number = last_call
     while number:
@@ -80,12 +83,12 @@
 
 
 def turn_messages(call: wire.CallRecord) -> list[wire.ChatMessage]:
-    """Messages of a finished turn: what the caller sent, then the answer."""
+    """Return the messages of a finished turn: the caller's messages, then the answer."""
     return [*call.messages, wire.ChatMessage(role="assistant", content=call.answer)]
 
 
 def history_digest(calls: Iterable[wire.CallRecord]) -> bytes:
-    """Digest of a history; equal digests mean equal prompts."""
+    """Return the digest of a history; equal digests mean equal prompts."""
     parts: list[str] = []
     for call in calls:
         for message in turn_messages(call):
@@ -98,12 +101,12 @@
 
     Invariants: a call has at most one attempt in progress; an unrepeatable call is dispatched
     again only after its attempt was proven not started; ``spent + reserved`` of a program never
-    exceeds its limit, and of a tenant's portion never what was received.
+    exceeds its limit, and that of a tenant's portion never exceeds the tokens received.
 
     Attributes:
         programs: by program id.
-        portions: what this group borrowed, by tenant.
-        homes: what this group lends, by tenant; only for tenants whose home it is.
+        portions: tokens that this group borrowed, by tenant.
+        homes: tokens that this group lends, by tenant; only for tenants whose home group it is.
 
     """
 
@@ -122,7 +125,7 @@
         ).SerializeToString(deterministic=True)
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by a snapshot."""
+        """Replace the state with a snapshot."""
         parsed = wire.GroupState.FromString(state)
         self.programs = {record.program_id: record for record in parsed.programs}
         self.portions = {record.tenant: record for record in parsed.portions}
@@ -152,7 +155,7 @@
         return _refused(ErrorKind.INTERNAL, "the command is of a later version")
 
     def describe(self, program_id: str, number: int) -> wire.CallResult:
-        """What a call is now."""
+        """Return the current state of a call."""
         program = self.programs.get(program_id)
         call = find_call(program, number) if program is not None else None
         if program is None or call is None:
@@ -331,7 +334,11 @@
         runner: str,
         now_ms: int,
     ) -> wire.CallResult:
-        """Reserve the worst case and grant the next attempt, or refuse for good."""
+        """Reserve the worst-case tokens and grant the next attempt.
+
+        A call past its deadline or a limit is closed. If the tenant's portion does not suffice,
+        the result says how many tokens are missing.
+        """
         if now_ms > call.deadline_ms:
             return self._close_queued(program, call, ErrorKind.DEADLINE_EXCEEDED)
         if now_ms - program.started_ms > program.limits.max_seconds * 1000:
@@ -370,9 +377,10 @@
 
     @staticmethod
     def _advance_closed_through(program: wire.ProgramRecord) -> None:
-        """Move ``closed_through`` on, so that checks need not look at a long past.
+        """Advance ``closed_through``, so that checks skip the closed calls at the start.
 
-        Abandoned calls may be revived, so they end the run unless a later call was started.
+        An abandoned call may be submitted again until a later call was started; until then
+        ``closed_through`` stops before it.
         """
         for call in program.calls[program.closed_through :]:
             is_closed = call.status in (wire.CALL_STATUS_FINISHED, wire.CALL_STATUS_FAILED)
@@ -384,7 +392,10 @@
             program.closed_through = call.number
 
     def _worst_case_tokens(self, program: wire.ProgramRecord, call: wire.CallRecord) -> int:
-        """Upper bound: a token is at least one byte; earlier turns are known exactly."""
+        """Return an upper bound on the call's tokens.
+
+        A token is at least one byte; the token counts of earlier turns are known exactly.
+        """
         tokens = _token_upper_bound(call.messages) + TOKENS_PER_PROMPT + call.max_answer_tokens
         previous = find_call(program, call.previous_in_branch)
         if previous is not None:
@@ -394,7 +405,11 @@
     def _close_queued(
         self, program: wire.ProgramRecord, call: wire.CallRecord, kind: ErrorKind
     ) -> wire.CallResult:
-        """Close a queued call. One whose earlier attempt had started is not "not run"."""
+        """Close a queued call without running it.
+
+        If an earlier attempt had started, the call fails with ``ENGINE_LOST``, because it must not
+        be reported as not run.
+        """
         if call.error_kind == ErrorKind.ENGINE_LOST:
             call.status = wire.CALL_STATUS_FAILED
         else:
@@ -446,7 +461,7 @@
     def _charge_reservation(
         self, program: wire.ProgramRecord, call: wire.CallRecord, tokens: int
     ) -> None:
-        """Turn a reservation into what was spent."""
+        """Replace the call's reservation with the tokens that it spent."""
         portion = self._portion(program.tenant)
         program.reserved_tokens -= call.reserved_tokens
         portion.reserved_tokens -= call.reserved_tokens
@@ -484,11 +499,11 @@
         return self.portions[tenant]
 
     def next_portion_sequence(self, tenant: str) -> int:
-        """Sequence number of the next portion that this group may request."""
+        """Return the sequence number of the next portion that this group may request."""
         return self._portion(tenant).last_sequence + 1
 
     def _lend(self, command: wire.LendPortion) -> wire.CallResult:
-        """Lend once per (borrower, sequence); a repeated request gets the same answer."""
+        """Lend once per (borrower, sequence); a repeated request gets the same reply."""
         home = self.homes.setdefault(command.tenant, wire.TenantHome(tenant=command.tenant))
         if command.limit_revision >= home.limit_revision:
             home.limit_revision = command.limit_revision
