--- a/src/bendshed/configuration/__init__.py
+++ b/src/bendshed/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' configuration: its document, its changes and how it spreads."""
+"""The operators' configuration: its document, its changes and their distribution to nodes."""
--- a/src/bendshed/configuration/document.py
+++ b/src/bendshed/configuration/document.py
@@ -1,7 +1,7 @@
-"""The configuration document and the changes that make it (checked by pydantic).
+"""The configuration document and its changes, validated by pydantic.
 
-A document is the fold of all changes up to its revision. A change is immutable once it is
-accepted, so any two nodes at one revision hold the same document.
+A document is the result of applying all changes up to its revision in order. An accepted change
+is immutable, so all nodes at one revision hold the same document.
 """
 
 from typing import Annotated, Literal
@@ -26,12 +26,11 @@
 
 
 class ProgramDeclaration(_Value):
-    """A kind of program that operators accept.
+    """A kind of program that callers may start.
 
     Attributes:
         models: models that it may call.
         max_turns, max_seconds, max_tokens: limits of one program of this kind.
-        tool_timeout_s: after this long without a call a program is idle and ends.
 
     """
 
@@ -42,11 +41,12 @@
 
 
 class Tenant(_Value):
-    """A caller. ``token_sha256`` is the hash of its bearer token, in hex.
+    """A caller.
 
     Attributes:
+        token_sha256: SHA-256 hash of its bearer token, in hex.
         budget_tokens: tokens that all its programs together may spend.
-        priority: 0 most urgent.
+        priority: 0 is the most urgent.
 
     """
 
@@ -63,7 +63,12 @@
 
 
 class RunnerOrder(_Value):
-    """A model that a runner is to load. The fence is the revision that ordered it."""
+    """An order to a runner to load a model.
+
+    Attributes:
+        fence: the configuration revision of the order; lets the runner refuse an older order.
+
+    """
 
     model: Name
     fence: int
@@ -82,7 +87,7 @@
     limits: LimitsDeclaration = LimitsDeclaration()
 
     def tenant_of_token(self, token: str) -> str | None:
-        """Name of the tenant with this bearer token."""
+        """Return the name of the tenant with this bearer token."""
         digest = credential_digest(token)
         for name, tenant in self.tenants.items():
             if tenant.token_sha256 == digest:
@@ -91,7 +96,7 @@
 
 
 class DeclareProgram(_Value):
-    """Accept a kind of program, or replace its declaration."""
+    """Declare a kind of program, or replace its declaration."""
 
     change: Literal["declare_program"] = "declare_program"
     name: Name
@@ -131,7 +136,7 @@
 
 
 class DrainRunner(_Value):
-    """Give a runner no new work; ``drain=False`` takes that back."""
+    """Assign no new work to a runner; ``drain=False`` reverts this."""
 
     change: Literal["drain_runner"] = "drain_runner"
     runner: Name
@@ -155,14 +160,14 @@
 
 
 class DropService(_Value):
-    """Take a service away; refused while a route leads to it."""
+    """Remove a service; refused while a route names it."""
 
     change: Literal["drop_service"] = "drop_service"
     name: Name
 
 
 class PutRoute(_Value):
-    """Add or replace a route; its services must be there."""
+    """Add or replace a route; its services must exist."""
 
     change: Literal["put_route"] = "put_route"
     name: Name
@@ -170,14 +175,14 @@
 
 
 class DropRoute(_Value):
-    """Take a route away."""
+    """Remove a route."""
 
     change: Literal["drop_route"] = "drop_route"
     name: Name
 
 
 class SetLimits(_Value):
-    """Set the bounds on what callers of routes send."""
+    """Set the limits on requests to routes."""
 
     change: Literal["set_limits"] = "set_limits"
     limits: LimitsDeclaration
@@ -201,11 +206,11 @@
 
 
 class AcceptedChange(_Value):
-    """One change as the store holds it, under the key of its revision.
+    """One change as stored, under the key of its revision.
 
     Attributes:
-        operation_id: drawn by the writer, who recognizes its own accepted change by it.
-        base_revision: revision that the author saw; for the record.
+        operation_id: random id by which the writer recognizes its own accepted change.
+        base_revision: revision that the author saw; informational only.
 
     """
 
@@ -224,7 +229,7 @@
 
 
 class InvalidReference(Exception):
-    """A change names something that does not exist, or takes away what is still named."""
+    """A change names something that does not exist, or removes something that is still in use."""
 
 
 def apply_change(
--- a/src/bendshed/configuration/file_cache.py
+++ b/src/bendshed/configuration/file_cache.py
@@ -1,4 +1,4 @@
-"""Persists the newest configuration in one file of the data folder."""
+"""Persists the newest configuration in a file of the data folder."""
 
 from pathlib import Path
 
@@ -15,13 +15,13 @@
 
 
 class FileConfigurationCache(ConfigurationCache):
-    """The snapshot as JSON in a file with a digest; a file of another form is ignored."""
+    """Stores the snapshot as JSON with a digest; a file that fails validation is ignored."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / FILE_NAME
 
     def load(self) -> Snapshot | None:
-        """Return the persisted snapshot; a damaged file is logged and counts as none."""
+        """Return the persisted snapshot, or ``None`` if there is none; a damaged file is logged."""
         if not self._path.exists():
             return None
         try:
@@ -31,5 +31,5 @@
             return None
 
     def save(self, snapshot: Snapshot) -> None:
-        """Replace the file; it is always whole."""
+        """Replace the file atomically."""
         write_durable(self._path, snapshot.model_dump_json().encode())
--- a/src/bendshed/configuration/service.py
+++ b/src/bendshed/configuration/service.py
@@ -1,11 +1,12 @@
-"""How configuration is accepted, spread and stored.
+"""Accepts, distributes and stores configuration changes.
 
 A change is accepted when the store has created the object ``configuration/changes/<revision>``;
-creating it again fails, so of two racing operators one wins and the other sees it. The object
-never changes, hence a lost answer is settled by reading the key: it holds either our operation
-id or another's. A node applies revision n only after n - 1, so nothing ever reverts, and a
-store that answers with old data changes nothing. A few readers per zone watch the store; all
-others learn the newest revision by gossip and fetch what they lack from the peer that sent it.
+creating it again fails, so of two concurrent operators one succeeds and the other gets a conflict.
+The object never changes, so a lost reply is resolved by reading the key: it holds the operation
+id of either this operation or another. A node applies revision n only after n - 1, so the
+configuration never reverts, and stale reads from the store have no effect. A few readers per zone
+watch the store; all other nodes learn the newest revision by gossip and fetch the missing changes
+from the peer that sent it.
 """
 
 import asyncio
@@ -39,38 +40,39 @@
 STORE_RETRY_S = 1.0
 FETCH_TIMEOUT_S = 2.0
 MAX_RECENT_CHANGES = 256
-"""Changes held in memory, so that a peer that lags by fewer gets changes and no snapshot."""
+"""Changes kept in memory; a peer that lags by more than these gets a snapshot instead."""
 MAX_ATTEMPTS = 5
 
 log = PartLog("configuration")
 
 
 class ConfigurationCache(ABC):
-    """Where a disk node persists the newest configuration."""
+    """Storage in which a disk node persists the newest configuration."""
 
     @abstractmethod
     def load(self) -> Snapshot | None:
-        """Return the persisted snapshot; ``None``: there is none."""
+        """Return the persisted snapshot, or ``None`` if there is none."""
 
     @abstractmethod
     def save(self, snapshot: Snapshot) -> None:
-        """Persist it; durable on return."""
+        """Persist the snapshot durably before returning."""
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The change is accepted under this revision."""
+    """The change was accepted with this revision."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutStatus:
-    """Where a revision is in force.
+    """On which nodes a revision is in force.
 
     Attributes:
+        num_applied: number of nodes that hold the revision, this node included.
         lagging: node ids that hold an older revision.
-        unreachable: node ids that did not answer.
+        unreachable: node ids that did not reply.
 
     """
 
@@ -83,7 +85,8 @@
 class ConfigurationService:
     """Holds the configuration applied on this node.
 
-    Invariant: ``snapshot.revision`` only rises, by applying change after change.
+    Invariant: ``snapshot.revision`` only increases: the next change is applied, or a newer
+    snapshot is installed.
     """
 
     def __init__(
@@ -115,17 +118,17 @@
 
     @property
     def document(self) -> ConfigurationDocument:
-        """The document applied here."""
+        """The document applied on this node."""
         return self.snapshot.document
 
     @property
     def is_reader(self) -> bool:
-        """Whether this node is one of its zone's readers of the store."""
+        """Whether this node is one of the nodes of its zone that read the store."""
         readers = self._membership.zone_readers()[: self._readers_per_zone]
         return self._membership.swim.local_member.node_id in readers
 
     def start(self) -> None:
-        """Load the persisted configuration and begin to follow changes."""
+        """Load the persisted configuration and start following changes."""
         persisted = self._cache.load() if self._cache is not None else None
         if persisted is not None:
             self._install_snapshot(persisted)
@@ -141,7 +144,7 @@
     # --- writing -------------------------------------------------------------------------
 
     async def submit(self, body: AnyChange, author: str) -> Accepted | Refusal:
-        """Get a change accepted by the store, on top of the newest revision."""
+        """Submit a change to the store, on top of the newest revision."""
         operation_id = f"{self._rng.getrandbits(96):024x}"
         for _ in range(MAX_ATTEMPTS):
             try:
@@ -160,10 +163,10 @@
         return Refusal(ErrorKind.CONFLICT, "other operators' changes kept winning; ask again")
 
     async def _try_accept(self, body: AnyChange, author: str, operation_id: str) -> Accepted | None:
-        """Create the next revision's object; ``None``: another change won this revision."""
+        """Create the next revision's object; return ``None`` if another change took it."""
         base = self.snapshot
         revision = base.revision + 1
-        apply_change(base.document, body, revision)  # refuse before it is written
+        apply_change(base.document, body, revision)  # reject invalid changes before writing
         change = AcceptedChange(
             operation_id=operation_id,
             author=author,
@@ -180,7 +183,7 @@
         return Accepted(revision)
 
     async def _resolve_outcome(self, revision: int, operation_id: str) -> Accepted | None:
-        """After a conflict or a lost answer: read whose change has this revision."""
+        """After a conflict or a lost reply, read which change has this revision."""
         for attempt in range(MAX_ATTEMPTS):
             try:
                 stored = await self._store.get(change_key(revision))
@@ -197,7 +200,7 @@
         return None
 
     async def wait_for_rollout(self, revision: int, timeout_s: float) -> RolloutStatus:
-        """Wait until every live node holds the revision; say which do not."""
+        """Wait until every live node holds the revision, or until the timeout."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + timeout_s
         while True:
@@ -256,7 +259,7 @@
 
     def _apply(self, revision: int, change: AcceptedChange) -> None:
         if revision != self.snapshot.revision + 1:
-            return  # known already, or a gap that a later read fills
+            return  # already applied, or a gap that a later read fills
         self._recent_changes[revision] = change
         self._recent_changes.pop(revision - MAX_RECENT_CHANGES, None)
         with contextlib.suppress(InvalidReference):
@@ -275,7 +278,7 @@
         for on_change in self.on_change:
             on_change(snapshot.document)
 
-    # --- between nodes -------------------------------------------------------------------
+    # --- messages between nodes ----------------------------------------------------------
 
     def _on_revision_seen(self, node_id: str, revision: int) -> None:
         if revision <= self.snapshot.revision or self._fetching:
@@ -296,7 +299,7 @@
             )
             self._apply_reply(wire.ConfigurationReply.FromString(payload))
         except PeerUnreachable:
-            return  # the next gossip names a holder again
+            return  # a later gossip message names another peer that holds the revision
         finally:
             self._fetching = False
 
@@ -324,5 +327,5 @@
 
 
 def change_key(revision: int) -> str:
-    """Key of a revision's change; keys sort like revisions."""
+    """Return the store key of a revision's change; keys sort in the order of revisions."""
     return f"{CHANGES_PREFIX}{revision:012d}"
--- a/src/bendshed/configuration/services.py
+++ b/src/bendshed/configuration/services.py
@@ -1,4 +1,4 @@
-"""Services and routes as operators declare them (checked by pydantic), and what they come to."""
+"""Services and routes as operators declare them, validated by pydantic, and their conversion."""
 
 from typing import Annotated, Literal
 
@@ -16,7 +16,7 @@
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$")]
 Host = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9.-]{0,252}$")]
 RoutePrefix = Annotated[str, Field(pattern=r"^/([!-~]*/)?$")]
-"""Begins and ends with a slash."""
+"""A path prefix that begins and ends with a slash."""
 MAX_TIMEOUT_MS = 3_600_000
 MAX_ATTEMPTS = 10
 LEAST_URGENT_PRIORITY = 9
@@ -30,7 +30,7 @@
     """Runners of one kind; the machine list says which machines they are.
 
     Attributes:
-        slots: requests that each of them runs at once.
+        slots: requests that each runner runs concurrently.
 
     """
 
@@ -38,7 +38,7 @@
 
 
 class TargetDeclaration(_Declared):
-    """A part of a split."""
+    """A service that gets a weighted share of a route's requests."""
 
     service: Name
     weight: float = Field(default=1.0, gt=0, le=1_000_000)
@@ -58,7 +58,7 @@
 
 
 class LimitsDeclaration(_Declared):
-    """Bounds on what callers of routes send."""
+    """Limits on requests to routes."""
 
     max_body_bytes: int = Field(default=4_194_304, ge=1, le=1 << 32)
 
@@ -69,7 +69,7 @@
     routes: dict[str, RouteDeclaration],
     limits: LimitsDeclaration,
 ) -> ServiceDocument:
-    """Return what is in force for forwarding at a revision."""
+    """Return the services and routes that forwarding uses at a revision."""
     return ServiceDocument(
         version=revision,
         routes=tuple(_to_route(name, declared) for name, declared in routes.items()),
--- a/src/bendshed/membership/__init__.py
+++ b/src/bendshed/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes are alive: SWIM with suspicion, as a pure state machine and its UDP shell."""
+"""Cluster membership: SWIM with suspicion, as a pure state machine and the service that runs it."""
--- a/src/bendshed/membership/service.py
+++ b/src/bendshed/membership/service.py
@@ -1,4 +1,4 @@
-"""Shell around the membership state machine: UDP datagrams, timers, join and anti-entropy."""
+"""Runs the membership state machine: UDP datagrams, timers, joining and anti-entropy."""
 
 import asyncio
 import random
@@ -19,9 +19,9 @@
 JOIN_RETRY_S = 0.5
 READER_RANK_KEY = "configuration-reader"
 SEED_SYNC_PROBABILITY = 0.25
-"""Comparisons made with a seed, so that parts that lost each other meet again."""
+"""Probability of syncing with a seed, so that separated partitions find each other again."""
 SILENCE_TIMEOUT_S = 2.0
-"""Without a message from any peer for this long, updates may have been missed."""
+"""After this long without a message from any peer, updates may have been missed."""
 
 log = PartLog("membership")
 
@@ -30,10 +30,11 @@
     """Maintains this node's membership and notifies subscribers of changes.
 
     Attributes:
-        last_heard_s: loop time of the last message from a peer.
+        last_message_s: loop time of the last message from a peer.
 
-    After a silence (a pause, a cut, a start) what peers spread meanwhile may have been missed;
-    the view counts as current again only after a comparison of the whole state with a peer.
+    After a silence (a process pause, a network partition, a start) updates that peers spread in
+    the meantime may have been missed; the view counts as current again only after a sync of the
+    whole state with a peer.
     """
 
     def __init__(
@@ -59,40 +60,40 @@
 
     @property
     def view(self) -> swim.MembershipView:
-        """Members as known now."""
+        """Members as currently known."""
         return self.swim.view
 
     def start(self) -> None:
-        """Begin to probe and to join by the seeds."""
+        """Start probing, and joining through the seeds."""
         self._tasks = [
             start_loop(self._tick_forever(), "membership"),
             start_loop(self._sync_forever(), "membership"),
         ]
 
     async def stop(self) -> None:
-        """Stop probing."""
+        """Stop probing and syncing."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def leave(self) -> None:
-        """Announce that this node takes no new work."""
+        """Announce that this node accepts no new work."""
         self._perform(self.swim.leave())
 
     def broadcast_runner_notice(self, notice: wire.RunnerNotice) -> None:
-        """Spread a notice about a back end."""
+        """Spread a notice about a runner to all members."""
         self._perform(self.swim.broadcast_runner_notice(notice))
 
     def broadcast_leader_hint(self, hint: wire.LeaderHint) -> None:
-        """Spread a group's leader."""
+        """Spread a group's leader to all members."""
         self._perform(self.swim.broadcast_leader_hint(hint))
 
     def broadcast_revision(self, revision: int) -> None:
-        """Spread that this node holds a configuration revision."""
+        """Tell peers which configuration revision this node holds."""
         self._perform(self.swim.broadcast_revision(revision))
 
     def zone_readers(self) -> list[str]:
-        """Live nodes of this node's zone, in the order in which they read the platform."""
+        """Return the live nodes of this node's zone; the first ones read the store."""
         zone = self.swim.local_member.zone
         nodes = [member.node_id for member in self.view.live() if member.zone == zone]
         return rendezvous_rank(READER_RANK_KEY, nodes)
@@ -112,7 +113,7 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether news that all peers have would have reached this node."""
+        """Whether an update that all peers hold would have reached this node."""
         silent_s = asyncio.get_running_loop().time() - self.last_message_s
         return silent_s <= SILENCE_TIMEOUT_S and not self._may_have_missed_updates
 
@@ -124,7 +125,7 @@
         return self.swim.state().SerializeToString()
 
     def _summary(self) -> wire.MembershipSync:
-        """The state's digest without the state."""
+        """Return a sync message with the state's digest but without the state."""
         return wire.MembershipSync(
             digest=self.swim.digest(),
             sender=self.swim.local_member.node_id,
@@ -142,7 +143,7 @@
             await asyncio.sleep(TICK_S)
 
     async def _sync_forever(self) -> None:
-        """Join by the seeds, then compare the whole state with a random peer now and then."""
+        """Join through the seeds, then periodically sync the whole state with a random peer."""
         while True:
             joined = await self._sync_once()
             pause_s = SYNC_INTERVAL_S * self._rng.uniform(0.5, 1.5) if joined else JOIN_RETRY_S
@@ -166,7 +167,7 @@
         return True
 
     async def _exchange(self, peer: Address, mine: wire.MembershipSync) -> wire.MembershipSync:
-        """Send a digest or the whole state, and merge what comes back."""
+        """Send a digest or the whole state, and merge the reply."""
         payload = await self._transport.request(
             peer, SYNC_METHOD, mine.SerializeToString(), SYNC_TIMEOUT_S
         )
--- a/src/bendshed/membership/swim.py
+++ b/src/bendshed/membership/swim.py
@@ -1,7 +1,7 @@
 """Membership as a pure state machine: SWIM (Das 2002) with suspicion and incarnations, and
 local-health awareness (Lifeguard, Dadgar 2018).
 
-Beside members it spreads notices of leaving back ends and hints of group leaders, since these
+Besides members, it spreads notices of leaving runners and hints about group leaders, since these
 must reach every node within seconds too.
 """
 
@@ -25,7 +25,7 @@
 RETRANSMIT_FACTOR = 3
 MAX_UPDATES_PER_MESSAGE = 10
 DEAD_PROBE_INTERVAL_S = 5.0
-"""How often one dead member is probed, so that a healed cut is noticed."""
+"""How often one dead member is probed, so that the end of a network partition is detected."""
 DEAD_MEMBER_RETENTION_S = 3600.0
 
 ALIVE = wire.MEMBER_STATUS_ALIVE
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member joined, or its status or process changed."""
+    """A member joined, changed status or restarted."""
 
     member: wire.Member
 
 
 @dataclass(frozen=True, slots=True)
 class RunnerChanged:
-    """A back end is leaving, or came back."""
+    """A runner is leaving, or came back."""
 
     notice: wire.RunnerNotice
 
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class _Probe:
-    """One probe under way."""
+    """One probe in progress."""
 
     target: str
     sequence: int
@@ -98,35 +98,35 @@
 
 @dataclass(slots=True)
 class MembershipView:
-    """What others may read of the state: all known members by node id."""
+    """Read-only view of the state for other components: all known members by node id."""
 
     members: dict[str, wire.Member] = field(default_factory=dict)
 
     def address(self, node_id: str) -> Address | None:
-        """Peer address of a member that is not dead."""
+        """Return the peer address of a member that is not dead."""
         member = self.members.get(node_id)
         if member is None or member.status == DEAD:
             return None
         return Address(member.host, member.peer_port)
 
     def live(self) -> list[wire.Member]:
-        """Members that take work: alive or only suspected."""
+        """Return the members that accept work: alive or only suspected."""
         return [m for m in self.members.values() if m.status in (ALIVE, SUSPECT)]
 
 
 class SwimMembership:
     """Membership as seen by one node.
 
-    Invariant: a member's (incarnation, status rank) never falls; only the member itself raises
+    Invariant: a member's (incarnation, status rank) never decreases; only the member itself raises
     its incarnation.
 
     Attributes:
         local_member: this node's record.
         view: all known members, this node included.
-        runners: latest notice by back end.
+        runners: latest notice by runner.
         leaders: latest hint by group.
-        configuration_revision: sent to every peer.
-        local_health: 0 healthy; each missed probe or refuted suspicion raises it.
+        configuration_revision: revision that this node holds, sent to every peer.
+        local_health: 0 is healthy; each missed probe or refuted suspicion raises it.
 
     """
 
@@ -182,31 +182,31 @@
         return self._drain_effects()
 
     def sync(self, state: wire.MembershipSync, sender: str, now_s: float) -> list[Effect]:
-        """Merge the whole state of a peer."""
+        """Merge a peer's whole state."""
         self._merge(state.members, state.runners, state.leaders, now_s)
         self._observe_revision(sender, state.configuration_revision)
         return self._drain_effects()
 
     def leave(self) -> list[Effect]:
-        """Tell all members that this node takes no new work."""
+        """Tell all members that this node accepts no new work."""
         self._set_own_status(LEAVING)
         self._spread()
         return self._drain_effects()
 
     def broadcast_runner_notice(self, notice: wire.RunnerNotice) -> list[Effect]:
-        """Spread that a back end leaves or came back."""
+        """Spread that a runner is leaving or came back."""
         self._merge_runner(notice)
         self._spread()
         return self._drain_effects()
 
     def broadcast_leader_hint(self, hint: wire.LeaderHint) -> list[Effect]:
-        """Spread who leads a group."""
+        """Spread which node leads a group."""
         self._merge_leader(hint)
         self._spread()
         return self._drain_effects()
 
     def broadcast_revision(self, revision: int) -> list[Effect]:
-        """Tell peers at once that this node holds a newer configuration."""
+        """Tell peers immediately that this node holds a newer configuration."""
         self.configuration_revision = revision
         self._spread()
         return self._drain_effects()
@@ -223,7 +223,7 @@
         )
 
     def digest(self) -> int:
-        """Digest of all that ``sync`` would carry; equal digests need no comparison."""
+        """Return the digest of members, runners and leaders; equal digests need no sync."""
         members = sorted((m.node_id, m.incarnation, m.status) for m in self.view.members.values())
         runners = sorted((r.runner_id, r.incarnation, r.leaving) for r in self.runners.values())
         leaders = sorted((h.group_id, h.term, h.node_id) for h in self.leaders.values())
@@ -243,7 +243,7 @@
         self._send(target, wire.GOSSIP_KIND_PING, self._sequence, target)
 
     def _next_target(self) -> str | None:
-        """Round robin over a shuffled order, so every member is probed in bounded time."""
+        """Shuffled round robin, so that every member is probed in bounded time."""
         while True:
             if not self._probe_order:
                 self._probe_order = self._peers_not_dead()
@@ -304,7 +304,7 @@
         if dead:
             member = self.view.members[self._rng.choice(dead)]
             gossip = self._gossip(wire.GOSSIP_KIND_SPREAD, 0, member.node_id)
-            gossip.members.extend((member, self.local_member))  # lets it refute, and rejoin
+            gossip.members.extend((member, self.local_member))  # lets it refute and rejoin
             self._effects.append(SendGossip(Address(member.host, member.peer_port), gossip))
 
     # --- suspicion -----------------------------------------------------------------------
@@ -421,7 +421,7 @@
             return
         gossip = self._gossip(kind, sequence, target)
         if member.status == DEAD:
-            gossip.members.extend((member, self.local_member))  # alive after all: lets it refute
+            gossip.members.extend((member, self.local_member))  # lets a live member refute
         self._effects.append(SendGossip(Address(member.host, member.peer_port), gossip))
 
     def _gossip(self, kind: "wire.GossipKind.ValueType", sequence: int, target: str) -> wire.Gossip:
@@ -453,7 +453,7 @@
             if queued.transmissions >= limit:
                 del self._queue[key]
 
-    # --- small pieces --------------------------------------------------------------------
+    # --- helpers -------------------------------------------------------------------------
 
     def _peers_not_dead(self) -> list[str]:
         return [
