--- a/tests/defects.py
+++ b/tests/defects.py
@@ -1,4 +1,4 @@
-"""Planted defects, one and more per promise: patches made by tests, never in the product."""
+"""Planted defects, at least one per promise, as patches that only tests apply."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -48,14 +48,14 @@
 
 
 async def _forward_all(self: AttemptSender, run: Any, stream: Any) -> None:
-    """Forward a resumed stream from its first byte again."""
+    """Forward a resumed stream from its first byte again, not from where it broke off."""
     async for chunk in stream.events():
         run.live.append(chunk)
 
 
 @contextmanager
 def _report_unavailable_as_not_run() -> Iterator[None]:
-    """Say "not run" where nothing is known."""
+    """Report "not run" where the outcome is unknown."""
     wrong = {ErrorKind.GROUP_UNAVAILABLE: ErrorAnswer(503, True, WasRun.NO, 2)}
     with mock.patch.dict(ANSWERS, wrong):
         yield
@@ -80,7 +80,7 @@
 
 
 def _apply_any_revision(self: ConfigurationService, revision: int, change: Any) -> None:
-    """Take whatever the store or a peer sends as the newest."""
+    """Apply any revision that the store or a peer sends, whatever the current one is."""
     self._recent_changes[revision] = change
     self.snapshot = Snapshot(revision=revision, document=self.document)
     for on_change in self.on_change:
--- a/tests/search_machine.py
+++ b/tests/search_machine.py
@@ -1,4 +1,4 @@
-"""The Hypothesis state machine that both simulated worlds share."""
+"""The Hypothesis state machine for both kinds of simulated world."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
     game: Game,  # type: ignore[type-arg]
     action_groups: dict[str, tuple[Any, ...]],
 ) -> type[RuleBasedStateMachine]:
-    """Steps of each group in any order; at the end everything heals and the oracle judges."""
+    """Run steps of each group in any order, then heal all faults and let the oracle check."""
 
     class Machine(RuleBasedStateMachine):
         world: Any = None
@@ -48,5 +48,5 @@
 
 
 def stateful_settings(examples: int, steps: int) -> settings:
-    """The profile of all tests, at a size."""
+    """Return the loaded settings profile with these numbers of examples and steps."""
     return settings(max_examples=examples, stateful_step_count=steps)
--- a/tests/test_bootstrap_reads.py
+++ b/tests/test_bootstrap_reads.py
@@ -1,4 +1,4 @@
-"""The founding of the turn log costs the registry few calls."""
+"""Bootstrapping the turn log takes few registry reads."""
 
 import unittest
 from unittest import mock
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Without service after a store fault: short, in virtual time and with fixed seeds."""
+"""Failover and catch-up times after a store fault, in virtual time with fixed seeds."""
 
 import random
 import unittest
@@ -12,14 +12,14 @@
 SEEDS = range(1, 9)
 ELECTION_GOAL_MS = 500
 CATCH_UP_GOAL_MS = 2_150
-"""Half of the tightest time that the users' sites give a machine to catch up."""
+"""Half of the shortest time that the users' sites give a machine to catch up."""
 POLL_STEP_S = 0.01
 WAIT_LIMIT_S = 20.0
 WARM_UP_S = 6.0
 
 
 class StoreFault(StrEnum):
-    """What happens to the machine whose replica leads."""
+    """Fault injected into the machine whose replica is the leader."""
 
     KILL = "killed"
     FREEZE = "frozen"
@@ -40,7 +40,7 @@
                 self.assertLess(max(caught_up_ms for _, caught_up_ms in times), CATCH_UP_GOAL_MS)
 
     def recovery_times_ms(self, fault: StoreFault, seed: int) -> tuple[int, int]:
-        """Milliseconds until another replica leads; until all wanted voters hold all committed."""
+        """Return the time until another replica leads, and until enough voters have caught up."""
         world = SiteWorld.started(seed)
         try:
             world.run_for(WARM_UP_S + random.Random(seed).random())
@@ -67,14 +67,14 @@
                 world.restart(leader)
 
     def is_caught_up(self, world: SiteWorld, faulty: SimMachine) -> bool:
-        """Whether the wanted number of voters, without the faulty one, hold all committed."""
+        """Whether the target number of voters, without the faulty one, hold all commits."""
         leader = world.leader()
         if leader is None or leader is faulty or leader.replica is None:
             return False
         return leader.replica.supervisor.num_healthy_voters() >= world.layout.num_voters
 
     def wait_for(self, world: SiteWorld, condition: Callable[[], bool]) -> None:
-        """Let time pass in steps of ``POLL_STEP_S``, finer than the world's."""
+        """Advance time in steps of ``POLL_STEP_S``, which are shorter than the world's own."""
         deadline_s = world.loop.time() + WAIT_LIMIT_S
         while not condition():
             self.assertLess(world.loop.time(), deadline_s, "not reached")
@@ -82,7 +82,7 @@
 
 
 class FrontFailoverTest(unittest.TestCase):
-    """Fronts find the new leader at once, however many turns wait at them."""
+    """Fronts find the new leader promptly, however many turns wait at them."""
 
     LONG_PROGRAM = ProgramPlan(turns=30, tools=0)
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of a whole simulated installation; the same verdict every time."""
+"""Deterministic stateful fuzzing of a complete simulated installation."""
 
 import logging
 import unittest
@@ -25,8 +25,8 @@
 
 
 class RegressionSeedsTest(unittest.TestCase):
-    """A group lost its majority for good: of a dead voter and one that stopped, which still
-    answered, the latter was removed first.
+    """Guards against a group that loses its majority permanently: a stopping voter that still
+    replied was removed before a dead one.
     """
 
     def test_lost_disk_is_removed_before_a_stopping_node(self) -> None:
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""Every promise: the oracle catches a planted defect, and the product passes the same scenario."""
+"""For every promise, the oracle catches a planted defect and the product passes the scenario."""
 
 import logging
 import unittest
@@ -12,7 +12,7 @@
 class PromisesTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
-        logging.disable(logging.CRITICAL)  # planted defects make the loop report errors
+        logging.disable(logging.CRITICAL)  # planted defects make the event loop log errors
         cls.addClassCleanup(logging.disable, logging.NOTSET)
 
     def test_every_promise_has_a_defect(self) -> None:
@@ -31,5 +31,5 @@
                 self.assertEqual(scenario(seed), [])
 
     def test_orphan_of_ended_program_releases_cache(self) -> None:
-        """Found by the search: the grace for resuming kept an ended program's cache held."""
+        """Guards against the resume grace period holding the cache of a program that has ended."""
         self.assertEqual(scenarios.executor_dies_and_program_ends(1), [])
