--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -55,7 +55,7 @@
         return site.settle()
 
 
-def runners_cut_answers(seed: int) -> list[Violation]:
+def runners_truncate_answers(seed: int) -> list[Violation]:
     with world(seed) as site:
         for runner in site.runners.values():
             runner.troubles.cut = 0.5
@@ -64,7 +64,7 @@
         return site.settle()
 
 
-def calm(seed: int) -> list[Violation]:
+def no_faults(seed: int) -> list[Violation]:
     with world(seed) as site:
         start_programs(site)
         site.run_for(4.0)
@@ -98,21 +98,21 @@
         return site.settle()
 
 
-def leaders_lose_their_disks(seed: int) -> list[Violation]:
+def leader_loses_its_disk_in_three_worlds(seed: int) -> list[Violation]:
     """Three such worlds: one that is broken enough to serve nothing loses nothing either."""
     violations: list[Violation] = []
-    unserved: AssertionError | None = None
+    not_served: AssertionError | None = None
     for each in (seed, seed + 2, seed + 4):
         try:
             violations += leader_loses_its_disk(each)
         except AssertionError as error:
-            unserved = error
-    if unserved is not None and not violations:
-        raise unserved
+            not_served = error
+    if not_served is not None and not violations:
+        raise not_served
     return violations
 
 
-def a_runner_leaves(seed: int) -> list[Violation]:
+def runners_are_drained(seed: int) -> list[Violation]:
     with world(seed) as site:
         start_programs(site)
         site.drain_runner("engine-1")
@@ -123,7 +123,7 @@
         return site.settle()
 
 
-def clients_leave(seed: int) -> list[Violation]:
+def clients_disconnect(seed: int) -> list[Violation]:
     with world(seed) as site:
         for runner in site.runners.values():
             runner.troubles.slow = 8.0
@@ -135,7 +135,7 @@
         return site.settle()
 
 
-def a_front_stops(seed: int) -> list[Violation]:
+def fronts_stop_gracefully(seed: int) -> list[Violation]:
     with world(seed) as site:
         start_programs(site, 8)
         site.run_for(0.1)
@@ -144,7 +144,7 @@
         return site.settle()
 
 
-def configurations_come_stale(seed: int) -> list[Violation]:
+def stale_configurations_arrive(seed: int) -> list[Violation]:
     with world(seed) as site:
         for _ in range(4):
             site.publish()
@@ -153,7 +153,7 @@
         return site.settle()
 
 
-def a_tenant_floods(seed: int) -> list[Violation]:
+def tenant_exceeds_its_limit(seed: int) -> list[Violation]:
     """Far more than its limit, for three windows."""
     with world(seed) as site:
         for _ in range(15):
@@ -163,7 +163,7 @@
         return site.settle()
 
 
-def a_tenant_floods_in_bursts(seed: int) -> list[Violation]:
+def tenant_exceeds_its_limit_in_bursts(seed: int) -> list[Violation]:
     """Quiet and floods by turns, each flood as large as the limit."""
     with world(seed) as site:
         for number in range(8):
@@ -173,7 +173,7 @@
         return site.settle()
 
 
-def a_tenant_floods_while_leaders_change(seed: int) -> list[Violation]:
+def tenant_exceeds_its_limit_while_leaders_change(seed: int) -> list[Violation]:
     with world(seed) as site:
         for _ in range(6):
             for _ in range(8):
@@ -187,7 +187,7 @@
         return site.settle()
 
 
-def a_tenant_floods_through_cut_fronts(seed: int) -> list[Violation]:
+def tenant_exceeds_its_limit_through_isolated_fronts(seed: int) -> list[Violation]:
     """Turns end and their calls go out while two of three fronts are cut off now and then."""
     with world(seed) as site:
         for second in range(12):
@@ -204,7 +204,7 @@
         return site.settle()
 
 
-def a_key_is_removed(seed: int) -> list[Violation]:
+def credential_is_removed(seed: int) -> list[Violation]:
     """While the store's answers may be older ones, and clients go on sending."""
     with world(seed) as site:
         for _ in range(3):
@@ -231,48 +231,48 @@
         return site.settle()
 
 
-_TERM_BEGAN_MS: dict[tuple[int, int], int] = {}
+_TERM_START_MS: dict[tuple[int, int], int] = {}
 
 
 def _num_counted_in_one_term(
     ledger: QuotaLedger, tenant: str, usage: UsageWindows, now_ms: int
 ) -> int:
     """Counts just what was let through since this leader began."""
-    began_ms = _TERM_BEGAN_MS.setdefault((id(ledger), ledger._term), now_ms)
-    return usage.in_window(tenant, now_ms, min(ledger._counted_window_ms, now_ms - began_ms))
+    term_start_ms = _TERM_START_MS.setdefault((id(ledger), ledger._term), now_ms)
+    return usage.in_window(tenant, now_ms, min(ledger._counted_window_ms, now_ms - term_start_ms))
 
 
-def _spend_always(gate: LocalAllowances, tenant: str, now_s: float) -> bool:
-    gate.record_admitted(tenant, 0, now_s)
+def _admit_always(allowances: LocalAllowances, tenant: str, now_s: float) -> bool:
+    allowances.record_admitted(tenant, 0, now_s)
     return True
 
 
 def _buckets_in_fixed_window(
     count: SlidingWindowCounter, now_ms: int, window_ms: int
 ) -> Iterator[object]:
-    begins_ms = now_ms - now_ms % window_ms
-    return (bucket for bucket in count.buckets if bucket.at_ms >= begins_ms)
+    window_start_ms = now_ms - now_ms % window_ms
+    return (bucket for bucket in count.buckets if bucket.at_ms >= window_start_ms)
 
 
-_REAL_INDEX = AccessIndex.__init__
-_EVER_KNOWN: dict[str, Tenant] = {}
+_REAL_ACCESS_INDEX_INIT = AccessIndex.__init__
+_ALL_CREDENTIALS: dict[str, Tenant] = {}
 
 
-def _index_of_all_versions(index: AccessIndex, document: ServiceDocument) -> None:
-    _REAL_INDEX(index, document)
-    _EVER_KNOWN.update(index._by_credential)
-    index._by_credential = _EVER_KNOWN
+def _index_all_versions(index: AccessIndex, document: ServiceDocument) -> None:
+    _REAL_ACCESS_INDEX_INIT(index, document)
+    _ALL_CREDENTIALS.update(index._by_credential)
+    index._by_credential = _ALL_CREDENTIALS
 
 
 @dataclass(frozen=True)
 class Defect:
     rule: Rule
     scenario: Scenario
-    plant: Callable[[], contextlib.AbstractContextManager[object]]
+    inject: Callable[[], contextlib.AbstractContextManager[object]]
     seed: int = 1
 
 
-async def _open_and_promise(attempts: Attempts, body: bytes) -> OpenResponse | Refusal:
+async def _open_claiming_not_run(attempts: Attempts, body: bytes) -> OpenResponse | Refusal:
     outcome = await _REAL_OPEN(attempts, body)
     if isinstance(outcome, Refusal):
         return Refusal(ErrorKind.OVERLOADED, outcome.detail)
@@ -283,30 +283,30 @@
 _REAL_BODY = OpenResponse.body
 
 
-async def _body_without_complaint(answer: OpenResponse) -> AsyncIterator[bytes]:
+async def _body_ignoring_truncation(answer: OpenResponse) -> AsyncIterator[bytes]:
     with contextlib.suppress(ResponseBroken):
         async for chunk in _REAL_BODY(answer):
             yield chunk
 
 
-def _any_transcript(cache: TranscriptCache, turn_id: str) -> bytes | None:
+def _latest_transcript(cache: TranscriptCache, turn_id: str) -> bytes | None:
     return next(reversed(cache._entries.values()), None)
 
 
-def _all_of_service(
+def _all_runners_of_service(
     table: RunnerTable, service: str, now_s: float, regions: object = None
 ) -> list[object]:
     return list(table.by_service.get(service, {}).values())
 
 
-async def _finish_never(record: TurnRecord) -> bool:
+async def _finish_late(record: TurnRecord) -> bool:
     import asyncio  # noqa: PLC0415
 
     await asyncio.sleep(3.5)
     return True
 
 
-def _take_any_document(node: ServiceNode, document: object) -> bool:
+def _apply_any_document(node: ServiceNode, document: object) -> bool:
     node.forwarder.index = RouteIndex(document)  # type: ignore[arg-type]
     node.on_document(document)  # type: ignore[arg-type]
     return True
@@ -323,13 +323,13 @@
         patch(decisions, "may_run_again", lambda history, _route: history.num_possible_runs < 3),
     ),
     "unknown is told as not run": Defect(
-        Rule.REFUSAL, runners_lose_answers, patch(Attempts, "open", _open_and_promise)
+        Rule.REFUSAL, runners_lose_answers, patch(Attempts, "open", _open_claiming_not_run)
     ),
     "a cut stream ends like a whole one": Defect(
-        Rule.WHOLE, runners_cut_answers, patch(OpenResponse, "body", _body_without_complaint)
+        Rule.WHOLE, runners_truncate_answers, patch(OpenResponse, "body", _body_ignoring_truncation)
     ),
     "a held transcript is not checked": Defect(
-        Rule.CHAIN, calm, patch(TranscriptCache, "get", _any_transcript)
+        Rule.CHAIN, no_faults, patch(TranscriptCache, "get", _latest_transcript)
     ),
     "the worst case is not reserved": Defect(
         Rule.BUDGET,
@@ -337,45 +337,47 @@
         patch(TurnLogState, "_reserve", lambda _state, _program, _begin: True),
     ),
     "a turn's end is not kept": Defect(
-        Rule.FOUND, calm, patch(TurnLogState, "_store_turn", lambda self, finish: None)
+        Rule.FOUND, no_faults, patch(TurnLogState, "_store_turn", lambda self, finish: None)
     ),
     "one replica is a majority": Defect(
-        Rule.FOUND, leaders_lose_their_disks, patch(RaftReplica, "_quorum", property(lambda _s: 1))
+        Rule.FOUND,
+        leader_loses_its_disk_in_three_worlds,
+        patch(RaftReplica, "_quorum", property(lambda _s: 1)),
     ),
     "leaving is ignored": Defect(
-        Rule.DRAIN, a_runner_leaves, patch(RunnerTable, "eligible", _all_of_service)
+        Rule.DRAIN, runners_are_drained, patch(RunnerTable, "eligible", _all_runners_of_service)
     ),
     "a connection is kept when its client left": Defect(
-        Rule.LEAVE, clients_leave, patch(SimConnection, "abort", lambda self: None)
+        Rule.LEAVE, clients_disconnect, patch(SimConnection, "abort", lambda self: None)
     ),
     "an answer is held back at its end": Defect(
-        Rule.STOP, a_front_stops, patch(TurnRecord, "finish_complete", _finish_never)
+        Rule.STOP, fronts_stop_gracefully, patch(TurnRecord, "finish_complete", _finish_late)
     ),
     "any configuration is taken": Defect(
         Rule.CONFIGURATION,
-        configurations_come_stale,
-        patch(ServiceNode, "apply_document", _take_any_document),
+        stale_configurations_arrive,
+        patch(ServiceNode, "apply_document", _apply_any_document),
     ),
     "what was let through is not counted": Defect(
-        Rule.QUOTA, a_tenant_floods, patch(UsageWindows, "charge", lambda *_: None)
+        Rule.QUOTA, tenant_exceeds_its_limit, patch(UsageWindows, "charge", lambda *_: None)
     ),
     "a new leader gives again what the last one gave": Defect(
         Rule.QUOTA,
-        a_tenant_floods_while_leaders_change,
+        tenant_exceeds_its_limit_while_leaders_change,
         patch(QuotaLedger, "_num_counted", _num_counted_in_one_term),
     ),
     "a front that is cut off goes on": Defect(
         Rule.QUOTA,
-        a_tenant_floods_through_cut_fronts,
-        patch(LocalAllowances, "try_admit", _spend_always),
+        tenant_exceeds_its_limit_through_isolated_fronts,
+        patch(LocalAllowances, "try_admit", _admit_always),
     ),
     "windows are fixed spans": Defect(
         Rule.QUOTA,
-        a_tenant_floods_in_bursts,
+        tenant_exceeds_its_limit_in_bursts,
         patch(SlidingWindowCounter, "_buckets_in_window", _buckets_in_fixed_window),
     ),
     "keys of older configurations stay known": Defect(
-        Rule.ACCESS, a_key_is_removed, patch(AccessIndex, "__init__", _index_of_all_versions)
+        Rule.ACCESS, credential_is_removed, patch(AccessIndex, "__init__", _index_all_versions)
     ),
     "turns are kept without their tenant": Defect(
         Rule.TENANT,
@@ -384,6 +386,6 @@
     ),
 }
 DEFECTS.update(
-    (name, Defect(rule, scenario, plant))  # type: ignore[arg-type]
-    for name, (rule, scenario, plant) in REGION_DEFECTS.items()
+    (name, Defect(rule, scenario, inject))  # type: ignore[arg-type]
+    for name, (rule, scenario, inject) in REGION_DEFECTS.items()
 )
--- a/tests/test_site_rules.py
+++ b/tests/test_site_rules.py
@@ -41,7 +41,7 @@
         self.assertTrue(self.defects)
         for name, defect in self.defects.items():
             with self.subTest(defect=name):
-                with defect.plant():
+                with defect.inject():
                     try:
                         broken = {violation.rule for violation in play(defect)}
                     except AssertionError:  # the site does not even serve any more
