--- a/tests/site_cold_defects.py
+++ b/tests/site_cold_defects.py
@@ -12,10 +12,10 @@
 from bendshed.services.permit_client import PermitClient, RunnerPermit
 from tests.site_defects import Defect, patch, world
 
-LONG_S = 60.0
+LONG_COLD_S = 60.0
 
 
-def cool_all(site: SiteWorld, for_s: float = LONG_S) -> None:
+def cool_all_runners(site: SiteWorld, for_s: float = LONG_COLD_S) -> None:
     for name in list(site.listed):
         site.cool_runner(name, for_s)
 
@@ -28,7 +28,7 @@
 def all_cold_while_leaders_change(seed: int) -> list[Violation]:
     """Each leader is killed in the midst of a flood, and the next one serves within the second."""
     with world(seed) as site:
-        cool_all(site)
+        cool_all_runners(site)
         site.run_for(2.5)
         for _ in range(4):
             flood(site, 60)
@@ -42,12 +42,12 @@
         return site.settle()
 
 
-def all_cold_while_fronts_are_cut(seed: int) -> list[Violation]:
+def all_cold_while_fronts_are_isolated(seed: int) -> list[Violation]:
     """Calls flood the cold tools through fronts that reach no replica machine."""
     with world(seed) as site:
         flood(site, 40, tools=8, turns=4)
         site.run_for(0.6)
-        cool_all(site)
+        cool_all_runners(site)
         site.run_for(2.2)
         for front in site.fronts.values():
             site.network.cuts.update((front.host, store.host) for store in site.stores.values())
@@ -58,11 +58,11 @@
         return site.settle()
 
 
-def all_cold_after_a_while(seed: int) -> list[Violation]:
+def all_cold_long_after_startup(seed: int) -> list[Violation]:
     """Runners turn cold again long after all processes began."""
     with world(seed) as site:
         site.run_for(10.0)
-        cool_all(site, for_s=9.0)
+        cool_all_runners(site, for_s=9.0)
         site.run_for(2.2)
         flood(site, 80, tools=2)
         site.run_for(6.0)
@@ -80,15 +80,17 @@
         return site.settle()
 
 
-def _whole_share(_touch: LeadershipTracker, _now_s: float) -> float:
+def _full_share(_tracker: LeadershipTracker, _now_s: float) -> float:
     return 1.0
 
 
-async def _request_no_one(permits: PermitClient, request: object, demand: object) -> RunnerPermit:
+async def _permit_without_request(
+    permits: PermitClient, request: object, demand: object
+) -> RunnerPermit:
     return RunnerPermit("tool-1", TimedPermit(float("inf")))
 
 
-def _note_by_another_clock(
+def _note_remaining_time_as_deadline(
     cold: ColdRunners, runner: ServiceRunner, left_s: float, now_s: float
 ) -> float:
     """Counts the time left from the teller's zero and not from the moment it was heard."""
@@ -103,15 +105,17 @@
 
 COLD_DEFECTS: dict[str, Defect] = {
     "each leader grants the whole bound": Defect(
-        Rule.COLD, all_cold_while_leaders_change, patch(LeadershipTracker, "share", _whole_share)
+        Rule.COLD, all_cold_while_leaders_change, patch(LeadershipTracker, "share", _full_share)
     ),
     "a front without a word goes on": Defect(
         Rule.COLD,
-        all_cold_while_fronts_are_cut,
-        patch(PermitClient, "request_permit", _request_no_one),
+        all_cold_while_fronts_are_isolated,
+        patch(PermitClient, "request_permit", _permit_without_request),
     ),
     "the time left is counted from another clock": Defect(
-        Rule.COLD, all_cold_after_a_while, patch(ColdRunners, "_note", _note_by_another_clock)
+        Rule.COLD,
+        all_cold_long_after_startup,
+        patch(ColdRunners, "_note", _note_remaining_time_as_deadline),
     ),
     "a runner that has just started counts as warm": Defect(
         Rule.COLD,
--- a/tests/test_cold_runner_dispatch.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -42,7 +42,7 @@
 from bendshed.turns.state import TurnLogState
 from bendshed.turns.turn_placement import TurnPlacement
 from bendshed.wire import turns_pb2 as wire
-from tests.site_cold_defects import LONG_S, cool_all, flood
+from tests.site_cold_defects import LONG_COLD_S, cool_all_runners, flood
 from tests.site_defects import world
 
 START_MS = 8_000
@@ -544,7 +544,7 @@
     def test_leader_is_paused_with_outstanding_permits_and_resumes(self) -> None:
         for seed in (1, 2):
             with self.subTest(seed=seed), world(seed) as site:
-                cool_all(site, LONG_S)
+                cool_all_runners(site, LONG_COLD_S)
                 site.run_for(2.5)
                 flood(site, 50, tools=1)
                 site.run_for(0.1)
@@ -560,7 +560,7 @@
 
     def test_leader_is_cut_off_from_replicas_but_not_from_fronts(self) -> None:
         with world(3) as site:
-            cool_all(site, LONG_S)
+            cool_all_runners(site, LONG_COLD_S)
             site.run_for(2.5)
             leader = site.leader()
             assert leader is not None
@@ -592,7 +592,7 @@
         for seed in (4, 5):
             with self.subTest(seed=seed), world(seed) as site:
                 site.run_for(3.0)
-                cool_all(site, LONG_S)
+                cool_all_runners(site, LONG_COLD_S)
                 site.run_for(0.5)
                 for _ in range(12):
                     flood(site, 15, turns=4)
@@ -606,7 +606,7 @@
         with world(4) as site:
             flood(site, 10)  # each front finds the leader
             site.run_for(6.0)
-            cool_all(site, LONG_S)
+            cool_all_runners(site, LONG_COLD_S)
             site.run_for(0.5)
             flood(site, 60)
             site.run_for(1.0)
@@ -637,7 +637,7 @@
 
     def test_all_machines_restart_from_stored_files_while_the_registry_is_down(self) -> None:
         with world(6) as site:
-            cool_all(site, LONG_S)
+            cool_all_runners(site, LONG_COLD_S)
             site.run_for(2.0)
             site.registry.is_down = True
             machines = [*site.fronts.values(), *site.stores.values()]
