--- a/tests/site_zone_defects.py
+++ b/tests/site_zone_defects.py
@@ -14,28 +14,28 @@
 from bendshed.services.runner_placement import RunnerPlacement
 from tests.site_defects import Defect, patch, world
 
-CLOSED = "zone-b"
+CLOSED_ZONE = "zone-b"
 
 
-def play(site: SiteWorld, seconds: int) -> None:
+def run_programs(site: SiteWorld, seconds: int) -> None:
     """Programs that begin all the while."""
     for _ in range(2 * seconds):
         site.start_program(ProgramPlan(turns=2, tools=2))
         site.run_for(0.5)
 
 
-def runners_shed_beside_a_closed_zone(seed: int) -> list[Violation]:
+def runners_shed_load_while_a_zone_is_closed(seed: int) -> list[Violation]:
     with world(seed) as site:
-        site.close_zone(CLOSED)
+        site.close_zone(CLOSED_ZONE)
         for runner in site.runners.values():
             runner.troubles.shed = 0.5
-        play(site, 8)
+        run_programs(site, 8)
         return site.settle()
 
 
-def all_start_in_the_dark_with_a_closed_zone(seed: int) -> list[Violation]:
+def all_restart_without_registry_while_a_zone_is_closed(seed: int) -> list[Violation]:
     with world(seed) as site:
-        site.close_zone(CLOSED)
+        site.close_zone(CLOSED_ZONE)
         site.run_for(ZONE_CLOSE_S)
         site.zones.mark_stored(site.loop.time())
         site.registry.is_down = True
@@ -47,18 +47,18 @@
         for machine in machines:
             site.restart(machine)
         site.run_for(1.0)
-        play(site, 4)
+        run_programs(site, 4)
         return site.settle()
 
 
-def older_words_come_after_a_closing(seed: int) -> list[Violation]:
+def older_updates_arrive_after_a_closing(seed: int) -> list[Violation]:
     """While answers are lost, fronts hear older words now and then."""
     with world(seed) as site:
         for _ in range(2):
-            site.close_zone(CLOSED)
+            site.close_zone(CLOSED_ZONE)
             site.run_for(1.0)
             site.registry.answer_loss = 0.5
-            play(site, 6)
+            run_programs(site, 6)
             site.registry.answer_loss = 0.0
             site.open_zones()
             site.run_for(1.0)
@@ -67,19 +67,19 @@
 
 def a_zone_is_closed_and_opened(seed: int) -> list[Violation]:
     with world(seed) as site:
-        site.close_zone(CLOSED)
-        play(site, 5)
+        site.close_zone(CLOSED_ZONE)
+        run_programs(site, 5)
         site.open_zones()
-        play(site, 2)
+        run_programs(site, 2)
         site.close_zone("zone-a")
-        play(site, 5)
+        run_programs(site, 5)
         return site.settle()
 
 
 _REAL_CHOOSE = RunnerPlacement.choose
 
 
-def _choose_anywhere_again(
+def _retry_in_any_zone(
     placement: RunnerPlacement, tried: Collection[str], now_s: float
 ) -> Choice | None:
     """A retry looks at all runners."""
@@ -89,37 +89,37 @@
         return _REAL_CHOOSE(placement, tried, now_s)
 
 
-def _retries_go_anywhere() -> contextlib.AbstractContextManager[object]:
+def _retries_ignore_closed_zones() -> contextlib.AbstractContextManager[object]:
     return mock.patch.multiple(
-        RunnerPlacement, choose=_choose_anywhere_again, may_dispatch_to=lambda *_args: True
+        RunnerPlacement, choose=_retry_in_any_zone, may_dispatch_to=lambda *_args: True
     )
 
 
-_REAL_TAKE = ZoneRecord.apply
+_REAL_APPLY = ZoneRecord.apply
 
 
-def _take_any_word(record: ZoneRecord, word: ZoneUpdate, now_s: float) -> ZoneChanges:
+def _apply_any_update(record: ZoneRecord, update: ZoneUpdate, now_s: float) -> ZoneChanges:
     """An older word counts like a newer one."""
-    changes = _REAL_TAKE(record, word, now_s)
-    record.zones = word.zones
+    changes = _REAL_APPLY(record, update, now_s)
+    record.zones = update.zones
     return changes
 
 
-def _listen_to_older_words() -> contextlib.AbstractContextManager[object]:
-    return mock.patch.object(ZoneRecord, "apply", _take_any_word)
+def _apply_older_updates() -> contextlib.AbstractContextManager[object]:
+    return mock.patch.object(ZoneRecord, "apply", _apply_any_update)
 
 
 ZONE_DEFECTS: dict[str, Defect] = {
     "a retry goes into a closed zone": Defect(
-        Rule.CLOSED, runners_shed_beside_a_closed_zone, _retries_go_anywhere
+        Rule.CLOSED, runners_shed_load_while_a_zone_is_closed, _retries_ignore_closed_zones
     ),
     "a restart forgets a closing": Defect(
         Rule.CLOSED,
-        all_start_in_the_dark_with_a_closed_zone,
+        all_restart_without_registry_while_a_zone_is_closed,
         patch(codec, "add_zones", lambda *_args, **_kwargs: None),
     ),
     "an older word of closed zones is taken": Defect(
-        Rule.CLOSED, older_words_come_after_a_closing, _listen_to_older_words
+        Rule.CLOSED, older_updates_arrive_after_a_closing, _apply_older_updates
     ),
     "nobody asks whether a zone is closed": Defect(
         Rule.CLOSED,
