--- a/tests/region_defects.py
+++ b/tests/region_defects.py
@@ -7,7 +7,7 @@
 
 from bendshed.admission import program_budget
 from bendshed.admission.program_budget import ProgramBudget
-from bendshed.consensus import bootstrap as founding
+from bendshed.consensus import bootstrap
 from bendshed.consensus.replica_choice import DiskNode, VoterTopology
 from bendshed.rehearsal.site.layout import THREE_ZONES, TWO_REGIONS, SiteLayout
 from bendshed.rehearsal.site.oracle import Rule, Violation
@@ -17,8 +17,8 @@
 from bendshed.turns.service import TurnService
 from bendshed.wire import turns_pb2 as wire
 
-LOOP = ProgramPlan(turns=1, tools=0, sub_agents=4, loops=True)
-ZONE_LOSS_S = 1.0
+LOOPING_PLAN = ProgramPlan(turns=1, tools=0, sub_agents=4, loops=True)
+ZONE_LOSS_ELECTION_S = 1.0
 """The turn log is led again within this time while a zone is dark."""
 
 
@@ -41,19 +41,19 @@
         site.network.cuts.update((one, other) for other, there in hosts if there != here)
 
 
-def start_half(site: SiteWorld, program_id: str, at: str, budget_tokens: int) -> None:
+def start_program_in_region(site: SiteWorld, program_id: str, at: str, budget_tokens: int) -> None:
     """One line of a program whose other line enters through the other region."""
-    half = site.start_program(LOOP, budget_tokens=budget_tokens)
-    half.program_id = program_id
+    program = site.start_program(LOOPING_PLAN, budget_tokens=budget_tokens)
+    program.program_id = program_id
     fronts = [front.name for front in site.fronts.values() if region(site, front) == at]
-    half.pick_node = lambda: site.rng.choice(fronts)
+    program.pick_node = lambda: site.rng.choice(fronts)
 
 
 def loops_in_both_regions(seed: int) -> list[Violation]:
     with world(seed) as site:
         for number in range(3):
             for at in ("near", "far"):
-                start_half(site, f"both-{number}", at, budget_tokens=500)
+                start_program_in_region(site, f"both-{number}", at, budget_tokens=500)
         site.run_for(8.0)
         return site.settle()
 
@@ -64,7 +64,7 @@
         cut_regions(site)
         for number in range(3):
             for at in ("near", "far"):
-                start_half(site, f"both-{number}", at, budget_tokens=500)
+                start_program_in_region(site, f"both-{number}", at, budget_tokens=500)
         site.run_for(8.0)
         return site.settle()
 
@@ -77,12 +77,12 @@
         assert near is not None
         peers = [machine for machine in site.stores.values() if machine not in (far, near)]
         site.network.cuts.update((far.host, peer.host) for peer in peers)
-        start_half(site, "both", "near", budget_tokens=500)
+        start_program_in_region(site, "both", "near", budget_tokens=500)
         site.run_for(0.3)
         site.kill(far)
         site.network.cuts.clear()
         site.wait_for(site.is_led, 5.0)
-        start_half(site, "both", "far", budget_tokens=500)
+        start_program_in_region(site, "both", "far", budget_tokens=500)
         site.run_for(8.0)
         site.restart(far)
         return site.settle()
@@ -109,27 +109,27 @@
             leaving = next(m for m in site.stores.values() if m is not leader and m.zone == zone)
             site.registry.retirements[leaving.name] = False
             site.run_for(0.15)
-            dark = [m for m in site.stores.values() if m.zone == zone]
-            for machine in dark:
+            zone_machines = [m for m in site.stores.values() if m.zone == zone]
+            for machine in zone_machines:
                 site.kill(machine)
             try:
-                site.wait_for(site.is_led, ZONE_LOSS_S)
+                site.wait_for(site.is_led, ZONE_LOSS_ELECTION_S)
             except TimeoutError:
                 found.append(Violation(Rule.ZONE, f"no leader without {zone}"))
-            for machine in dark:
+            for machine in zone_machines:
                 site.restart(machine)
             del site.registry.retirements[leaving.name]
             site.run_for(6.0)
         return [*found, *site.settle()]
 
 
-def _whole_budget(budget_tokens: int, _group_id: int, _num_groups: int) -> int:
+def _share_whole_budget(budget_tokens: int, _group_id: int, _num_groups: int) -> int:
     return budget_tokens
 
 
-def _add(program: ProgramBudget, told: wire.TakeShare) -> None:
-    known = program.taken.get(told.from_group, 0)
-    program.taken[told.from_group] = known + told.released_tokens
+def _add_taken_share(program: ProgramBudget, share: wire.TakeShare) -> None:
+    known = program.taken.get(share.from_group, 0)
+    program.taken[share.from_group] = known + share.released_tokens
 
 
 _REAL_COMMIT = TurnService._commit
@@ -142,24 +142,26 @@
     if not command.HasField("release"):
         return await _REAL_COMMIT(service, command, answer_by_s)
     state, _term = service._group(command.group).leader_state()
-    ask = command.release
-    program = state.programs.get((ask.tenant, ask.program_id), ProgramBudget())
-    spare = program.available_tokens(ask.budget_tokens, command.group, ask.num_groups)
-    committing = asyncio.get_running_loop().create_task(_REAL_COMMIT(service, command, answer_by_s))
-    committing.add_done_callback(lambda done: done.cancelled() or done.exception())
-    return wire.TurnReply(released_tokens=program.released.get(ask.to_group, 0) + max(0, spare))
+    release = command.release
+    program = state.programs.get((release.tenant, release.program_id), ProgramBudget())
+    left_tokens = program.available_tokens(release.budget_tokens, command.group, release.num_groups)
+    commit = asyncio.get_running_loop().create_task(_REAL_COMMIT(service, command, answer_by_s))
+    commit.add_done_callback(lambda done: done.cancelled() or done.exception())
+    return wire.TurnReply(
+        released_tokens=program.released.get(release.to_group, 0) + max(0, left_tokens)
+    )
 
 
 _REAL_GROUP_COMMIT = GroupSearch._commit
 
 
-async def _silence_is_no(search: GroupSearch, group: int) -> wire.TurnReply | None:
+async def _treat_silence_as_unknown_turn(search: GroupSearch, group: int) -> wire.TurnReply | None:
     """A group that does not answer counts as one that does not know the turn."""
     reply = await _REAL_GROUP_COMMIT(search, group)
     return reply or wire.TurnReply(answer=wire.TURN_ANSWER_UNKNOWN_TURN)
 
 
-def _by_name(
+def _choose_by_zone_name(
     _group_id: int, nodes: Collection[DiskNode], count: int, _home: object = None
 ) -> list[str]:
     """All voters where the first zone is."""
@@ -169,7 +171,7 @@
 
 def majority_in_a_zone() -> object:
     stack = contextlib.ExitStack()
-    stack.enter_context(mock.patch.object(founding, "choose_replicas", _by_name))
+    stack.enter_context(mock.patch.object(bootstrap, "choose_replicas", _choose_by_zone_name))
     stack.enter_context(
         mock.patch.object(VoterTopology, "placement_cost", lambda _topology, _voters: (0, 0, 0))
     )
@@ -184,12 +186,12 @@
     "each group spends the whole budget": (
         Rule.BUDGET,
         loops_while_regions_are_cut,
-        patch(program_budget, "initial_share", _whole_budget),
+        patch(program_budget, "initial_share", _share_whole_budget),
     ),
     "a share told twice counts twice": (
         Rule.BUDGET,
         loops_in_both_regions,
-        patch(ProgramBudget, "take_over_share", _add),
+        patch(ProgramBudget, "take_over_share", _add_taken_share),
     ),
     "a release is told before it is committed": (
         Rule.BUDGET,
@@ -199,7 +201,7 @@
     "no such turn while a group is silent": (
         Rule.FOUND,
         turns_are_continued_while_regions_are_cut,
-        patch(GroupSearch, "_commit", _silence_is_no),
+        patch(GroupSearch, "_commit", _treat_silence_as_unknown_turn),
     ),
     "a majority of voters in one zone": (
         Rule.ZONE,
