--- a/tests/run.py
+++ b/tests/run.py
@@ -45,7 +45,7 @@
     "test_promises",
 )
 """Modules whose parts begin first, so that none is left for the end."""
-SPLIT_CLASSES = ("tests.test_site_fuzz.SearchedWorldsTest",)
+SPLIT_CLASSES = ("tests.test_site_fuzz.SeededWorldsTest",)
 """Classes whose tests are parts of their own, since together they take longest."""
 
 
--- a/tests/test_site_fuzz.py
+++ b/tests/test_site_fuzz.py
@@ -11,13 +11,13 @@
 
 EXAMPLES = 15
 STEPS = 25
-SEARCHED_WORLDS = 8
-FAILED_ONCE = (1024, 1113, 189)
+NUM_SEEDS = 8
+QUOTA_REGRESSION_SEEDS = (1024, 1113, 189)
 """Numbers of an allowance that had lapsed, and been counted seconds before, were used anew; turns
 that left on a lost leader's promise were counted nowhere."""
-REFUSED_BY_ANOTHER_REGION = (3022, 3026)
+REGION_BUDGET_REGRESSION_SEEDS = (3022, 3026)
 """A budget was called spent by reservations of refused turns in the other region's group."""
-SEARCHED_REGIONS = 4
+NUM_REGION_SEEDS = 4
 FAULTS = tuple(action for action in WITHIN_A_REGION if action not in CALM)
 
 SiteMachine = machine_of(SITE, {"fault": FAULTS, "calm": CALM})
@@ -27,21 +27,21 @@
     settings: ClassVar = same_verdict(EXAMPLES, STEPS)
 
 
-class SearchedWorldsTest(unittest.TestCase):
-    def test_seeds_of_the_search(self) -> None:
+class SeededWorldsTest(unittest.TestCase):
+    def test_seeded_worlds(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        for seed in (*range(SEARCHED_WORLDS), *FAILED_ONCE):
+        for seed in (*range(NUM_SEEDS), *QUOTA_REGRESSION_SEEDS):
             with self.subTest(seed=seed):
                 steps = SITE.random_steps(seed, STEPS_PER_WORLD)
                 world, violations = SITE.run(seed, steps)
                 world.close()
                 self.assertEqual(violations, [])
 
-    def test_seeds_of_the_search_over_two_regions(self) -> None:
+    def test_seeded_worlds_of_two_regions(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        for seed in range(SEARCHED_REGIONS):
+        for seed in range(NUM_REGION_SEEDS):
             with self.subTest(seed=seed):
                 steps = REGIONS.random_steps(seed, STEPS_PER_WORLD)
                 world, violations = REGIONS.run(seed, steps)
@@ -51,14 +51,14 @@
     def test_turns_are_not_refused_by_reservations_of_another_region(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        broken = []
-        for seed in REFUSED_BY_ANOTHER_REGION:
+        found = []
+        for seed in REGION_BUDGET_REGRESSION_SEEDS:
             world, violations = REGIONS.run(seed, REGIONS.random_steps(seed, STEPS_PER_WORLD))
             world.close()
-            broken += violations
-        self.assertEqual(broken, [])
+            found += violations
+        self.assertEqual(found, [])
 
-    def test_a_search_reports_what_it_played(self) -> None:
+    def test_a_search_reports_its_steps(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         *_, report = SITE.search(seed=3, max_steps=60, max_s=600.0)
