--- a/tests/test_site_processes.py
+++ b/tests/test_site_processes.py
@@ -18,28 +18,28 @@
 
 
 class SiteProcessesTest(unittest.IsolatedAsyncioTestCase):
-    async def test_programs_outlive_a_store_and_a_planned_stop(self) -> None:
+    async def test_programs_survive_a_store_crash_and_a_planned_stop(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             site = SiteInstallation(Path(folder))
             try:
                 await site.start(num_fronts=2)
-                await self._drive(site)
+                await self._run_scenario(site)
                 self.assertEqual(check_all(site.seen), [])
             finally:
                 await site.stop()
 
-    async def _drive(self, site: SiteInstallation) -> None:
+    async def _run_scenario(self, site: SiteInstallation) -> None:
         first = make_program(site, "first", ProgramPlan(turns=2, tools=2, sub_agents=1))
         await first.run()
         self.assertTrue(first.finished, first.statuses)
         await self._kill_a_store(site, first.last_turn)
         await self._stop_a_front(site)
-        loop = make_program(
+        looping = make_program(
             site, "loop", ProgramPlan(turns=9, tools=0, sub_agents=2, loops=True), ["front-2"]
         )
-        loop.budget_tokens = 250
-        await loop.run()
-        self.assertIn(402, loop.statuses)
+        looping.budget_tokens = 250
+        await looping.run()
+        self.assertIn(402, looping.statuses)
 
     async def _kill_a_store(self, site: SiteInstallation, turn: str) -> None:
         """Whichever leads, turns go on, and what was said before is found."""
@@ -65,7 +65,7 @@
             await asyncio.sleep(0)
 
 
-NUM_LINES_ON = 200
+REQUESTS_PER_ROUND = 200
 """Lines that a full pipe is offered without growing; 76 kB, more than it holds."""
 
 
@@ -74,14 +74,14 @@
 
     PIPE_BYTES = 64 * 1024
 
-    async def test_a_full_pipe_stops_nothing(self) -> None:
+    async def test_a_front_serves_while_its_log_pipe_is_full(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             site = SiteInstallation(Path(folder))
             client = HttpClient()
             try:
                 await site.start(num_fronts=1)
                 reader = await self._restart_with_unread_log(site)
-                await self._fill(site, client, reader)
+                await self._fill_pipe(site, client, reader)
                 program = make_program(site, "p", ProgramPlan(turns=2, tools=1))
                 await program.run()
                 self.assertTrue(program.finished, program.statuses)
@@ -100,7 +100,7 @@
         await site.wait_ready(front)
         return reader
 
-    async def _fill(self, site: SiteInstallation, client: HttpClient, reader: int) -> None:
+    async def _fill_pipe(self, site: SiteInstallation, client: HttpClient, reader: int) -> None:
         """Ask for what no route takes, a line each, until the pipe holds no more, and on.
 
         How much it holds depends on the lines: a page of it is not shared by two writes that do
@@ -109,12 +109,12 @@
         unread, unread_before = 0, -1
         while unread > unread_before or unread < self.PIPE_BYTES // 2:
             unread_before = unread
-            await self._ask(site, client, NUM_LINES_ON)
+            await self._send_unrouted(site, client, REQUESTS_PER_ROUND)
             unread = self._unread_bytes(reader)
 
-    async def _ask(self, site: SiteInstallation, client: HttpClient, times: int) -> None:
+    async def _send_unrouted(self, site: SiteInstallation, client: HttpClient, count: int) -> None:
         url = f"http://{site.fronts['front-1'].front}/nowhere"
-        for number in range(times):
+        for number in range(count):
             answer = await client.send("GET", url, headers={"X-Request-Id": f"r{number}"})
             self.assertEqual(answer.status, 404)
 
