--- a/tests/test_site_readiness.py
+++ b/tests/test_site_readiness.py
@@ -8,7 +8,7 @@
 from bendshed.rehearsal.site.records import Kind, SiteRequest
 from bendshed.rehearsal.site.sim_world import SimMachine, SiteWorld
 
-AT_ONCE_S = 0.05
+IMMEDIATE_S = 0.05
 ZONES = ("zone-a", "zone-b", "zone-c")
 NINE_FRONTS = SiteLayout(front_zones=ZONES * 3, store_zones=ZONES, num_voters=3)
 """So many that a store reads for all of them, and lets their requests for the catalog wait."""
@@ -29,12 +29,12 @@
             self.world.loop.run_until_complete(machine.process.spawn(self.world.loop, ask()))
         )
 
-    def cut_from(self, others: list[SimMachine]) -> None:
+    def disconnect_from(self, others: list[SimMachine]) -> None:
         for other in others:
             self.world.network.cuts.add((self.front.host, other.host))
 
-    def test_cut_from_all_stores_it_serves_through_other_fronts(self) -> None:
-        self.cut_from(list(self.world.stores.values()))
+    def test_front_without_stores_serves_through_other_fronts(self) -> None:
+        self.disconnect_from(list(self.world.stores.values()))
         for _ in range(6):
             self.world.start_program(ProgramPlan(turns=3, tools=0))
         self.world.run_for(4.0)
@@ -42,10 +42,10 @@
         self.assertEqual({r.status for r in self.world.seen.requests}, {200})
         self.assertTrue(self.is_ready(self.front))
 
-    def test_cut_from_everybody_it_is_not_ready_until_the_cut_has_healed(self) -> None:
+    def test_isolated_front_is_not_ready_until_it_is_reconnected(self) -> None:
         self.assertTrue(self.is_ready(self.front))
         fronts = [front for front in self.world.fronts.values() if front is not self.front]
-        self.cut_from([*self.world.stores.values(), *fronts])
+        self.disconnect_from([*self.world.stores.values(), *fronts])
         for _ in range(6):
             self.world.start_program(ProgramPlan(turns=1, tools=0))
         self.world.run_for(4.0)
@@ -55,9 +55,9 @@
         self.world.run_for(1.5)
         self.assertTrue(self.is_ready(self.front))
 
-    def test_cut_from_everybody_it_refuses_turns_at_once(self) -> None:
+    def test_isolated_front_refuses_turns_immediately(self) -> None:
         fronts = [front for front in self.world.fronts.values() if front is not self.front]
-        self.cut_from([*self.world.stores.values(), *fronts])
+        self.disconnect_from([*self.world.stores.values(), *fronts])
         for _ in range(6):
             self.world.start_program(ProgramPlan(turns=1, tools=0))
         self.world.run_for(4.0)
@@ -69,9 +69,9 @@
         self.assertTrue(here)
         for request in here:
             self.assertEqual(request.status, 503)
-            self.assertLess(request.ended_s - request.sent_s, AT_ONCE_S)
+            self.assertLess(request.ended_s - request.sent_s, IMMEDIATE_S)
 
-    def test_a_change_of_the_leader_is_no_loss(self) -> None:
+    def test_fronts_stay_ready_during_a_leader_change(self) -> None:
         leader = self.world.leader()
         assert leader is not None
         self.world.kill(leader)
@@ -80,7 +80,7 @@
         self.assertTrue(all(self.is_ready(front) for front in self.world.fronts.values()))
 
 
-class GivenUpRequestTest(unittest.TestCase):
+class CancelledRequestTest(unittest.TestCase):
     """A front whose last request was given up by its client while nobody answered the front.
 
     Seen: twelve seconds after the return of power nothing was served at a site; no log was kept.
@@ -91,8 +91,8 @@
     leaving is drawn over a whole try. It takes one front at a time; a whole site needs more.
     """
 
-    FIRST_S, STEP_S, NUM_MOMENTS = 0.1, 0.002, 75
-    HEALED_S = 2.5
+    FIRST_CANCEL_S, CANCEL_STEP_S, NUM_CANCEL_TIMES = 0.1, 0.002, 75
+    RECOVERY_S = 2.5
 
     def setUp(self) -> None:
         self.world = SiteWorld.started(1, NINE_FRONTS)
@@ -108,13 +108,13 @@
             self.world.loop.run_until_complete(self.front.process.spawn(self.world.loop, ask()))
         )
 
-    def cut(self) -> None:
+    def isolate(self) -> None:
         others = [*self.world.fronts.values(), *self.world.stores.values()]
         for other in others:
             if other is not self.front:
                 self.world.network.cuts.add((self.front.host, other.host))
 
-    def give_up_after(self, number: int, left_after_s: float) -> None:
+    def cancel_after(self, number: int, cancelled_after_s: float) -> None:
         request = SiteRequest(
             request_id=f"call-{number}",
             kind=Kind.REPEATABLE,
@@ -124,18 +124,18 @@
             tenant=NARROW,
         )
         self.world.clients.spawn(self.world.loop, self.world.send(request))
-        self.world.run_for(left_after_s)
+        self.world.run_for(cancelled_after_s)
         self.world.leave(request)
 
-    def test_it_is_ready_again_whenever_the_client_left(self) -> None:
-        for number in range(self.NUM_MOMENTS):
-            left_after_s = self.FIRST_S + number * self.STEP_S
-            self.cut()
-            self.give_up_after(number, left_after_s)
-            self.world.run_for(AT_ONCE_S)
+    def test_front_is_ready_again_whenever_the_client_cancelled(self) -> None:
+        for number in range(self.NUM_CANCEL_TIMES):
+            cancelled_after_s = self.FIRST_CANCEL_S + number * self.CANCEL_STEP_S
+            self.isolate()
+            self.cancel_after(number, cancelled_after_s)
+            self.world.run_for(IMMEDIATE_S)
             self.world.network.cuts.clear()
-            self.world.run_for(self.HEALED_S)
-            self.assertTrue(self.is_ready(), left_after_s)
+            self.world.run_for(self.RECOVERY_S)
+            self.assertTrue(self.is_ready(), cancelled_after_s)
 
 
 class LateFrontsTest(unittest.TestCase):
@@ -148,46 +148,46 @@
     stores. That the site's fronts were so late is not proven.
     """
 
-    SAVED_S, LATE_S, FOUND_S, LONG_S = 4.0, 12.0, 4.0, 40.0
+    SAVE_S, FRONT_DELAY_S, DISCOVERY_S, LONG_OUTAGE_S = 4.0, 12.0, 4.0, 40.0
 
     def setUp(self) -> None:
         self.world = SiteWorld.started(1, NINE_FRONTS)
         self.addCleanup(self.world.close)
-        self.world.run_for(self.SAVED_S)
+        self.world.run_for(self.SAVE_S)
         self.world.registry.is_down = True
 
-    def is_served_at_all_fronts(self) -> bool:
+    def do_all_fronts_serve(self) -> bool:
         programs = []
         for name in self.world.fronts:
             program = self.world.start_program(ProgramPlan(turns=1, tools=0))
             program.pick_node = lambda front=name: front
             programs.append(program)
-        self.world.run_for(self.FOUND_S)
+        self.world.run_for(self.DISCOVERY_S)
         return all(program.finished for program in programs)
 
-    def test_after_a_loss_of_power_of_all(self) -> None:
+    def test_after_a_power_loss_of_all_machines(self) -> None:
         fronts, stores = list(self.world.fronts.values()), list(self.world.stores.values())
         for machine in [*fronts, *stores]:
             self.world.kill(machine)
         for store in stores:
             self.world.restart(store)
-        self.world.run_for(self.LATE_S)
+        self.world.run_for(self.FRONT_DELAY_S)
         for front in fronts:
             self.world.restart(front)
-        self.world.run_for(self.FOUND_S)
-        self.assertTrue(self.is_served_at_all_fronts())
+        self.world.run_for(self.DISCOVERY_S)
+        self.assertTrue(self.do_all_fronts_serve())
 
-    def test_after_a_long_loss_of_power_of_the_fronts(self) -> None:
+    def test_after_a_long_power_loss_of_the_fronts(self) -> None:
         fronts = list(self.world.fronts.values())
         for front in fronts:
             self.world.kill(front)
-        self.world.run_for(self.LONG_S)
+        self.world.run_for(self.LONG_OUTAGE_S)
         for front in fronts:
             self.world.restart(front)
-        self.world.run_for(self.FOUND_S)
-        self.assertTrue(self.is_served_at_all_fronts())
+        self.world.run_for(self.DISCOVERY_S)
+        self.assertTrue(self.do_all_fronts_serve())
 
-    def test_after_a_loss_of_power_of_the_fronts_and_one_store(self) -> None:
+    def test_after_a_power_loss_of_the_fronts_and_one_store(self) -> None:
         """The others live on, and know the fronts by the naming of the one that is gone."""
         fronts = list(self.world.fronts.values())
         for store in list(self.world.stores.values()):
@@ -195,13 +195,13 @@
                 self.world.kill(machine)
             for front in fronts:
                 self.world.restart(front)
-            self.world.run_for(self.FOUND_S)
-            self.assertTrue(self.is_served_at_all_fronts(), store.name)
+            self.world.run_for(self.DISCOVERY_S)
+            self.assertTrue(self.do_all_fronts_serve(), store.name)
             self.world.restart(store)
-            self.world.run_for(self.FOUND_S)
+            self.world.run_for(self.DISCOVERY_S)
 
 
-class LostReaderTest(unittest.TestCase):
+class LostReaderDiskTest(unittest.TestCase):
     """All lose power, one store its disk too, and the registry is away from then on.
 
     Seen: twelve seconds after the return of power nothing was served at a site, once and not in a
@@ -213,9 +213,9 @@
     """
 
     SEEDS = (1, 2, 3)
-    SETTLED_S, DARK_S, FOUND_S = 8.0, 1.0, 4.0
+    SETTLE_S, POWER_OFF_S, DISCOVERY_S = 8.0, 1.0, 4.0
 
-    def test_whichever_disk_is_lost_all_fronts_serve(self) -> None:
+    def test_all_fronts_serve_whichever_disk_is_lost(self) -> None:
         for seed in self.SEEDS:
             for lost in ("store-1", "store-2", "store-3"):
                 self.assertEqual(self.num_served_after_losing(lost, seed), 9, (seed, lost))
@@ -224,22 +224,22 @@
         """Fronts that finish a program."""
         world = SiteWorld.started(seed, NINE_FRONTS)
         try:
-            world.run_for(self.SETTLED_S)
+            world.run_for(self.SETTLE_S)
             world.registry.is_down = True
             machines = [*world.fronts.values(), *world.stores.values()]
             for machine in machines:
                 world.kill(machine)
             world.stores[lost].lose_disk()
-            world.run_for(self.DARK_S)
+            world.run_for(self.POWER_OFF_S)
             for machine in machines:
                 world.restart(machine)
-            world.run_for(self.FOUND_S)
+            world.run_for(self.DISCOVERY_S)
             programs = []
             for name in world.fronts:
                 program = world.start_program(ProgramPlan(turns=1, tools=0))
                 program.pick_node = lambda front=name: front
                 programs.append(program)
-            world.run_for(self.FOUND_S)
+            world.run_for(self.DISCOVERY_S)
             return sum(program.finished for program in programs)
         finally:
             world.close()
