--- a/tests/test_site_rules.py
+++ b/tests/test_site_rules.py
@@ -11,23 +11,23 @@
 from tests.site_defects import DEFECTS, Defect
 from tests.site_zone_defects import ZONE_DEFECTS
 
-GROUPS_OF_DEFECTS = (DEFECTS, BUDGET_DEFECTS, ZONE_DEFECTS, COLD_DEFECTS)
-ALL_DEFECTS = {name: defect for group in GROUPS_OF_DEFECTS for name, defect in group.items()}
+DEFECT_TABLES = (DEFECTS, BUDGET_DEFECTS, ZONE_DEFECTS, COLD_DEFECTS)
+ALL_DEFECTS = {name: defect for table in DEFECT_TABLES for name, defect in table.items()}
 
 
-def play(defect: Defect) -> list[Violation]:
+def run_scenario(defect: Defect) -> list[Violation]:
     return defect.scenario(defect.seed)
 
 
-class RulesTest(unittest.TestCase):
+class DefectTablesTest(unittest.TestCase):
     def test_every_rule_has_a_defect(self) -> None:
         self.assertEqual({defect.rule for defect in ALL_DEFECTS.values()}, set(Rule))
 
-    def test_no_name_is_given_twice(self) -> None:
-        self.assertEqual(len(ALL_DEFECTS), sum(len(group) for group in GROUPS_OF_DEFECTS))
+    def test_defect_names_are_unique(self) -> None:
+        self.assertEqual(len(ALL_DEFECTS), sum(len(table) for table in DEFECT_TABLES))
 
 
-class Quiet(unittest.TestCase):
+class DefectsTestCase(unittest.TestCase):
     """Planted defects make the loop report errors."""
 
     defects: ClassVar[Mapping[str, Defect]] = {}
@@ -37,18 +37,18 @@
         logging.disable(logging.CRITICAL)
         cls.addClassCleanup(logging.disable, logging.NOTSET)
 
-    def check_caught(self) -> None:
+    def check_detected(self) -> None:
         self.assertTrue(self.defects)
         for name, defect in self.defects.items():
             with self.subTest(defect=name):
                 with defect.inject():
                     try:
-                        broken = {violation.rule for violation in play(defect)}
+                        violated = {violation.rule for violation in run_scenario(defect)}
                     except AssertionError:  # the site does not even serve any more
-                        broken = set()
-                self.assertIn(defect.rule, broken)
+                        violated = set()
+                self.assertIn(defect.rule, violated)
 
-    def check_passed(self) -> None:
+    def check_scenarios_pass(self) -> None:
         self.assertTrue(self.defects)
         defects = self.defects.values()
         scenarios = {(defect.scenario, seed) for defect in defects for seed in (1, defect.seed)}
@@ -57,57 +57,57 @@
                 self.assertEqual(scenario(seed), [])
 
 
-class CaughtTest(Quiet):
+class DetectedTest(DefectsTestCase):
     defects = DEFECTS
 
-    def test_defects_are_caught(self) -> None:
-        self.check_caught()
+    def test_defects_are_detected(self) -> None:
+        self.check_detected()
 
 
-class PassedTest(Quiet):
+class PassedTest(DefectsTestCase):
     defects = DEFECTS
 
-    def test_the_product_passes_the_same_scenarios(self) -> None:
-        self.check_passed()
+    def test_unmodified_code_passes_the_scenarios(self) -> None:
+        self.check_scenarios_pass()
 
 
-class ZonesCaughtTest(Quiet):
+class ZonesDetectedTest(DefectsTestCase):
     defects = ZONE_DEFECTS
 
-    def test_defects_are_caught(self) -> None:
-        self.check_caught()
+    def test_defects_are_detected(self) -> None:
+        self.check_detected()
 
 
-class ZonesPassedTest(Quiet):
+class ZonesPassedTest(DefectsTestCase):
     defects = ZONE_DEFECTS
 
-    def test_the_product_passes_the_same_scenarios(self) -> None:
-        self.check_passed()
+    def test_unmodified_code_passes_the_scenarios(self) -> None:
+        self.check_scenarios_pass()
 
 
-class ColdCaughtTest(Quiet):
+class ColdDetectedTest(DefectsTestCase):
     defects = COLD_DEFECTS
 
-    def test_defects_are_caught(self) -> None:
-        self.check_caught()
+    def test_defects_are_detected(self) -> None:
+        self.check_detected()
 
 
-class ColdPassedTest(Quiet):
+class ColdPassedTest(DefectsTestCase):
     defects = COLD_DEFECTS
 
-    def test_the_product_passes_the_same_scenarios(self) -> None:
-        self.check_passed()
+    def test_unmodified_code_passes_the_scenarios(self) -> None:
+        self.check_scenarios_pass()
 
 
-class BudgetsCaughtTest(Quiet):
+class BudgetsDetectedTest(DefectsTestCase):
     defects = BUDGET_DEFECTS
 
-    def test_defects_are_caught(self) -> None:
-        self.check_caught()
+    def test_defects_are_detected(self) -> None:
+        self.check_detected()
 
 
-class BudgetsPassedTest(Quiet):
+class BudgetsPassedTest(DefectsTestCase):
     defects = BUDGET_DEFECTS
 
-    def test_the_product_passes_the_same_scenarios(self) -> None:
-        self.check_passed()
+    def test_unmodified_code_passes_the_scenarios(self) -> None:
+        self.check_scenarios_pass()
