--- a/tests/test_regions_site.py
+++ b/tests/test_regions_site.py
@@ -22,11 +22,11 @@
 
 PLACES = Places({"zone-a": "east", "zone-b": "east", "zone-c": "west", "zone-d": "west"})
 NUM_FRONTS, NUM_PROGRAMS = 12, 60
-PROGRAM_EVERY_S = 0.2
+PROGRAM_INTERVAL_S = 0.2
 BUDGET_TOKENS = 6_000
-FIRST_S = 2.0
+DISCOVERY_S = 2.0
 """By then each front that is cut off has found its way around."""
-TURN_S, FOUND_S = 0.6, 1.0
+MAX_TURN_S, MAX_DISCOVERY_TURN_S = 0.6, 1.0
 """A turn takes 0.2 to 0.43 s on a calm day; one that finds the cut takes longer."""
 
 
@@ -45,48 +45,48 @@
         for _ in range(NUM_PROGRAMS):
             plan = ProgramPlan(turns=3, tools=1)
             world.start_program(plan, BUDGET_TOKENS, tenant=WIDE)
-            world.run_for(PROGRAM_EVERY_S)
+            world.run_for(PROGRAM_INTERVAL_S)
         world.run_for(5.0)
         self.assertTrue(all(program.finished for program in world.programs))
 
     @staticmethod
-    def cut_a_third(world: SiteWorld) -> list[SimMachine]:
+    def isolate_a_third(world: SiteWorld) -> list[SimMachine]:
         """Every third front reaches no replica machine."""
-        cut = list(world.fronts.values())[::3]
-        for front in cut:
+        isolated = list(world.fronts.values())[::3]
+        for front in isolated:
             for store in world.stores.values():
                 pairs = ((store.host, front.host), (front.host, store.host))
                 world.network.cuts.update(pairs)
-        return cut
+        return isolated
 
     @staticmethod
     def turns(world: SiteWorld) -> list[SiteRequest]:
         return [request for request in world.seen.requests if request.kind is Kind.TURN]
 
-    def test_on_a_calm_day_no_request_goes_twice(self) -> None:
+    def test_without_faults_no_request_is_sent_twice(self) -> None:
         world = self.start(1)
         self.run_programs(world)
         methods = {method for _, _, method in world.network.num_sent}
         self.assertNotIn("paths.relay", methods)
         for turn in self.turns(world):
-            self.assertLess(turn.ended_s - turn.sent_s, TURN_S)
+            self.assertLess(turn.ended_s - turn.sent_s, MAX_TURN_S)
 
-    def test_fronts_cut_off_from_the_stores_serve_almost_as_on_a_calm_day(self) -> None:
+    def test_fronts_isolated_from_the_stores_serve_almost_as_fast(self) -> None:
         for seed in (1, 2):
             with self.subTest(seed=seed):
                 world = self.start(seed)
                 began_s = world.loop.time()
-                cut = {machine.name for machine in self.cut_a_third(world)}
+                isolated = {machine.name for machine in self.isolate_a_third(world)}
                 self.run_programs(world)
-                served = [turn for turn in self.turns(world) if turn.node in cut]
+                served = [turn for turn in self.turns(world) if turn.node in isolated]
                 self.assertGreater(len(served), NUM_PROGRAMS // 2)
                 for turn in served:
                     self.assertTrue(turn.is_whole and turn.status == 200)
-                    is_first = turn.sent_s - began_s < FIRST_S
-                    most_s = FOUND_S if is_first else TURN_S
-                    self.assertLess(turn.ended_s - turn.sent_s, most_s, turn.request_id)
+                    is_discovering = turn.sent_s - began_s < DISCOVERY_S
+                    max_s = MAX_DISCOVERY_TURN_S if is_discovering else MAX_TURN_S
+                    self.assertLess(turn.ended_s - turn.sent_s, max_s, turn.request_id)
 
-    def test_replica_machines_measure_the_way_and_tell_when_a_region_is_cut_off(self) -> None:
+    def test_replica_machines_measure_round_trips_and_report_an_unreachable_region(self) -> None:
         world = self.start(1)
         world.run_for(2 * ECHO_INTERVAL_S)
         stores = [store.replica for store in world.stores.values() if store.replica is not None]
@@ -99,7 +99,7 @@
                 delta=2.0,
             )
             self.assertAlmostEqual(measured_ms[Distance.SAME_REGION], 2000 * LATENCY_S, delta=2.0)
-        self.cut_the_link(world)
+        self.cut_region_link(world)
         with mock.patch.object(echo, "log") as log:
             world.run_for((UNREACHABLE_ROUNDS + 1) * (ECHO_INTERVAL_S + ECHO_TIMEOUT_S))
             self.assertEqual(
@@ -107,44 +107,44 @@
             )
             world.network.cuts.clear()
             world.run_for(2 * (ECHO_INTERVAL_S + ECHO_TIMEOUT_S))
-        told = [(call.args[0], call.kwargs["region"]) for call in log.say.call_args_list]
+        logged = [(call.args[0], call.kwargs["region"]) for call in log.say.call_args_list]
         lost, back = "region unreachable: no replica machine answered", "region reachable again"
         regions = ["east", "east", "west", "west"]
-        expected = [(sentence, region) for sentence in (back, lost) for region in regions]
-        self.assertEqual(sorted(told), expected)
+        expected = [(message, region) for message in (back, lost) for region in regions]
+        self.assertEqual(sorted(logged), expected)
 
-    def test_work_leaves_a_region_without_runners_and_stays_when_they_are_back(self) -> None:
+    def test_work_runs_in_another_region_only_while_its_own_has_no_runners(self) -> None:
         world = self.start(1)
-        self.assertEqual(self.play_and_count_away(world), {"engines": 0, "tools": 0})
+        self.assertEqual(self.count_remote_runs(world), {"engines": 0, "tools": 0})
         west = [r for r in world.listed.values() if PLACES.region(r.zone) == "west"]
         for runner in west:
             del world.listed[runner.runner_id]
         world.run_for(1.0)
-        away = self.play_and_count_away(world)
-        self.assertGreater(away["engines"], 0)
-        self.assertGreater(away["tools"], 0)
+        remote = self.count_remote_runs(world)
+        self.assertGreater(remote["engines"], 0)
+        self.assertGreater(remote["tools"], 0)
         for runner in west:
             world.listed[runner.runner_id] = runner
         world.run_for(1.0 + COLD_START_S)  # one that is listed again counts as just started
-        self.assertEqual(self.play_and_count_away(world), {"engines": 0, "tools": 0})
+        self.assertEqual(self.count_remote_runs(world), {"engines": 0, "tools": 0})
 
-    def play_and_count_away(self, world: SiteWorld) -> dict[str, int]:
+    def count_remote_runs(self, world: SiteWorld) -> dict[str, int]:
         """Run programs; count requests that ran outside their front's region, by service."""
         num_before = len(world.seen.requests)
         self.run_programs(world)
         nodes = {row.request_id: row.node for row in world.seen.requests[num_before:]}
-        away = {"engines": 0, "tools": 0}
+        remote = {"engines": 0, "tools": 0}
         for run in world.seen.runs:
             node = nodes.get(run.request_id)
             if node is None:
                 continue
             runner = world.runners[run.runner_id]
             if PLACES.distance(world.fronts[node].zone, runner.zone) is Distance.OTHER_REGION:
-                away[runner.service] += 1
-        return away
+                remote[runner.service] += 1
+        return remote
 
     @staticmethod
-    def cut_the_link(world: SiteWorld) -> None:
+    def cut_region_link(world: SiteWorld) -> None:
         machines = [*world.fronts.values(), *world.stores.values()]
         for machine in machines:
             for other in machines:
