--- a/tests/test_zone_worlds.py
+++ b/tests/test_zone_worlds.py
@@ -17,11 +17,11 @@
 from bendshed.wire import catalog_pb2 as wire
 
 ZONE, OTHER = RUNNER_ZONES[1], RUNNER_ZONES[0]
-TOLD_S = 0.5
+PROPAGATION_S = 0.5
 """By then a change that the reader hears has reached all fronts."""
 
 
-class ZoneWorldTest(unittest.TestCase):
+class ZoneWorldTestCase(unittest.TestCase):
     """Enough fronts ask that one replica machine reads the registry for all."""
 
     def setUp(self) -> None:
@@ -40,7 +40,7 @@
             return set(machine.replica.catalog.zones.record.zones.closed)
         return set(node.zones.record.zones.closed)
 
-    def assert_all_know(self, *zones: str) -> None:
+    def assert_closed_everywhere(self, *zones: str) -> None:
         for machine in [*self.world.fronts.values(), *self.world.stores.values()]:
             self.assertEqual(self.closed_at(machine), set(zones), machine.name)
 
@@ -57,11 +57,11 @@
             host = one if isinstance(one, str) else one.host
             self.world.network.cuts.update({(host, other.host), (other.host, host)})
 
-    def play(self) -> list[AgentProgram]:
+    def start_programs(self) -> list[AgentProgram]:
         plan = ProgramPlan(turns=2, tools=2)
         return [self.world.start_program(plan, tenant=WIDE) for _ in range(8)]
 
-    def assert_nothing_reaches(self, zone: str, since_s: float) -> None:
+    def assert_no_run_starts(self, zone: str, since_s: float) -> None:
         late = [
             run.request_id
             for run in self.world.seen.runs
@@ -70,98 +70,98 @@
         self.assertEqual(late, [])
 
 
-class ClosingTest(ZoneWorldTest):
-    def test_all_know_it_soon_and_nothing_reaches_it(self) -> None:
+class ClosingTest(ZoneWorldTestCase):
+    def test_all_machines_learn_of_it_and_no_run_starts_there(self) -> None:
         self.world.close_zone(ZONE)
-        self.world.run_for(TOLD_S)
-        self.assert_all_know(ZONE)
+        self.world.run_for(PROPAGATION_S)
+        self.assert_closed_everywhere(ZONE)
         since_s = self.world.loop.time()
-        programs = self.play()
+        programs = self.start_programs()
         self.world.run_for(3.0)
         self.assertTrue(all(program.finished for program in programs))
-        self.assert_nothing_reaches(ZONE, since_s)
+        self.assert_no_run_starts(ZONE, since_s)
         self.world.open_zones()
-        self.world.run_for(TOLD_S)
-        self.assert_all_know()
+        self.world.run_for(PROPAGATION_S)
+        self.assert_closed_everywhere()
 
     def metric(self, machine: SimMachine, name: str) -> float:
         text = generate_latest(self.world.metrics[machine.process.name].registry).decode()
         row = next(row for row in text.splitlines() if row.startswith(f"{name} "))
         return float(row.rpartition(" ")[2])
 
-    def test_metrics_tell_how_many_since_when_and_how_old_the_word_is(self) -> None:
+    def test_metrics_report_number_duration_and_age(self) -> None:
         self.world.close_zone(ZONE)
         self.world.run_for(2.0)
         for machine in (self.front, self.ranked_stores()[0]):
             self.assertEqual(self.metric(machine, "bendshed_closed_zones"), 1)
             closed_s = self.metric(machine, "bendshed_closed_zones_seconds")
-            self.assertAlmostEqual(closed_s, 2.0, delta=TOLD_S)
+            self.assertAlmostEqual(closed_s, 2.0, delta=PROPAGATION_S)
             age_s = self.metric(machine, "bendshed_closed_zones_age_seconds")
             assert TIMES.zones_lag_s is not None
             self.assertLess(age_s, TIMES.max_age_s + TIMES.zones_lag_s)
 
-    def test_a_runner_that_starts_there_is_closed(self) -> None:
+    def test_a_runner_that_starts_there_gets_no_run(self) -> None:
         self.world.close_zone(ZONE)
-        self.world.run_for(TOLD_S)
+        self.world.run_for(PROPAGATION_S)
         since_s = self.world.loop.time()
         self.world.replace_runner("engine-2")
         self.world.replace_runner("tool-2")
-        self.world.run_for(TOLD_S)
-        self.play()
+        self.world.run_for(PROPAGATION_S)
+        self.start_programs()
         self.world.run_for(2.0)
-        self.assert_nothing_reaches(ZONE, since_s)
+        self.assert_no_run_starts(ZONE, since_s)
 
-    def test_work_under_way_there_ends_whole(self) -> None:
+    def test_running_work_there_completes(self) -> None:
         for runner in self.world.runners.values():
             runner.troubles.slow = 6.0
-        self.play()
+        self.start_programs()
         self.world.run_for(0.3)
-        under_way = [
+        running = [
             run.request_id
             for run in self.world.seen.runs
             if run.ended_s is None and self.world.seen.zones_of[run.runner_id] == ZONE
         ]
-        self.assertTrue(under_way)
+        self.assertTrue(running)
         self.world.close_zone(ZONE)
         self.world.run_for(4.0)
         ended = {r.request_id: (r.status, r.is_whole) for r in self.world.seen.requests}
-        self.assertEqual({ended[name] for name in under_way}, {(200, True)})
+        self.assertEqual({ended[name] for name in running}, {(200, True)})
 
-    def test_with_all_zones_closed_requests_are_refused_at_once(self) -> None:
+    def test_with_all_zones_closed_requests_are_refused_immediately(self) -> None:
         for zone in RUNNER_ZONES:
             self.world.zones.close(zone, self.world.loop.time())
-        self.world.run_for(TOLD_S)
+        self.world.run_for(PROPAGATION_S)
         since_s = self.world.loop.time()
-        self.play()
+        self.start_programs()
         self.world.run_for(2.0)
-        asked = [r for r in self.world.seen.requests if r.sent_s > since_s]
-        self.assertEqual({request.status for request in asked}, {503})
-        self.assertLess(max(r.ended_s - r.sent_s for r in asked), 0.1)
+        sent = [r for r in self.world.seen.requests if r.sent_s > since_s]
+        self.assertEqual({request.status for request in sent}, {503})
+        self.assertLess(max(r.ended_s - r.sent_s for r in sent), 0.1)
 
-    def test_closed_while_the_reader_is_cut_from_the_registry(self) -> None:
+    def test_closed_while_the_reader_cannot_reach_the_registry(self) -> None:
         self.cut(("registry", self.ranked_stores()[0]))
         self.world.close_zone(ZONE)
-        self.world.run_for(TOLD_S + 1.0)
-        self.assert_all_know(ZONE)
+        self.world.run_for(PROPAGATION_S + 1.0)
+        self.assert_closed_everywhere(ZONE)
 
-    def test_closed_while_no_replica_machine_hears_the_registry(self) -> None:
+    def test_closed_while_no_replica_machine_reaches_the_registry(self) -> None:
         self.cut(*(("registry", store) for store in self.world.stores.values()))
         self.world.close_zone(ZONE)
         self.world.run_for(0.75 * ZONE_CLOSE_S)
         for front in self.world.fronts.values():
             self.assertEqual(self.closed_at(front), {ZONE})
 
-    def test_closed_while_the_replica_machines_are_silent(self) -> None:
+    def test_closed_while_a_front_reaches_no_other_machine(self) -> None:
         self.cut(*((self.front, store) for store in self.world.stores.values()))
         self.cut(*((self.front, one) for one in self.world.fronts.values() if one != self.front))
         self.world.close_zone(ZONE)
         self.world.run_for(0.75 * ZONE_CLOSE_S)
         self.assertEqual(self.closed_at(self.front), {ZONE})
 
-    def test_no_front_counts_as_informed_while_its_word_of_zones_is_old(self) -> None:
+    def test_no_front_is_fresh_while_its_zones_are_outdated(self) -> None:
         """The registry answers on all else, and no replica machine hears of zones any more."""
         self.assertTrue(self.is_fresh())
-        with mock.patch.object(TurnLogNode, "take_zones", lambda _node, _word: None):
+        with mock.patch.object(TurnLogNode, "take_zones", lambda _node, _update: None):
             self.world.close_zone(ZONE)
             assert TIMES.zones_lag_s is not None
             self.world.run_for(TIMES.max_age_s + TIMES.zones_lag_s + 0.2)
@@ -170,9 +170,9 @@
         self.world.run_for(3.0)
         self.assertTrue(self.is_fresh())
 
-    def test_a_front_that_starts_while_the_registry_is_away_is_told(self) -> None:
+    def test_a_front_that_starts_while_the_registry_is_down_learns_of_it(self) -> None:
         self.world.close_zone(ZONE)
-        self.world.run_for(TOLD_S)
+        self.world.run_for(PROPAGATION_S)
         self.world.registry.is_down = True
         self.world.kill(self.front)
         self.world.run_for(0.5)
@@ -181,7 +181,7 @@
         self.assertEqual(self.closed_at(self.front), {ZONE})
 
 
-class AnswerTest(ZoneWorldTest):
+class AnswerTest(ZoneWorldTestCase):
     def answer(self, zones_at: int) -> tuple[wire.CatalogReply, float]:
         """What the reader answers who knows all but closed zones, and after how long."""
         reader = self.ranked_stores()[0].replica
@@ -199,22 +199,22 @@
         content = self.world.loop.run_until_complete(answering)
         return wire.CatalogReply.FromString(content), self.world.loop.time() - began_s
 
-    def test_who_lacks_a_closing_is_answered_at_once_and_others_wait(self) -> None:
+    def test_a_requester_without_the_closing_is_answered_immediately_and_others_wait(self) -> None:
         self.world.close_zone(ZONE)
-        self.world.run_for(TOLD_S)
+        self.world.run_for(PROPAGATION_S)
         reply, took_s = self.answer(zones_at=1)
         self.assertEqual((list(reply.closed_zones), took_s), ([ZONE], 0.0))
         _, took_s = self.answer(reply.zones_at)
         self.assertGreater(took_s, 1.0)
 
 
-class OpeningTest(ZoneWorldTest):
-    def slept_through(self) -> tuple[float, list[tuple[str, float]]]:
+class OpeningTest(ZoneWorldTestCase):
+    def open_zone_during_pause(self) -> tuple[float, list[tuple[str, float]]]:
         """When a zone was opened, and what a front that slept meanwhile heard of it."""
         node = self.front.front
         assert node is not None
-        heard: list[tuple[str, float]] = []
-        node.zones.on_zone_opened.append(lambda zone, at_s: heard.append((zone, at_s)))
+        received: list[tuple[str, float]] = []
+        node.zones.on_zone_opened.append(lambda zone, at_s: received.append((zone, at_s)))
         self.front.process.paused = True
         self.world.close_zone(ZONE)
         self.world.run_for(2.0)
@@ -223,25 +223,27 @@
         self.world.run_for(6.0)
         self.front.process.resume(self.world.loop)
         self.world.run_for(1.0)
-        return opened_s, heard
+        return opened_s, received
 
-    def test_a_front_that_slept_is_told_of_an_opening_without_its_closing(self) -> None:
+    def test_a_paused_front_learns_of_an_opening_without_its_closing(self) -> None:
         self.cut(("registry", self.front))
-        opened_s, heard = self.slept_through()
-        self.assertEqual([zone for zone, _ in heard], [ZONE])
-        self.assertAlmostEqual(heard[0][1], opened_s, delta=TOLD_S)
+        opened_s, received = self.open_zone_during_pause()
+        self.assertEqual([zone for zone, _ in received], [ZONE])
+        self.assertAlmostEqual(received[0][1], opened_s, delta=PROPAGATION_S)
 
-    def test_a_front_that_slept_and_reads_for_itself_takes_the_opening_for_later(self) -> None:
+    def test_a_paused_front_that_reads_the_registry_dates_the_opening_late(self) -> None:
         """The registry does not tell when it was; too late is too careful."""
-        opened_s, heard = self.slept_through()
-        self.assertEqual([zone for zone, _ in heard], [ZONE])
-        self.assertGreaterEqual(heard[0][1], opened_s)
+        opened_s, received = self.open_zone_during_pause()
+        self.assertEqual([zone for zone, _ in received], [ZONE])
+        self.assertGreaterEqual(received[0][1], opened_s)
 
-    def test_every_machine_tells_an_opening_once(self) -> None:
-        heard: list[str] = []
+    def test_every_machine_reports_an_opening_once(self) -> None:
+        received: list[str] = []
         for store in self.world.stores.values():
             assert store.replica is not None
-            store.replica.catalog.zones.on_zone_opened.append(lambda zone, _at: heard.append(zone))
+            store.replica.catalog.zones.on_zone_opened.append(
+                lambda zone, _at: received.append(zone)
+            )
         self.world.close_zone(ZONE)
         self.world.run_for(2.0)
         self.world.open_zones()
@@ -249,11 +251,11 @@
         self.world.publish()
         self.world.listed.pop("engine-3")
         self.world.run_for(6.0)
-        self.assertEqual(heard, [ZONE] * len(self.world.stores))
+        self.assertEqual(received, [ZONE] * len(self.world.stores))
 
 
-class RestartTest(ZoneWorldTest):
-    def restart_all_in_the_dark(self, before_start: Callable[[], None] = lambda: None) -> None:
+class RestartTest(ZoneWorldTestCase):
+    def restart_all_without_registry(self, before_start: Callable[[], None] = lambda: None) -> None:
         self.world.registry.is_down = True
         machines = [*self.world.fronts.values(), *self.world.stores.values()]
         for machine in machines:
@@ -263,31 +265,31 @@
         for machine in machines:
             self.world.restart(machine)
 
-    def test_a_start_while_the_registry_is_away_opens_nothing(self) -> None:
+    def test_a_restart_while_the_registry_is_down_opens_no_zone(self) -> None:
         self.world.close_zone(ZONE)
         self.world.run_for(ZONE_CLOSE_S)
-        self.restart_all_in_the_dark()
+        self.restart_all_without_registry()
         since_s = self.world.loop.time()
         self.world.run_for(1.0)
-        self.play()
+        self.start_programs()
         self.world.run_for(3.0)
-        self.assert_all_know(ZONE)
+        self.assert_closed_everywhere(ZONE)
         self.assertTrue([run for run in self.world.seen.runs if run.arrived_s > since_s])
-        self.assert_nothing_reaches(ZONE, since_s)
+        self.assert_no_run_starts(ZONE, since_s)
 
-    def test_an_old_kept_file_of_the_first_machine_opens_nothing_for_long(self) -> None:
+    def test_an_outdated_saved_file_of_the_first_machine_is_soon_corrected(self) -> None:
         first = self.ranked_stores()[0]
         disk = first.disk
         assert disk is not None
         old = disk.catalog
         self.world.close_zone(ZONE)
         self.world.run_for(ZONE_CLOSE_S)
-        self.restart_all_in_the_dark(lambda: setattr(disk, "catalog", old))
+        self.restart_all_without_registry(lambda: setattr(disk, "catalog", old))
         self.assertEqual(self.closed_at(first), set())
         self.world.run_for(2.0)
-        self.assert_all_know(ZONE)
+        self.assert_closed_everywhere(ZONE)
 
-    def test_an_old_kept_file_yields_to_the_registry(self) -> None:
+    def test_the_registry_overrides_an_outdated_saved_file(self) -> None:
         """Closed on the disk, opened while the machine was down."""
         store = self.ranked_stores()[0]
         self.world.close_zone(ZONE)
@@ -297,7 +299,7 @@
         self.world.run_for(1.0)
         self.world.restart(store)
         self.world.run_for(1.0)
-        self.assert_all_know()
+        self.assert_closed_everywhere()
         assert store.replica is not None
         self.assertIn(ZONE, store.replica.catalog.zones.record.opened_at_s)
 
