--- a/tests/test_closings.py
+++ b/tests/test_closings.py
@@ -13,18 +13,18 @@
 from bendshed.rehearsal.site.tolerance import Tolerance
 from bendshed.turns.state import TurnLogState
 
-SEARCHED_WORLDS = 2
+NUM_SEEDS = 2
 
 
-class Quiet(unittest.TestCase):
+class SilentLogsTestCase(unittest.TestCase):
     def setUp(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
 
-class SearchedClosingsTest(Quiet):
-    def test_seeds_of_the_search(self) -> None:
-        for seed in range(SEARCHED_WORLDS):
+class SeededClosingsTest(SilentLogsTestCase):
+    def test_seeded_closings(self) -> None:
+        for seed in range(NUM_SEEDS):
             with self.subTest(seed=seed):
                 steps = CLOSINGS.random_steps(seed, STEPS_PER_CLOSING)
                 world, broken = CLOSINGS.run(seed, steps)
@@ -32,7 +32,7 @@
                 self.assertEqual(broken, [])
 
 
-def two_voters_one_loses_its_disk() -> list[Broken]:
+def close_after_retirement_with_a_lost_disk() -> list[Broken]:
     """One of three stores is retired; then all lose power, and one of the two its disk."""
     world = ClosingWorld.opened(1)
     try:
@@ -43,20 +43,20 @@
         world.close()
 
 
-class RulesTest(Quiet):
-    def rules(self) -> set[str]:
-        return {broken.rule for broken in two_voters_one_loses_its_disk()}
+class ClosingRulesTest(SilentLogsTestCase):
+    def violated_rules(self) -> set[str]:
+        return {broken.rule for broken in close_after_retirement_with_a_lost_disk()}
 
-    def test_the_product_passes(self) -> None:
-        self.assertEqual(self.rules(), set())
+    def test_unmodified_code_violates_no_rule(self) -> None:
+        self.assertEqual(self.violated_rules(), set())
 
-    def test_a_quorum_that_waits_for_a_lost_disk_is_caught(self) -> None:
+    def test_a_quorum_that_waits_for_a_lost_disk_is_detected(self) -> None:
         with mock.patch.object(raft, "quorum_size", lambda voters, _survivors: voters // 2 + 1):
-            self.assertIn(ClosingRule.SERVICE.value, self.rules())
+            self.assertIn(ClosingRule.SERVICE.value, self.violated_rules())
 
-    def test_turns_that_are_not_kept_are_caught(self) -> None:
+    def test_turns_that_are_not_stored_are_detected(self) -> None:
         with mock.patch.object(TurnLogState, "_store_turn", lambda _state, _finish: None):
-            self.assertIn(ClosingRule.STORED.value, self.rules())
+            self.assertIn(ClosingRule.STORED.value, self.violated_rules())
 
 
 class ToleranceTest(unittest.TestCase):
@@ -70,7 +70,7 @@
         self.assertEqual(self.tolerance.lost(100.0 + CATCH_UP_S - 0.1), {"a"})
         self.assertEqual(self.tolerance.lost(100.0 + CATCH_UP_S), set())
 
-    def test_its_time_begins_anew_after_a_disruption(self) -> None:
+    def test_catching_up_restarts_after_a_disruption(self) -> None:
         self.tolerance.end_trouble("a", 100.0)
         self.tolerance.begin_disruption(101.0)
         self.assertEqual(self.tolerance.lost(200.0), {"a"})
@@ -78,7 +78,7 @@
         self.assertEqual(self.tolerance.lost(200.0 + CATCH_UP_S - 0.1), {"a"})
         self.assertEqual(self.tolerance.lost(200.0 + CATCH_UP_S), set())
 
-    def test_a_sound_machine_stays_sound_in_a_disruption(self) -> None:
+    def test_a_caught_up_machine_is_not_lost_in_a_disruption(self) -> None:
         self.tolerance.end_trouble("a", 100.0)
         self.tolerance.begin_disruption(100.0 + CATCH_UP_S)
         self.assertEqual(self.tolerance.lost(200.0), set())
