--- a/tests/test_closed_worlds.py
+++ b/tests/test_world_cleanup.py
@@ -22,33 +22,33 @@
 def unfinished(tasks: set[asyncio.Task[Any]]) -> list[str]:
     """Names of the coroutines that are not at their end."""
     return [
-        str(work)
+        str(coroutine)
         for task in tasks
-        if inspect.iscoroutine(work := task.get_coro())
-        and inspect.getcoroutinestate(work) != inspect.CORO_CLOSED
+        if inspect.iscoroutine(coroutine := task.get_coro())
+        and inspect.getcoroutinestate(coroutine) != inspect.CORO_CLOSED
     ]
 
 
 class LoopTest(unittest.TestCase):
     def setUp(self) -> None:
         self.loop = VirtualTimeLoop()
-        self.ends: list[bool] = []
+        self.ran_in_loop: list[bool] = []
 
     async def wait(self) -> None:
         try:
             await self.loop.create_future()
         finally:
-            self.ends.append(asyncio.get_running_loop() is self.loop)
+            self.ran_in_loop.append(asyncio.get_running_loop() is self.loop)
 
-    def test_a_task_that_others_hold_ends_while_the_loop_runs(self) -> None:
+    def test_a_task_with_other_references_ends_while_the_loop_runs(self) -> None:
         process = SimProcess("killed")
         tasks = {self.loop.create_task(self.wait()), process.spawn(self.loop, self.wait())}
         self.loop.run_until_complete(asyncio.sleep(0))
         process.kill()
         self.loop.abandon()
-        self.assertEqual((unfinished(tasks), self.ends), ([], [True, True]))
+        self.assertEqual((unfinished(tasks), self.ran_in_loop), ([], [True, True]))
 
-    def test_a_task_that_another_starts_at_its_end_ends_too(self) -> None:
+    def test_a_task_started_by_an_ending_task_ends_too(self) -> None:
         tasks: set[asyncio.Task[None]] = set()
 
         async def start_another() -> None:
@@ -68,7 +68,7 @@
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def play_and_close(self, game: "Game[Any, Any, Any]") -> None:
+    def run_and_close(self, game: "Game[Any, Any, Any]") -> None:
         world, _ = game.run(1, game.random_steps(1, STEPS_PER_WORLD))
         tasks = asyncio.all_tasks(world.loop)
         world.close()
@@ -76,12 +76,12 @@
         self.assertEqual(unfinished(tasks), [])
 
     def test_a_closed_site_has_no_waiting_task(self) -> None:
-        self.play_and_close(SITE)
+        self.run_and_close(SITE)
 
     def test_a_closed_installation_has_no_waiting_task(self) -> None:
-        self.play_and_close(INSTALLATION)
+        self.run_and_close(INSTALLATION)
 
-    def test_a_world_that_does_not_start_is_closed(self) -> None:
+    def test_a_world_that_fails_to_start_is_closed(self) -> None:
         loops: list[VirtualTimeLoop] = []
 
         def fail(world: SiteWorld | World, _condition: object, _limit_s: float) -> None:
