--- a/tests/region_defects.py
+++ b/tests/region_defects.py
@@ -1,4 +1,4 @@
-"""Planted defects of groups, shares and voters by zone, and scenarios that must catch them."""
+"""Injected defects of groups, budget shares and zones of voters, and scenarios for them."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 LOOPING_PLAN = ProgramPlan(turns=1, tools=0, sub_agents=4, loops=True)
 ZONE_LOSS_ELECTION_S = 1.0
-"""The turn log is led again within this time while a zone is dark."""
+"""With a zone down, the turn log has a leader again within this time."""
 
 
 @contextlib.contextmanager
@@ -42,7 +42,7 @@
 
 
 def start_program_in_region(site: SiteWorld, program_id: str, at: str, budget_tokens: int) -> None:
-    """One line of a program whose other line enters through the other region."""
+    """Start the part of a program that enters through region ``at``; another enters elsewhere."""
     program = site.start_program(LOOPING_PLAN, budget_tokens=budget_tokens)
     program.program_id = program_id
     fronts = [front.name for front in site.fronts.values() if region(site, front) == at]
@@ -70,7 +70,7 @@
 
 
 def a_leader_is_lost_after_it_released(seed: int) -> list[Violation]:
-    """Its last entries reached nobody: it was cut from its peers a moment before."""
+    """Its last entries reached no peer, since it was cut off from them just before."""
     with world(seed) as site:
         far, near = site.leader(0), site.leader(1)
         assert far is not None
@@ -101,7 +101,7 @@
 
 
 def each_zone_is_lost_in_turn(seed: int) -> list[Violation]:
-    """Also while a machine is being emptied."""
+    """Each zone is lost while one of its machines is being retired."""
     found: list[Violation] = []
     with world(seed, THREE_ZONES) as site:
         for zone in sorted({machine.zone for machine in site.stores.values()}):
@@ -138,7 +138,7 @@
 async def _answer_before_commit(
     service: TurnService, command: wire.TurnCommand, answer_by_s: float
 ) -> wire.TurnReply:
-    """A release is told from the state, and its entry goes on by itself."""
+    """Answer a release from the state, and commit its entry in the background."""
     if not command.HasField("release"):
         return await _REAL_COMMIT(service, command, answer_by_s)
     state, _term = service._group(command.group).leader_state()
@@ -156,7 +156,7 @@
 
 
 async def _treat_silence_as_unknown_turn(search: GroupSearch, group: int) -> wire.TurnReply | None:
-    """A group that does not answer counts as one that does not know the turn."""
+    """Treat a group that does not answer as one that does not know the turn."""
     reply = await _REAL_GROUP_COMMIT(search, group)
     return reply or wire.TurnReply(answer=wire.TURN_ANSWER_UNKNOWN_TURN)
 
@@ -164,7 +164,7 @@
 def _choose_by_zone_name(
     _group_id: int, nodes: Collection[DiskNode], count: int, _home: object = None
 ) -> list[str]:
-    """All voters where the first zone is."""
+    """Choose voters in the order of zone names, so that the first zone holds a majority."""
     ordered = sorted(nodes, key=lambda node: (node.zone, node.node_id))
     return [node.node_id for node in ordered][:count]
 
@@ -188,17 +188,17 @@
         loops_while_regions_are_cut,
         patch(program_budget, "initial_share", _share_whole_budget),
     ),
-    "a share told twice counts twice": (
+    "a share that is reported twice counts twice": (
         Rule.BUDGET,
         loops_in_both_regions,
         patch(ProgramBudget, "take_over_share", _add_taken_share),
     ),
-    "a release is told before it is committed": (
+    "a release is answered before it is committed": (
         Rule.BUDGET,
         a_leader_is_lost_after_it_released,
         patch(TurnService, "_commit", _answer_before_commit),
     ),
-    "no such turn while a group is silent": (
+    "a turn is reported as unknown while a group does not answer": (
         Rule.FOUND,
         turns_are_continued_while_regions_are_cut,
         patch(GroupSearch, "_commit", _treat_silence_as_unknown_turn),
--- a/tests/site_cold_defects.py
+++ b/tests/site_cold_defects.py
@@ -1,4 +1,4 @@
-"""Planted defects around cold runners, and scenarios that must catch them."""
+"""Injected defects of cold runner handling, and scenarios that must detect them."""
 
 from bendshed.admission.cold_permits import LeadershipTracker
 from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
@@ -26,7 +26,7 @@
 
 
 def all_cold_while_leaders_change(seed: int) -> list[Violation]:
-    """Each leader is killed in the midst of a flood, and the next one serves within the second."""
+    """Each leader is killed during a flood; the next one serves within the same second."""
     with world(seed) as site:
         cool_all_runners(site)
         site.run_for(2.5)
@@ -43,7 +43,7 @@
 
 
 def all_cold_while_fronts_are_isolated(seed: int) -> list[Violation]:
-    """Calls flood the cold tools through fronts that reach no replica machine."""
+    """Calls flood the cold tool runners through fronts that reach no replica machine."""
     with world(seed) as site:
         flood(site, 40, tools=8, turns=4)
         site.run_for(0.6)
@@ -59,7 +59,7 @@
 
 
 def all_cold_long_after_startup(seed: int) -> list[Violation]:
-    """Runners turn cold again long after all processes began."""
+    """Runners turn cold again long after all processes started."""
     with world(seed) as site:
         site.run_for(10.0)
         cool_all_runners(site, for_s=9.0)
@@ -70,7 +70,7 @@
 
 
 def one_cold_runner_is_left(seed: int) -> list[Violation]:
-    """The others leave, so every turn wants the one that has just started."""
+    """The other engines are drained, so every turn needs the one that has just started."""
     with world(seed) as site:
         site.replace_runner("engine-1")
         site.drain_runner("engine-2")
@@ -93,7 +93,7 @@
 def _note_remaining_time_as_deadline(
     cold: ColdRunners, runner: ServiceRunner, left_s: float, now_s: float
 ) -> float:
-    """Counts the time left from the teller's zero and not from the moment it was heard."""
+    """Count the time left from zero of the sender's clock instead of from the time of receipt."""
     _REAL_NOTE(cold, runner, left_s, now_s)
     if left_s > 0:
         cold.cold_until_s[runner.runner_id] = left_s
@@ -104,15 +104,15 @@
 
 
 COLD_DEFECTS: dict[str, Defect] = {
-    "each leader grants the whole bound": Defect(
+    "each new leader grants the whole limit of the cold runners at once": Defect(
         Rule.COLD, all_cold_while_leaders_change, patch(LeadershipTracker, "share", _full_share)
     ),
-    "a front without a word goes on": Defect(
+    "a front sends to cold runners without requesting a permit": Defect(
         Rule.COLD,
         all_cold_while_fronts_are_isolated,
         patch(PermitClient, "request_permit", _permit_without_request),
     ),
-    "the time left is counted from another clock": Defect(
+    "the remaining cold time is counted from another clock": Defect(
         Rule.COLD,
         all_cold_long_after_startup,
         patch(ColdRunners, "_note", _note_remaining_time_as_deadline),
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -1,4 +1,4 @@
-"""Planted defects of the path through fronts and stores, and scenarios that must catch them."""
+"""Injected defects of request handling in fronts and stores, and scenarios that detect them."""
 
 import contextlib
 from collections.abc import AsyncIterator, Callable, Iterator
@@ -80,7 +80,7 @@
 
 
 def leader_loses_its_disk(seed: int) -> list[Violation]:
-    """Each time right after turns were answered, with the others cut from it before."""
+    """The leader loses its disk right after answering turns, while cut off from other stores."""
     with world(seed) as site:
         start_programs(site)
         for _ in range(3):
@@ -99,7 +99,7 @@
 
 
 def leader_loses_its_disk_in_three_worlds(seed: int) -> list[Violation]:
-    """Three such worlds: one that is broken enough to serve nothing loses nothing either."""
+    """Run it in three worlds, since a world that serves nothing cannot lose a turn either."""
     violations: list[Violation] = []
     not_served: AssertionError | None = None
     for each in (seed, seed + 2, seed + 4):
@@ -154,7 +154,7 @@
 
 
 def tenant_exceeds_its_limit(seed: int) -> list[Violation]:
-    """Far more than its limit, for three windows."""
+    """A tenant sends far more than its limit for three windows."""
     with world(seed) as site:
         for _ in range(15):
             for _ in range(4):
@@ -164,7 +164,7 @@
 
 
 def tenant_exceeds_its_limit_in_bursts(seed: int) -> list[Violation]:
-    """Quiet and floods by turns, each flood as large as the limit."""
+    """A tenant alternates between idle spans and bursts, each burst as large as its limit."""
     with world(seed) as site:
         for number in range(8):
             site.run_for(2.2 + 0.31 * number)
@@ -188,7 +188,7 @@
 
 
 def tenant_exceeds_its_limit_through_isolated_fronts(seed: int) -> list[Violation]:
-    """Turns end and their calls go out while two of three fronts are cut off now and then."""
+    """Turns end and calls are sent while two of three fronts are isolated from time to time."""
     with world(seed) as site:
         for second in range(12):
             for _ in range(4):
@@ -205,7 +205,7 @@
 
 
 def credential_is_removed(seed: int) -> list[Violation]:
-    """While the store's answers may be older ones, and clients go on sending."""
+    """The registry may return outdated answers, and clients keep sending."""
     with world(seed) as site:
         for _ in range(3):
             site.start_program(ProgramPlan(turns=20, tools=1), tenant=GUEST)
@@ -237,7 +237,7 @@
 def _num_counted_in_one_term(
     ledger: QuotaLedger, tenant: str, usage: UsageWindows, now_ms: int
 ) -> int:
-    """Counts just what was let through since this leader began."""
+    """Count only requests admitted since this leader took over."""
     term_start_ms = _TERM_START_MS.setdefault((id(ledger), ledger._term), now_ms)
     return usage.in_window(tenant, now_ms, min(ledger._counted_window_ms, now_ms - term_start_ms))
 
@@ -322,13 +322,13 @@
         runners_lose_answers,
         patch(decisions, "may_run_again", lambda history, _route: history.num_possible_runs < 3),
     ),
-    "unknown is told as not run": Defect(
+    "an unknown outcome is reported as not run": Defect(
         Rule.REFUSAL, runners_lose_answers, patch(Attempts, "open", _open_claiming_not_run)
     ),
-    "a cut stream ends like a whole one": Defect(
+    "a truncated stream ends like a complete one": Defect(
         Rule.WHOLE, runners_truncate_answers, patch(OpenResponse, "body", _body_ignoring_truncation)
     ),
-    "a held transcript is not checked": Defect(
+    "a cached transcript is not checked against its turn": Defect(
         Rule.CHAIN, no_faults, patch(TranscriptCache, "get", _latest_transcript)
     ),
     "the worst case is not reserved": Defect(
@@ -336,7 +336,7 @@
         programs_loop,
         patch(TurnLogState, "_reserve", lambda _state, _program, _begin: True),
     ),
-    "a turn's end is not kept": Defect(
+    "the end of a turn is not stored": Defect(
         Rule.FOUND, no_faults, patch(TurnLogState, "_store_turn", lambda self, finish: None)
     ),
     "one replica is a majority": Defect(
@@ -344,42 +344,42 @@
         leader_loses_its_disk_in_three_worlds,
         patch(RaftReplica, "_quorum", property(lambda _s: 1)),
     ),
-    "leaving is ignored": Defect(
+    "draining of a runner is ignored": Defect(
         Rule.DRAIN, runners_are_drained, patch(RunnerTable, "eligible", _all_runners_of_service)
     ),
-    "a connection is kept when its client left": Defect(
+    "a runner connection stays open after its client disconnected": Defect(
         Rule.LEAVE, clients_disconnect, patch(SimConnection, "abort", lambda self: None)
     ),
-    "an answer is held back at its end": Defect(
+    "the end of an answer is delayed": Defect(
         Rule.STOP, fronts_stop_gracefully, patch(TurnRecord, "finish_complete", _finish_late)
     ),
-    "any configuration is taken": Defect(
+    "a configuration of any version is applied": Defect(
         Rule.CONFIGURATION,
         stale_configurations_arrive,
         patch(ServiceNode, "apply_document", _apply_any_document),
     ),
-    "what was let through is not counted": Defect(
+    "admitted requests are not counted": Defect(
         Rule.QUOTA, tenant_exceeds_its_limit, patch(UsageWindows, "charge", lambda *_: None)
     ),
-    "a new leader gives again what the last one gave": Defect(
+    "a new leader grants quota again that its predecessor granted": Defect(
         Rule.QUOTA,
         tenant_exceeds_its_limit_while_leaders_change,
         patch(QuotaLedger, "_num_counted", _num_counted_in_one_term),
     ),
-    "a front that is cut off goes on": Defect(
+    "an isolated front keeps admitting requests": Defect(
         Rule.QUOTA,
         tenant_exceeds_its_limit_through_isolated_fronts,
         patch(LocalAllowances, "try_admit", _admit_always),
     ),
-    "windows are fixed spans": Defect(
+    "quota windows are fixed instead of sliding": Defect(
         Rule.QUOTA,
         tenant_exceeds_its_limit_in_bursts,
         patch(SlidingWindowCounter, "_buckets_in_window", _buckets_in_fixed_window),
     ),
-    "keys of older configurations stay known": Defect(
+    "credentials of older configurations stay valid": Defect(
         Rule.ACCESS, credential_is_removed, patch(AccessIndex, "__init__", _index_all_versions)
     ),
-    "turns are kept without their tenant": Defect(
+    "turns are stored without their tenant": Defect(
         Rule.TENANT,
         tenants_continue_each_others_turns,
         patch(TurnRecord, "_tenant", property(lambda _record: "")),
--- a/tests/site_zone_defects.py
+++ b/tests/site_zone_defects.py
@@ -1,4 +1,4 @@
-"""Planted defects around closed zones, and scenarios that must catch them."""
+"""Injected defects of closed zone handling, and scenarios that must detect them."""
 
 import contextlib
 from collections.abc import Collection
@@ -18,7 +18,7 @@
 
 
 def run_programs(site: SiteWorld, seconds: int) -> None:
-    """Programs that begin all the while."""
+    """Start two programs per second."""
     for _ in range(2 * seconds):
         site.start_program(ProgramPlan(turns=2, tools=2))
         site.run_for(0.5)
@@ -52,7 +52,7 @@
 
 
 def older_updates_arrive_after_a_closing(seed: int) -> list[Violation]:
-    """While answers are lost, fronts hear older words now and then."""
+    """While registry answers are lost, fronts sometimes receive older updates."""
     with world(seed) as site:
         for _ in range(2):
             site.close_zone(CLOSED_ZONE)
@@ -82,7 +82,7 @@
 def _retry_in_any_zone(
     placement: RunnerPlacement, tried: Collection[str], now_s: float
 ) -> Choice | None:
-    """A retry looks at all runners."""
+    """Consider all runners in a retry, including those in closed zones."""
     if not tried:
         return _REAL_CHOOSE(placement, tried, now_s)
     with mock.patch.object(placement.ports.table, "filter", RunnerFilter()):
@@ -99,7 +99,7 @@
 
 
 def _apply_any_update(record: ZoneRecord, update: ZoneUpdate, now_s: float) -> ZoneChanges:
-    """An older word counts like a newer one."""
+    """Apply an older update like a newer one."""
     changes = _REAL_APPLY(record, update, now_s)
     record.zones = update.zones
     return changes
@@ -110,18 +110,18 @@
 
 
 ZONE_DEFECTS: dict[str, Defect] = {
-    "a retry goes into a closed zone": Defect(
+    "a retry is sent to a closed zone": Defect(
         Rule.CLOSED, runners_shed_load_while_a_zone_is_closed, _retries_ignore_closed_zones
     ),
-    "a restart forgets a closing": Defect(
+    "closed zones are lost in a restart": Defect(
         Rule.CLOSED,
         all_restart_without_registry_while_a_zone_is_closed,
         patch(codec, "add_zones", lambda *_args, **_kwargs: None),
     ),
-    "an older word of closed zones is taken": Defect(
+    "an older update of closed zones is applied": Defect(
         Rule.CLOSED, older_updates_arrive_after_a_closing, _apply_older_updates
     ),
-    "nobody asks whether a zone is closed": Defect(
+    "closed zones are not checked": Defect(
         Rule.CLOSED,
         a_zone_is_closed_and_opened,
         patch(RunnerFilter, "allows", lambda *_args: True),
