--- a/tests/test_closings.py
+++ b/tests/test_closings.py
@@ -1,4 +1,4 @@
-"""Sites that lose power as a whole: a short search, and the rules that it judges by."""
+"""Sites that lose power as a whole: a short search, and the rules that it checks."""
 
 import logging
 import unittest
@@ -33,7 +33,7 @@
 
 
 def close_after_retirement_with_a_lost_disk() -> list[Broken]:
-    """One of three stores is retired; then all lose power, and one of the two its disk."""
+    """One of three stores is retired; then all lose power, and one of the other two its disk."""
     world = ClosingWorld.opened(1)
     try:
         CLOSINGS.apply(world, Step(Trouble.RETIRE, 0, 1.0))
--- a/tests/test_regions_site.py
+++ b/tests/test_regions_site.py
@@ -1,8 +1,8 @@
-"""A site of two regions, 60 ms of round trip apart: a calm day, and a third of its fronts cut off.
+"""A site of two regions, 60 ms round trip apart, without faults and with isolated fronts.
 
-The pattern: fronts that cannot reach any replica machine for 12 s while programs go on. The figures
-are those of a deployment whose regions stand 30 ms apart one way; there such a cut took 0.3 to 0.5
-of what was served while the same cut within one region took 0.02 to 0.15.
+A third of the fronts reaches no replica machine for 12 s while programs run. The figures are those
+of a deployment whose regions are 30 ms apart one way: there such a cut reduced what was served by
+0.3 to 0.5, and the same cut within one region by 0.02 to 0.15.
 """
 
 import unittest
@@ -25,9 +25,9 @@
 PROGRAM_INTERVAL_S = 0.2
 BUDGET_TOKENS = 6_000
 DISCOVERY_S = 2.0
-"""By then each front that is cut off has found its way around."""
+"""Within this time each isolated front has found a relayed path."""
 MAX_TURN_S, MAX_DISCOVERY_TURN_S = 0.6, 1.0
-"""A turn takes 0.2 to 0.43 s on a calm day; one that finds the cut takes longer."""
+"""A turn takes 0.2 to 0.43 s without faults; one that discovers the cut takes longer."""
 
 
 class RegionsTest(unittest.TestCase):
@@ -51,7 +51,7 @@
 
     @staticmethod
     def isolate_a_third(world: SiteWorld) -> list[SimMachine]:
-        """Every third front reaches no replica machine."""
+        """Cut every third front off from all replica machines."""
         isolated = list(world.fronts.values())[::3]
         for front in isolated:
             for store in world.stores.values():
@@ -125,7 +125,7 @@
         self.assertGreater(remote["tools"], 0)
         for runner in west:
             world.listed[runner.runner_id] = runner
-        world.run_for(1.0 + COLD_START_S)  # one that is listed again counts as just started
+        world.run_for(1.0 + COLD_START_S)  # a relisted runner counts as just started
         self.assertEqual(self.count_remote_runs(world), {"engines": 0, "tools": 0})
 
     def count_remote_runs(self, world: SiteWorld) -> dict[str, int]:
--- a/tests/test_site_fuzz.py
+++ b/tests/test_site_fuzz.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of a simulated site; the same verdict every time."""
+"""Deterministic stateful fuzzing of a simulated site."""
 
 import logging
 import unittest
@@ -13,10 +13,10 @@
 STEPS = 25
 NUM_SEEDS = 8
 QUOTA_REGRESSION_SEEDS = (1024, 1113, 189)
-"""Numbers of an allowance that had lapsed, and been counted seconds before, were used anew; turns
-that left on a lost leader's promise were counted nowhere."""
+"""Seeds that failed when numbers of an expired allowance, counted seconds before, were reused, and
+when turns admitted on the promise of a lost leader were not counted at all."""
 REGION_BUDGET_REGRESSION_SEEDS = (3022, 3026)
-"""A budget was called spent by reservations of refused turns in the other region's group."""
+"""Seeds that failed when reservations of refused turns in the other region counted as spent."""
 NUM_REGION_SEEDS = 4
 FAULTS = tuple(action for action in WITHIN_A_REGION if action not in CALM)
 
--- a/tests/test_site_processes.py
+++ b/tests/test_site_processes.py
@@ -1,4 +1,4 @@
-"""Drives real fronts and stores on stand-ins, waiting for events."""
+"""Real front and store processes with stand-ins for the platform; tests wait for events."""
 
 import asyncio
 import fcntl
@@ -42,7 +42,7 @@
         self.assertIn(402, looping.statuses)
 
     async def _kill_a_store(self, site: SiteInstallation, turn: str) -> None:
-        """Whichever leads, turns go on, and what was said before is found."""
+        """Kill a store, leader or not: turns continue, and the earlier turns are found."""
         store = site.stores["store-1"]
         await store.end(signal.SIGKILL)
         second = make_program(site, "second", ProgramPlan(turns=2, tools=0))
@@ -51,7 +51,7 @@
         await store.start()
 
     async def _stop_a_front(self, site: SiteInstallation) -> None:
-        """A stop under a running turn cuts nothing and ends with 0."""
+        """Stop a front during a turn: the turn completes, and the process exits with 0."""
         third = make_program(site, "third", ProgramPlan(turns=1, tools=0), ["front-1"])
         running = asyncio.create_task(third.run())
         await self._wait_for_run(site, "third")
@@ -66,11 +66,14 @@
 
 
 REQUESTS_PER_ROUND = 200
-"""Lines that a full pipe is offered without growing; 76 kB, more than it holds."""
+"""Requests, each of which logs a line, per check whether the pipe still grows.
+
+Their lines have 76 kB in all, more than the pipe holds.
+"""
 
 
 class UnreadLogTest(unittest.IsolatedAsyncioTestCase):
-    """A front whose log nobody reads serves on."""
+    """A front whose log is not read continues to serve."""
 
     PIPE_BYTES = 64 * 1024
 
@@ -101,10 +104,11 @@
         return reader
 
     async def _fill_pipe(self, site: SiteInstallation, client: HttpClient, reader: int) -> None:
-        """Ask for what no route takes, a line each, until the pipe holds no more, and on.
+        """Send requests without a route, each of which logs a line, until the pipe is full.
 
-        How much it holds depends on the lines: a page of it is not shared by two writes that do
-        not fit, so with lines of 380 bytes it is full at 60,800. It is full when it does not grow.
+        Its capacity depends on the lines: a write that does not fit into the current page starts a
+        new one, so with lines of 380 bytes it is full at 60,800 bytes. It counts as full when it
+        has stopped growing.
         """
         unread, unread_before = 0, -1
         while unread > unread_before or unread < self.PIPE_BYTES // 2:
--- a/tests/test_site_readiness.py
+++ b/tests/test_site_readiness.py
@@ -1,4 +1,4 @@
-"""A front that lost the turn log sends its clients elsewhere, and is ready again afterwards."""
+"""A front that lost the turn log is not ready, so clients go elsewhere, until it recovers."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 IMMEDIATE_S = 0.05
 ZONES = ("zone-a", "zone-b", "zone-c")
 NINE_FRONTS = SiteLayout(front_zones=ZONES * 3, store_zones=ZONES, num_voters=3)
-"""So many that a store reads for all of them, and lets their requests for the catalog wait."""
+"""Enough fronts that one store reads the registry for all and holds their catalog requests open."""
 
 
 class ReadinessTest(unittest.TestCase):
@@ -81,14 +81,15 @@
 
 
 class CancelledRequestTest(unittest.TestCase):
-    """A front whose last request was given up by its client while nobody answered the front.
-
-    Seen: twelve seconds after the return of power nothing was served at a site; no log was kept.
-    How it comes about at one front: its only request fails on some path, and its client leaves
-    before the request itself has failed. Cause: the front counts as isolated from the failed path
-    on, and rejects turns at once; only a request that has failed whole set off the probes that end
-    this, and requests for the catalog that wait at a store are not counted. Proof: the moment of
-    leaving is drawn over a whole try. It takes one front at a time; a whole site needs more.
+    """The client of an isolated front's only request cancels it before the request has failed.
+
+    From the first failed path on, the front counts as isolated and rejects turns immediately. Only
+    a request that had failed on all paths started the probes that end this state, and catalog
+    requests held open at a store are not counted, so the front did not recover. The cancellation
+    times cover a whole attempt.
+
+    Observed: 12 s after power returned, a site served nothing; no log was kept. The test shows the
+    fault at one front, which alone does not explain a whole site.
     """
 
     FIRST_CANCEL_S, CANCEL_STEP_S, NUM_CANCEL_TIMES = 0.1, 0.002, 75
@@ -139,13 +140,14 @@
 
 
 class LateFrontsTest(unittest.TestCase):
-    """All lose power, and fronts come back later than stores while the registry is away.
+    """All machines lose power, and fronts start later than stores while the registry is down.
+
+    Fronts save nothing and cannot read the registry. Stores greeted the fronts that they had saved
+    only during the first ten seconds after their own start, so a front that started later knew no
+    store until the registry was back. Here all fronts start 12 s after the stores.
 
-    Seen: twelve seconds after the return of power nothing was served at a site; no log was kept.
-    How it comes about: fronts remember nothing, and the registry tells them nothing. Cause: stores
-    greeted the fronts that they remembered for ten seconds of their own life; a front that started
-    later knew no store for as long as the registry was away. Proof: all fronts start 12 s after the
-    stores. That the site's fronts were so late is not proven.
+    Observed: 12 s after power returned, a site served nothing; no log was kept. It is not proven
+    that its fronts started so late.
     """
 
     SAVE_S, FRONT_DELAY_S, DISCOVERY_S, LONG_OUTAGE_S = 4.0, 12.0, 4.0, 40.0
@@ -188,7 +190,7 @@
         self.assertTrue(self.do_all_fronts_serve())
 
     def test_after_a_power_loss_of_the_fronts_and_one_store(self) -> None:
-        """The others live on, and know the fronts by the naming of the one that is gone."""
+        """The other stores keep running; they know the fronts from the store that lost power."""
         fronts = list(self.world.fronts.values())
         for store in list(self.world.stores.values()):
             for machine in [*fronts, store]:
@@ -202,14 +204,16 @@
 
 
 class LostReaderDiskTest(unittest.TestCase):
-    """All lose power, one store its disk too, and the registry is away from then on.
-
-    Seen: twelve seconds after the return of power nothing was served at a site, once and not in a
-    replay; no log was kept. How it comes about: fronts remember nothing, and only the store that
-    reads the registry for all had saved which fronts there are. Cause: a store did not save the
-    fronts that another one named to it unless something else changed in the same seconds. Proof: a
-    leader stands, all fronts run, and none knows a store. That the site's registry was away for so
-    long and the reader's disk was the lost one is not proven.
+    """All machines lose power, one store also its disk, and the registry is down from then on.
+
+    Fronts save nothing, and only the store that reads the registry for all had saved the fronts: a
+    store did not save those that another one reported to it unless something else changed in the
+    same seconds. If the reader's disk was lost, there was a leader and all fronts ran, but none
+    knew a store.
+
+    Observed: 12 s after power returned, a site served nothing, once and not in a replay; no log was
+    kept. It is not proven that its registry was down for so long and that the lost disk was the
+    reader's.
     """
 
     SEEDS = (1, 2, 3)
@@ -221,7 +225,7 @@
                 self.assertEqual(self.num_served_after_losing(lost, seed), 9, (seed, lost))
 
     def num_served_after_losing(self, lost: str, seed: int) -> int:
-        """Fronts that finish a program."""
+        """Return the number of fronts that finish a program."""
         world = SiteWorld.started(seed, NINE_FRONTS)
         try:
             world.run_for(self.SETTLE_S)
--- a/tests/test_site_rules.py
+++ b/tests/test_site_rules.py
@@ -1,4 +1,4 @@
-"""Every rule of the site's oracle: a planted defect is caught, the product passes the scenario."""
+"""Each rule of the site oracle detects injected defects; unmodified code passes the scenarios."""
 
 import logging
 import unittest
@@ -28,7 +28,7 @@
 
 
 class DefectsTestCase(unittest.TestCase):
-    """Planted defects make the loop report errors."""
+    """Disables logging, since injected defects make the event loop report errors."""
 
     defects: ClassVar[Mapping[str, Defect]] = {}
 
@@ -44,7 +44,7 @@
                 with defect.inject():
                     try:
                         violated = {violation.rule for violation in run_scenario(defect)}
-                    except AssertionError:  # the site does not even serve any more
+                    except AssertionError:  # the defect stops the site from serving
                         violated = set()
                 self.assertIn(defect.rule, violated)
 
--- a/tests/test_world_cleanup.py
+++ b/tests/test_world_cleanup.py
@@ -1,7 +1,7 @@
-"""A closed simulated world leaves nothing to the garbage collector.
+"""Closing a simulated world ends all its tasks, so none is left to the garbage collector.
 
 A coroutine that is collected while it waits runs its ``finally`` at that moment: without a running
-loop, and in whichever test runs then.
+loop, and during an unrelated test.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 def unfinished(tasks: set[asyncio.Task[Any]]) -> list[str]:
-    """Names of the coroutines that are not at their end."""
+    """Names of the coroutines that have not finished."""
     return [
         str(coroutine)
         for task in tasks
--- a/tests/test_zone_worlds.py
+++ b/tests/test_zone_worlds.py
@@ -1,4 +1,4 @@
-"""Closed zones in a simulated site, with one failure each."""
+"""Closed zones in a simulated site, with one failure per test."""
 
 import unittest
 from collections.abc import Callable
@@ -18,11 +18,11 @@
 
 ZONE, OTHER = RUNNER_ZONES[1], RUNNER_ZONES[0]
 PROPAGATION_S = 0.5
-"""By then a change that the reader hears has reached all fronts."""
+"""A change that the registry reader receives reaches all fronts within this time."""
 
 
 class ZoneWorldTestCase(unittest.TestCase):
-    """Enough fronts ask that one replica machine reads the registry for all."""
+    """Enough fronts request the catalog for one replica machine to read the registry for all."""
 
     def setUp(self) -> None:
         patch = mock.patch.object(demand, "MIN_SHARED_REQUESTERS", 1)
@@ -159,7 +159,7 @@
         self.assertEqual(self.closed_at(self.front), {ZONE})
 
     def test_no_front_is_fresh_while_its_zones_are_outdated(self) -> None:
-        """The registry answers on all else, and no replica machine hears of zones any more."""
+        """The registry answers all other reads, but replica machines take in no zones any more."""
         self.assertTrue(self.is_fresh())
         with mock.patch.object(TurnLogNode, "take_zones", lambda _node, _update: None):
             self.world.close_zone(ZONE)
@@ -183,7 +183,7 @@
 
 class AnswerTest(ZoneWorldTestCase):
     def answer(self, zones_at: int) -> tuple[wire.CatalogReply, float]:
-        """What the reader answers who knows all but closed zones, and after how long."""
+        """Reader's reply to a request that can only lack zone updates, and the time taken in s."""
         reader = self.ranked_stores()[0].replica
         assert reader is not None
         request = wire.CatalogRequest(
@@ -210,7 +210,7 @@
 
 class OpeningTest(ZoneWorldTestCase):
     def open_zone_during_pause(self) -> tuple[float, list[tuple[str, float]]]:
-        """When a zone was opened, and what a front that slept meanwhile heard of it."""
+        """Time at which a zone was opened, and the openings that a paused front then received."""
         node = self.front.front
         assert node is not None
         received: list[tuple[str, float]] = []
@@ -232,7 +232,7 @@
         self.assertAlmostEqual(received[0][1], opened_s, delta=PROPAGATION_S)
 
     def test_a_paused_front_that_reads_the_registry_dates_the_opening_late(self) -> None:
-        """The registry does not tell when it was; too late is too careful."""
+        """The registry does not report when it was; a time that is too late is safe."""
         opened_s, received = self.open_zone_during_pause()
         self.assertEqual([zone for zone, _ in received], [ZONE])
         self.assertGreaterEqual(received[0][1], opened_s)
@@ -290,7 +290,7 @@
         self.assert_closed_everywhere(ZONE)
 
     def test_the_registry_overrides_an_outdated_saved_file(self) -> None:
-        """Closed on the disk, opened while the machine was down."""
+        """The zone is closed in the saved file, and was opened while the machine was down."""
         store = self.ranked_stores()[0]
         self.world.close_zone(ZONE)
         self.world.run_for(ZONE_CLOSE_S)
