--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -237,10 +237,10 @@
     def _has_lost_turn_log(self) -> bool:
         if self._turn_ports.client.is_isolated:
             return True
-        lost_since_s = self._turn_ports.client.lost_since_s
-        if lost_since_s is None:
+        unreachable_since_s = self._turn_ports.client.unreachable_since_s
+        if unreachable_since_s is None:
             return False
-        return asyncio.get_running_loop().time() - lost_since_s > TURN_LOG_LOST_AFTER_S
+        return asyncio.get_running_loop().time() - unreachable_since_s > TURN_LOG_LOST_AFTER_S
 
     async def watch_turn_log(self) -> None:
         """Find the leaders at the start; probe while no replica answers.
@@ -259,7 +259,7 @@
                 await asyncio.sleep(PROBE_INTERVAL_S)
                 # A request that its caller gave up shows a failed path but no loss of the turn log.
                 # While the node rejects turns as isolated, only a probe shows that others answer.
-                if client.lost_since_s is not None or client.is_isolated:
+                if client.unreachable_since_s is not None or client.is_isolated:
                     await client.probe()
         finally:
             for task in searches:
