--- a/src/bendshed/configuration/service.py
+++ b/src/bendshed/configuration/service.py
@@ -1,11 +1,12 @@
-"""How configuration is accepted, spread and stored.
+"""Accepts, distributes and stores configuration changes.
 
 A change is accepted when the store has created the object ``configuration/changes/<revision>``;
-creating it again fails, so of two racing operators one wins and the other sees it. The object
-never changes, hence a lost answer is settled by reading the key: it holds either our operation
-id or another's. A node applies revision n only after n - 1, so nothing ever reverts, and a
-store that answers with old data changes nothing. A few readers per zone watch the store; all
-others learn the newest revision by gossip and fetch what they lack from the peer that sent it.
+creating it again fails, so of two concurrent operators one succeeds and the other gets a conflict.
+The object never changes, so a lost reply is resolved by reading the key: it holds the operation
+id of either this operation or another. A node applies revision n only after n - 1, so the
+configuration never reverts, and stale reads from the store have no effect. A few readers per zone
+watch the store; all other nodes learn the newest revision by gossip and fetch the missing changes
+from the peer that sent it.
 """
 
 import asyncio
@@ -19,8 +20,8 @@
     AcceptedChange,
     AnyChange,
     ConfigurationDocument,
+    InvalidReference,
     Snapshot,
-    UnknownName,
     apply_change,
 )
 from bendshed.errors import ErrorKind, Refusal
@@ -35,55 +36,57 @@
 CHANGES_PREFIX = "configuration/changes/"
 FETCH_METHOD = "configuration.fetch"
 REVISION_METHOD = "configuration.revision"
-WATCH_S = 10.0
+WATCH_TIMEOUT_S = 10.0
 STORE_RETRY_S = 1.0
 FETCH_TIMEOUT_S = 2.0
-RECENT_CHANGES = 256
-"""Changes held in memory, so that a peer that lags by fewer gets changes and no snapshot."""
-SETTLE_TRIES = 5
+MAX_RECENT_CHANGES = 256
+"""Changes kept in memory; a peer that lags by more than these gets a snapshot instead."""
+MAX_ATTEMPTS = 5
 
 log = PartLog("configuration")
 
 
 class ConfigurationCache(ABC):
-    """Where a disk node persists the newest configuration."""
+    """Storage in which a disk node persists the newest configuration."""
 
     @abstractmethod
     def load(self) -> Snapshot | None:
-        """Return the persisted snapshot; ``None``: there is none."""
+        """Return the persisted snapshot, or ``None`` if there is none."""
 
     @abstractmethod
     def save(self, snapshot: Snapshot) -> None:
-        """Persist it; durable on return."""
+        """Persist the snapshot durably before returning."""
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The change is accepted under this revision."""
+    """The change was accepted with this revision."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
-    """Where a revision is in force.
+class RolloutStatus:
+    """On which nodes a revision is in force.
 
     Attributes:
-        missing: node ids that hold an older revision.
-        silent: node ids that did not answer.
+        num_applied: number of nodes that hold the revision, this node included.
+        lagging: node ids that hold an older revision.
+        unreachable: node ids that did not reply.
 
     """
 
     revision: int
-    reached: int
-    missing: list[str]
-    silent: list[str]
+    num_applied: int
+    lagging: list[str]
+    unreachable: list[str]
 
 
 class ConfigurationService:
     """Holds the configuration applied on this node.
 
-    Invariant: ``snapshot.revision`` only rises, by applying change after change.
+    Invariant: ``snapshot.revision`` only increases: the next change is applied, or a newer
+    snapshot is installed.
     """
 
     def __init__(
@@ -105,35 +108,35 @@
         self._transport = transport
         self._clock = clock
         self._rng = rng
-        self._recent: dict[int, AcceptedChange] = {}
+        self._recent_changes: dict[int, AcceptedChange] = {}
         self._fetching = False
         self._task: asyncio.Task[None] | None = None
-        self._fetches: set[asyncio.Task[None]] = set()
+        self._fetch_tasks: set[asyncio.Task[None]] = set()
         membership.on_revision.append(self._on_revision_seen)
         transport.handlers[FETCH_METHOD] = self._on_fetch
         transport.handlers[REVISION_METHOD] = self._on_revision_request
 
     @property
     def document(self) -> ConfigurationDocument:
-        """The document applied here."""
+        """The document applied on this node."""
         return self.snapshot.document
 
     @property
     def is_reader(self) -> bool:
-        """Whether this node is one of its zone's readers of the store."""
+        """Whether this node is one of the nodes of its zone that read the store."""
         readers = self._membership.zone_readers()[: self._readers_per_zone]
-        return self._membership.swim.me.node_id in readers
+        return self._membership.swim.local_member.node_id in readers
 
     def start(self) -> None:
-        """Load the persisted configuration and begin to follow changes."""
+        """Load the persisted configuration and start following changes."""
         persisted = self._cache.load() if self._cache is not None else None
         if persisted is not None:
-            self._take_over(persisted)
-        self._task = start_loop(self._read_forever(), "configuration")
+            self._install_snapshot(persisted)
+        self._task = start_loop(self._watch_forever(), "configuration")
 
     async def stop(self) -> None:
         """Stop following changes."""
-        tasks = [*self._fetches, *([self._task] if self._task is not None else [])]
+        tasks = [*self._fetch_tasks, *([self._task] if self._task is not None else [])]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -141,9 +144,9 @@
     # --- writing -------------------------------------------------------------------------
 
     async def submit(self, body: AnyChange, author: str) -> Accepted | Refusal:
-        """Get a change accepted by the store, on top of the newest revision."""
+        """Submit a change to the store, on top of the newest revision."""
         operation_id = f"{self._rng.getrandbits(96):024x}"
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 await self._catch_up()
                 outcome = await self._try_accept(body, author, operation_id)
@@ -153,17 +156,17 @@
                     f"the store does not answer ({error}); "
                     f"SHOW CONFIGURATION tells later whether operation {operation_id} took effect",
                 )
-            except UnknownName as error:
+            except InvalidReference as error:
                 return Refusal(ErrorKind.NOT_FOUND, str(error))
             if outcome is not None:
                 return outcome
         return Refusal(ErrorKind.CONFLICT, "other operators' changes kept winning; ask again")
 
     async def _try_accept(self, body: AnyChange, author: str, operation_id: str) -> Accepted | None:
-        """Create the next revision's object; ``None``: another change won this revision."""
+        """Create the next revision's object; return ``None`` if another change took it."""
         base = self.snapshot
         revision = base.revision + 1
-        apply_change(base.document, body, revision)  # refuse before it is written
+        apply_change(base.document, body, revision)  # reject invalid changes before writing
         change = AcceptedChange(
             operation_id=operation_id,
             author=author,
@@ -175,17 +178,17 @@
         try:
             await self._store.create(change_key(revision), content)
         except (VersionConflict, StoreUnavailable):
-            return await self._settle(revision, operation_id)
+            return await self._resolve_outcome(revision, operation_id)
         self._apply(revision, change)
         return Accepted(revision)
 
-    async def _settle(self, revision: int, operation_id: str) -> Accepted | None:
-        """After a conflict or a lost answer: read whose change has this revision."""
-        for attempt in range(SETTLE_TRIES):
+    async def _resolve_outcome(self, revision: int, operation_id: str) -> Accepted | None:
+        """After a conflict or a lost reply, read which change has this revision."""
+        for attempt in range(MAX_ATTEMPTS):
             try:
                 stored = await self._store.get(change_key(revision))
             except StoreUnavailable:
-                if attempt == SETTLE_TRIES - 1:
+                if attempt == MAX_ATTEMPTS - 1:
                     raise
                 await asyncio.sleep(STORE_RETRY_S)
                 continue
@@ -196,37 +199,37 @@
             return Accepted(revision) if change.operation_id == operation_id else None
         return None
 
-    async def wait_in_force(self, revision: int, timeout_s: float) -> InForce:
-        """Wait until every live node holds the revision; say which do not."""
+    async def wait_for_rollout(self, revision: int, timeout_s: float) -> RolloutStatus:
+        """Wait until every live node holds the revision, or until the timeout."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout_s
+        deadline_s = loop.time() + timeout_s
         while True:
             state = await self._request_revisions(revision)
-            if not state.missing and not state.silent:
+            if not state.lagging and not state.unreachable:
                 return state
-            if loop.time() >= until:
+            if loop.time() >= deadline_s:
                 return state
             await asyncio.sleep(0.2)
 
-    async def _request_revisions(self, revision: int) -> InForce:
-        me = self._membership.swim.me.node_id
-        others = [m.node_id for m in self._membership.view.live() if m.node_id != me]
+    async def _request_revisions(self, revision: int) -> RolloutStatus:
+        own_id = self._membership.swim.local_member.node_id
+        others = [m.node_id for m in self._membership.view.live() if m.node_id != own_id]
         answers = await asyncio.gather(*(self._request_revision(node) for node in others))
-        missing = [
+        lagging = [
             n for n, r in zip(others, answers, strict=True) if r is not None and r < revision
         ]
-        silent = [n for n, r in zip(others, answers, strict=True) if r is None]
-        reached = 1 + len(others) - len(missing) - len(silent)
-        return InForce(revision, reached, missing, silent)
+        unreachable = [n for n, r in zip(others, answers, strict=True) if r is None]
+        num_applied = 1 + len(others) - len(lagging) - len(unreachable)
+        return RolloutStatus(revision, num_applied, lagging, unreachable)
 
     async def _request_revision(self, node_id: str) -> int | None:
         address = self._membership.view.address(node_id)
         if address is None:
             return None
-        question = wire.RevisionRequest().SerializeToString()
+        request = wire.RevisionRequest().SerializeToString()
         try:
             reply = await self._transport.request(
-                address, REVISION_METHOD, question, FETCH_TIMEOUT_S
+                address, REVISION_METHOD, request, FETCH_TIMEOUT_S
             )
         except PeerUnreachable:
             return None
@@ -234,14 +237,14 @@
 
     # --- following -----------------------------------------------------------------------
 
-    async def _read_forever(self) -> None:
+    async def _watch_forever(self) -> None:
         while True:
             if not self.is_reader:
                 await asyncio.sleep(STORE_RETRY_S)
                 continue
             try:
                 after = change_key(self.snapshot.revision)
-                self._apply_objects(await self._store.watch(CHANGES_PREFIX, after, WATCH_S))
+                self._apply_objects(await self._store.watch(CHANGES_PREFIX, after, WATCH_TIMEOUT_S))
             except StoreUnavailable:
                 await asyncio.sleep(STORE_RETRY_S * self._rng.uniform(0.5, 1.5))
 
@@ -256,63 +259,63 @@
 
     def _apply(self, revision: int, change: AcceptedChange) -> None:
         if revision != self.snapshot.revision + 1:
-            return  # known already, or a gap that a later read fills
-        self._recent[revision] = change
-        self._recent.pop(revision - RECENT_CHANGES, None)
-        with contextlib.suppress(UnknownName):
+            return  # already applied, or a gap that a later read fills
+        self._recent_changes[revision] = change
+        self._recent_changes.pop(revision - MAX_RECENT_CHANGES, None)
+        with contextlib.suppress(InvalidReference):
             document = apply_change(self.document, change.body, revision)
-            self._take_over(Snapshot(revision=revision, document=document))
+            self._install_snapshot(Snapshot(revision=revision, document=document))
             return
-        self._take_over(Snapshot(revision=revision, document=self.document))
+        self._install_snapshot(Snapshot(revision=revision, document=self.document))
 
-    def _take_over(self, snapshot: Snapshot) -> None:
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
         if snapshot.revision <= self.snapshot.revision:
             return
         self.snapshot = snapshot
         if self._cache is not None:
             self._cache.save(snapshot)
-        self._membership.set_revision(snapshot.revision)
+        self._membership.broadcast_revision(snapshot.revision)
         for on_change in self.on_change:
             on_change(snapshot.document)
 
-    # --- between nodes -------------------------------------------------------------------
+    # --- messages between nodes ----------------------------------------------------------
 
     def _on_revision_seen(self, node_id: str, revision: int) -> None:
         if revision <= self.snapshot.revision or self._fetching:
             return
         self._fetching = True
         task = asyncio.get_running_loop().create_task(self._fetch(node_id))
-        self._fetches.add(task)
-        task.add_done_callback(self._fetches.discard)
+        self._fetch_tasks.add(task)
+        task.add_done_callback(self._fetch_tasks.discard)
 
     async def _fetch(self, node_id: str) -> None:
         try:
             address = self._membership.view.address(node_id)
             if address is None:
                 return
-            question = wire.ConfigurationRequest(have_revision=self.snapshot.revision)
+            request = wire.ConfigurationRequest(have_revision=self.snapshot.revision)
             payload = await self._transport.request(
-                address, FETCH_METHOD, question.SerializeToString(), FETCH_TIMEOUT_S
+                address, FETCH_METHOD, request.SerializeToString(), FETCH_TIMEOUT_S
             )
-            self._take_reply(wire.ConfigurationReply.FromString(payload))
+            self._apply_reply(wire.ConfigurationReply.FromString(payload))
         except PeerUnreachable:
-            return  # the next gossip names a holder again
+            return  # a later gossip message names another peer that holds the revision
         finally:
             self._fetching = False
 
-    def _take_reply(self, reply: wire.ConfigurationReply) -> None:
+    def _apply_reply(self, reply: wire.ConfigurationReply) -> None:
         if reply.snapshot_revision > self.snapshot.revision:
-            self._take_over(Snapshot.model_validate_json(reply.snapshot))
+            self._install_snapshot(Snapshot.model_validate_json(reply.snapshot))
         for row in reply.changes:
             self._apply(row.revision, AcceptedChange.model_validate_json(row.change))
 
     async def _on_fetch(self, payload: bytes) -> bytes:
-        have = wire.ConfigurationRequest.FromString(payload).have_revision
-        wanted = range(have + 1, self.snapshot.revision + 1)
+        known_revision = wire.ConfigurationRequest.FromString(payload).have_revision
+        revisions = range(known_revision + 1, self.snapshot.revision + 1)
         reply = wire.ConfigurationReply()
-        if all(revision in self._recent for revision in wanted):
-            for revision in wanted:
-                change = self._recent[revision].model_dump_json().encode()
+        if all(revision in self._recent_changes for revision in revisions):
+            for revision in revisions:
+                change = self._recent_changes[revision].model_dump_json().encode()
                 reply.changes.append(wire.ConfigurationChange(revision=revision, change=change))
         else:
             reply.snapshot_revision = self.snapshot.revision
@@ -324,5 +327,5 @@
 
 
 def change_key(revision: int) -> str:
-    """Key of a revision's change; keys sort like revisions."""
+    """Return the store key of a revision's change; keys sort in the order of revisions."""
     return f"{CHANGES_PREFIX}{revision:012d}"
--- a/src/bendshed/membership/service.py
+++ b/src/bendshed/membership/service.py
@@ -1,4 +1,4 @@
-"""Shell around the membership state machine: UDP datagrams, timers, join and anti-entropy."""
+"""Runs the membership state machine: UDP datagrams, timers, joining and anti-entropy."""
 
 import asyncio
 import random
@@ -17,11 +17,11 @@
 SYNC_INTERVAL_S = 30.0
 SYNC_TIMEOUT_S = 2.0
 JOIN_RETRY_S = 0.5
-READER_KEY = "configuration-reader"
-SEED_SYNC_SHARE = 0.25
-"""Comparisons made with a seed, so that parts that lost each other meet again."""
-SILENCE_S = 2.0
-"""Without a message from any peer for this long, updates may have been missed."""
+READER_RANK_KEY = "configuration-reader"
+SEED_SYNC_PROBABILITY = 0.25
+"""Probability of syncing with a seed, so that separated partitions find each other again."""
+SILENCE_TIMEOUT_S = 2.0
+"""After this long without a message from any peer, updates may have been missed."""
 
 log = PartLog("membership")
 
@@ -30,22 +30,27 @@
     """Maintains this node's membership and notifies subscribers of changes.
 
     Attributes:
-        last_heard_s: loop time of the last message from a peer.
+        last_message_s: loop time of the last message from a peer.
 
-    After a silence (a pause, a cut, a start) what peers spread meanwhile may have been missed;
-    the view counts as current again only after a comparison of the whole state with a peer.
+    After a silence (a process pause, a network partition, a start) updates that peers spread in
+    the meantime may have been missed; the view counts as current again only after a sync of the
+    whole state with a peer.
     """
 
     def __init__(
-        self, me: wire.Member, transport: Transport, rng: random.Random, seeds: list[Address]
+        self,
+        local_member: wire.Member,
+        transport: Transport,
+        rng: random.Random,
+        seeds: list[Address],
     ) -> None:
-        self.swim = swim.SwimMembership(me, rng)
+        self.swim = swim.SwimMembership(local_member, rng)
         self.on_member: list[Callable[[wire.Member], None]] = []
         self.on_runner: list[Callable[[wire.RunnerNotice], None]] = []
         self.on_leader: list[Callable[[wire.LeaderHint], None]] = []
         self.on_revision: list[Callable[[str, int], None]] = []
         self.last_message_s = float("-inf")
-        self._missed_news = True
+        self._may_have_missed_updates = True
         self._transport = transport
         self._rng = rng
         self._seeds = seeds
@@ -55,62 +60,62 @@
 
     @property
     def view(self) -> swim.MembershipView:
-        """Members as known now."""
+        """Members as currently known."""
         return self.swim.view
 
     def start(self) -> None:
-        """Begin to probe and to join by the seeds."""
+        """Start probing, and joining through the seeds."""
         self._tasks = [
             start_loop(self._tick_forever(), "membership"),
             start_loop(self._sync_forever(), "membership"),
         ]
 
     async def stop(self) -> None:
-        """Stop probing."""
+        """Stop probing and syncing."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def leave(self) -> None:
-        """Announce that this node takes no new work."""
+        """Announce that this node accepts no new work."""
         self._perform(self.swim.leave())
 
-    def notice_runner(self, notice: wire.RunnerNotice) -> None:
-        """Spread a notice about a back end."""
-        self._perform(self.swim.notice_runner(notice))
+    def broadcast_runner_notice(self, notice: wire.RunnerNotice) -> None:
+        """Spread a notice about a runner to all members."""
+        self._perform(self.swim.broadcast_runner_notice(notice))
 
-    def notice_leader(self, hint: wire.LeaderHint) -> None:
-        """Spread a group's leader."""
-        self._perform(self.swim.notice_leader(hint))
+    def broadcast_leader_hint(self, hint: wire.LeaderHint) -> None:
+        """Spread a group's leader to all members."""
+        self._perform(self.swim.broadcast_leader_hint(hint))
 
-    def set_revision(self, revision: int) -> None:
-        """Spread that this node holds a configuration revision."""
-        self._perform(self.swim.set_revision(revision))
+    def broadcast_revision(self, revision: int) -> None:
+        """Tell peers which configuration revision this node holds."""
+        self._perform(self.swim.broadcast_revision(revision))
 
     def zone_readers(self) -> list[str]:
-        """Live nodes of this node's zone, in the order in which they read the platform."""
-        zone = self.swim.me.zone
+        """Return the live nodes of this node's zone; the first ones read the store."""
+        zone = self.swim.local_member.zone
         nodes = [member.node_id for member in self.view.live() if member.zone == zone]
-        return rendezvous_rank(READER_KEY, nodes)
+        return rendezvous_rank(READER_RANK_KEY, nodes)
 
     # --- input ---------------------------------------------------------------------------
 
     def _on_datagram(self, payload: bytes) -> None:
         gossip = wire.Gossip.FromString(payload)
-        self._note_message()
+        self._record_message()
         self._perform(self.swim.receive(gossip, self.last_message_s))
 
-    def _note_message(self) -> None:
+    def _record_message(self) -> None:
         now_s = asyncio.get_running_loop().time()
-        if now_s - self.last_message_s > SILENCE_S:
-            self._missed_news = True
+        if now_s - self.last_message_s > SILENCE_TIMEOUT_S:
+            self._may_have_missed_updates = True
         self.last_message_s = now_s
 
     @property
     def is_current(self) -> bool:
-        """Whether news that all peers have would have reached this node."""
+        """Whether an update that all peers hold would have reached this node."""
         silent_s = asyncio.get_running_loop().time() - self.last_message_s
-        return silent_s <= SILENCE_S and not self._missed_news
+        return silent_s <= SILENCE_TIMEOUT_S and not self._may_have_missed_updates
 
     async def _on_sync(self, payload: bytes) -> bytes:
         state = wire.MembershipSync.FromString(payload)
@@ -120,10 +125,10 @@
         return self.swim.state().SerializeToString()
 
     def _summary(self) -> wire.MembershipSync:
-        """The state's digest without the state."""
+        """Return a sync message with the state's digest but without the state."""
         return wire.MembershipSync(
             digest=self.swim.digest(),
-            sender=self.swim.me.node_id,
+            sender=self.swim.local_member.node_id,
             configuration_revision=self.swim.configuration_revision,
         )
 
@@ -138,14 +143,14 @@
             await asyncio.sleep(TICK_S)
 
     async def _sync_forever(self) -> None:
-        """Join by the seeds, then compare the whole state with a random peer now and then."""
+        """Join through the seeds, then periodically sync the whole state with a random peer."""
         while True:
             joined = await self._sync_once()
             pause_s = SYNC_INTERVAL_S * self._rng.uniform(0.5, 1.5) if joined else JOIN_RETRY_S
             until_s = asyncio.get_running_loop().time() + pause_s
             while asyncio.get_running_loop().time() < until_s:
                 await asyncio.sleep(JOIN_RETRY_S)
-                if joined and self._missed_news:
+                if joined and self._may_have_missed_updates:
                     break
 
     async def _sync_once(self) -> bool:
@@ -158,26 +163,26 @@
                 await self._exchange(peer, self.swim.state())
         except PeerUnreachable:
             return False
-        self._missed_news = False
+        self._may_have_missed_updates = False
         return True
 
     async def _exchange(self, peer: Address, mine: wire.MembershipSync) -> wire.MembershipSync:
-        """Send a digest or the whole state, and merge what comes back."""
+        """Send a digest or the whole state, and merge the reply."""
         payload = await self._transport.request(
             peer, SYNC_METHOD, mine.SerializeToString(), SYNC_TIMEOUT_S
         )
-        self._note_message()
+        self._record_message()
         reply = wire.MembershipSync.FromString(payload)
         self._merge(reply)
         return reply
 
     def _pick_peer(self) -> Address | None:
-        me = self.swim.me
-        others = [m for m in self.view.live() if m.node_id != me.node_id]
-        if others and self._rng.random() >= SEED_SYNC_SHARE:
+        local = self.swim.local_member
+        others = [m for m in self.view.live() if m.node_id != local.node_id]
+        if others and self._rng.random() >= SEED_SYNC_PROBABILITY:
             member = self._rng.choice(others)
             return Address(member.host, member.peer_port)
-        seeds = [s for s in self._seeds if s != Address(me.host, me.peer_port)]
+        seeds = [s for s in self._seeds if s != Address(local.host, local.peer_port)]
         addresses = seeds or [Address(m.host, m.peer_port) for m in others]
         return self._rng.choice(addresses) if addresses else None
 
@@ -192,10 +197,10 @@
                     log.say("member changed", member=member.node_id, status=member.status)
                     for on_member in self.on_member:
                         on_member(member)
-                case swim.RunnerNoticed(notice):
+                case swim.RunnerChanged(notice):
                     for on_runner in self.on_runner:
                         on_runner(notice)
-                case swim.LeaderNoticed(hint):
+                case swim.LeaderChanged(hint):
                     for on_leader in self.on_leader:
                         on_leader(hint)
                 case swim.RevisionSeen(node_id, revision):
--- a/src/bendshed/operators/answers.py
+++ b/src/bendshed/operators/answers.py
@@ -143,15 +143,17 @@
     # --- commands ------------------------------------------------------------------------
 
     async def _wait_and_report(self, accepted: Accepted) -> Answer:
-        state = await self._node.configuration.wait_in_force(accepted.revision, IN_FORCE_TIMEOUT_S)
+        state = await self._node.configuration.wait_for_rollout(
+            accepted.revision, IN_FORCE_TIMEOUT_S
+        )
         members = self._node.membership.view.members
         late_nodes = [
-            members[n].name if n in members else n for n in (*state.missing, *state.silent)
+            members[n].name if n in members else n for n in (*state.lagging, *state.unreachable)
         ]
         if late_nodes:
             message = f"accepted as revision {state.revision}; not yet in force on some nodes"
         else:
-            message = f"accepted as revision {state.revision}; in force on all {state.reached}"
+            message = f"accepted as revision {state.revision}; in force on all {state.num_applied}"
         return Answer([], message, late_nodes)
 
     async def _stop(self, program_id: str, author: str) -> Answer | Refusal:
--- a/src/bendshed/routing/monitor.py
+++ b/src/bendshed/routing/monitor.py
@@ -119,7 +119,7 @@
             await self._request_from_peer()
 
     async def _request_from_peer(self) -> None:
-        own_id = self._membership.swim.me.node_id
+        own_id = self._membership.swim.local_member.node_id
         others = [node for node in self._membership.zone_readers() if node != own_id]
         peers = others[:NUM_LIST_PEERS]
         address = self._membership.view.address(self._rng.choice(peers)) if peers else None
@@ -139,7 +139,7 @@
         self._digest = xxhash.xxh3_64_intdigest(_encode(machines))
         for notice in self._table.update_list(machines):
             log.say("runner is leaving", runner=notice.runner_id)
-            self._membership.notice_runner(notice)
+            self._membership.broadcast_runner_notice(notice)
         for callback in self.on_machine_list:
             callback(machines)
         self._scheduler.schedule()
@@ -155,7 +155,7 @@
         """Handle an engine that refused work because it is leaving: notify all nodes."""
         notice = self._table.mark_leaving(runner_id)
         if notice is not None:
-            self._membership.notice_runner(notice)
+            self._membership.broadcast_runner_notice(notice)
 
     # --- load ----------------------------------------------------------------------------
 
@@ -205,7 +205,7 @@
         live = sorted(member.node_id for member in self._membership.view.live())
         if live != self._ring_nodes:
             self._ring_nodes, self._ring = live, HashRing(live)
-        own_id = self._membership.swim.me.node_id
+        own_id = self._membership.swim.local_member.node_id
         for runner_id in list(self._table.runners):
             if self._ring.owner(runner_id) == own_id:
                 await self._reconcile_runner(runner_id)
