--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -27,7 +27,7 @@
 from bendshed.model.address import Address
 from bendshed.paths.host_locations import HostLocations
 from bendshed.ports.registry import ReplicaNode
-from bendshed.ports.transport import PeerUnreachable, Requests, Transport
+from bendshed.ports.transport import PeerUnreachable, RequestSender, Transport
 from bendshed.wire import turns_pb2 as wire_turns
 
 REPLY_MARGIN_S = 0.2
@@ -60,7 +60,7 @@
     """
 
     direct: Transport
-    relayed: Requests
+    relayed: RequestSender
     host_locations: HostLocations
     is_cut: Callable[[Address], bool] = lambda _machine: False
 
--- a/src/bendshed/consensus/group_client.py
+++ b/src/bendshed/consensus/group_client.py
@@ -8,7 +8,7 @@
 
 from bendshed.identifiers import group_of
 from bendshed.model.address import Address
-from bendshed.ports.transport import PeerUnreachable, Requests
+from bendshed.ports.transport import PeerUnreachable, RequestSender
 from bendshed.wire import programs_pb2 as wire
 
 COMMAND_METHOD = "group.command"
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        transport: Requests,
+        transport: RequestSender,
         rng: random.Random,
         group_count: int,
         resolve: Callable[[str], Address | None],
--- a/src/bendshed/ports/transport.py
+++ b/src/bendshed/ports/transport.py
@@ -26,7 +26,7 @@
         self.is_silent = is_silent
 
 
-class Requests(Protocol):
+class RequestSender(Protocol):
     """Whoever sends a request to a peer and gives its answer."""
 
     async def request(self, peer: Address, method: str, payload: bytes, timeout_s: float) -> bytes:
