--- a/src/bendshed/gateway/forwarding.py
+++ b/src/bendshed/gateway/forwarding.py
@@ -53,7 +53,7 @@
             (b"content-type", b"application/json"),
             (b"content-length", str(len(content)).encode()),
         ]
-        answer = self._protocol.answer_of(refusal)
+        answer = self._protocol.response_for(refusal)
         if answer.retry_after:
             headers.append((b"retry-after", answer.retry_after.encode()))
         await self._start(answer.status, headers)
--- a/src/bendshed/gateway/service_protocol.py
+++ b/src/bendshed/gateway/service_protocol.py
@@ -65,7 +65,7 @@
             arrived_s=received.arrived_s,
         )
 
-    def answer_of(self, refusal: Refusal) -> RefusalAnswer:
+    def response_for(self, refusal: Refusal) -> RefusalAnswer:
         """Read the table of error kinds."""
         answer = refusal.answer
         retry_after = str(answer.retry_after_s) if answer.retry_after_s is not None else ""
--- a/src/bendshed/platform/caller_protocol.py
+++ b/src/bendshed/platform/caller_protocol.py
@@ -72,7 +72,7 @@
             affinity_key=_text(fields, names.AFFINITY),
         )
 
-    def answer_of(self, refusal: Refusal) -> RefusalAnswer:
+    def response_for(self, refusal: Refusal) -> RefusalAnswer:
         """A 503 promises that nothing was run; 502 and 504 promise nothing."""
         retry_after_s = refusal.retry_after_s
         if retry_after_s is None:
--- a/src/bendshed/ports/caller_protocol.py
+++ b/src/bendshed/ports/caller_protocol.py
@@ -53,5 +53,5 @@
         """Translate a request; refuse one whose fields cannot be read."""
 
     @abstractmethod
-    def answer_of(self, refusal: Refusal) -> RefusalAnswer:
+    def response_for(self, refusal: Refusal) -> RefusalAnswer:
         """Status and time to come back of a refusal."""
