--- a/src/bendshed/node.py
+++ b/src/bendshed/node.py
@@ -34,9 +34,9 @@
 from bendshed.settings.model import Settings
 from bendshed.wire import peer_pb2 as wire
 
-SPARED_FACTOR = 2.0
+REPLACEMENT_WAIT_FACTOR = 2.0
 """A planned stop waits this many times the replacement delay for a lost replica's successor."""
-SPARED_CHECK_S = 0.25
+REPLACEMENT_CHECK_INTERVAL_S = 0.25
 
 log = PartLog("node")
 
@@ -77,7 +77,7 @@
         storage, rng = ports.storage, ports.rng
         node_id = storage.node_id() if storage is not None else f"{rng.getrandbits(64):016x}"
         self.node_id = node_id
-        me = wire.Member(
+        own_member = wire.Member(
             node_id=node_id,
             name=settings.node.name,
             zone=settings.node.zone,
@@ -90,7 +90,7 @@
             has_disk=storage is not None,
         )
         seeds = [parse_address(text) for text in settings.node.seeds]
-        self.membership = MembershipService(me, ports.transport, rng, seeds)
+        self.membership = MembershipService(own_member, ports.transport, rng, seeds)
         self.configuration = ConfigurationService(
             ports.store,
             ports.cache,
@@ -206,19 +206,19 @@
         if self.host is not None:
             self.host.transfer_all_leadership()
         await self.executor.drain()
-        await self._wait_until_spared()
+        await self._wait_until_not_needed()
 
-    async def _wait_until_spared(self) -> None:
+    async def _wait_until_not_needed(self) -> None:
         """Wait, within limits, until no group needs this node any more."""
         if self._departure is None:
             return
-        limit_s = SPARED_FACTOR * self.settings.groups.replace_after_s
+        limit_s = REPLACEMENT_WAIT_FACTOR * self.settings.groups.replace_after_s
         until_s = asyncio.get_running_loop().time() + limit_s
         while needed := await self._departure.needed_groups():
             if asyncio.get_running_loop().time() >= until_s:
                 log.say("stopping although groups need this node", groups=needed)
                 return
-            await asyncio.sleep(SPARED_CHECK_S)
+            await asyncio.sleep(REPLACEMENT_CHECK_INTERVAL_S)
 
     async def stop(self) -> None:
         """Stop all parts."""
