--- a/src/bendshed/process.py
+++ b/src/bendshed/process.py
@@ -27,7 +27,7 @@
 from bendshed.settings.model import Settings
 
 RUNNER_CONNECT_TIMEOUT_S = 2.0
-LEAVING_SPREAD_S = 0.5
+LEAVE_PROPAGATION_S = 0.5
 """Time for the others to hear that this node leaves, before it closes."""
 
 log = PartLog("process")
@@ -47,8 +47,8 @@
     """Run until SIGTERM or SIGINT, then drain and return."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     failed: list[str] = []
 
     def on_failure(_loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -89,8 +89,10 @@
     server.config.app = services
     node.start()
     serving = loop.create_task(server.serve(sockets=[listener]))
-    me = node.membership.swim.me
-    announce(node_id=node.node_id, peer_port=me.peer_port, http_port=me.http_port)
+    own_member = node.membership.swim.me
+    print_addresses(
+        node_id=node.node_id, peer_port=own_member.peer_port, http_port=own_member.http_port
+    )
     await stopping.wait()
     await _stop(settings, node, server, serving)
     services.close()
@@ -106,7 +108,7 @@
     try:
         async with asyncio.timeout(settings.node.drain_timeout_s):
             await node.drain()
-            await asyncio.sleep(LEAVING_SPREAD_S)
+            await asyncio.sleep(LEAVE_PROPAGATION_S)
             server.should_exit = True
             await serving
     except TimeoutError:
@@ -114,7 +116,7 @@
     await node.stop()
 
 
-def announce(**fields: object) -> None:
+def print_addresses(**fields: object) -> None:
     """Print one JSON line on standard output: the addresses in use, for the parent process."""
     sys.stdout.write(orjson.dumps(fields).decode() + "\n")
     sys.stdout.flush()
--- a/src/bendshed/rehearsal/standins.py
+++ b/src/bendshed/rehearsal/standins.py
@@ -14,7 +14,7 @@
 from bendshed.adapters.http import add_route
 from bendshed.adapters.http_server import make_server
 from bendshed.adapters.sockets import bind
-from bendshed.process import announce
+from bendshed.process import print_addresses
 from bendshed.rehearsal.engine_model import Cancelled, EngineModel, EngineParameters, Refused
 
 JSON = b"application/json"
@@ -221,7 +221,7 @@
     listener = bind(host, port)
     server = make_server(applications[kind]())
     serving = loop.create_task(server.serve(sockets=[listener]))
-    announce(http_port=listener.getsockname()[1])
+    print_addresses(http_port=listener.getsockname()[1])
     await stopping.wait()
     server.should_exit = True
     server.force_exit = True
