--- a/src/bendshed/settings/load.py
+++ b/src/bendshed/settings/load.py
@@ -21,15 +21,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsProblem:
-    """One thing that is wrong: where, what was found, and the cure."""
+    """One invalid setting: where it is, its value, and how to correct it."""
 
     file: str
     field: str
     value: str
-    cure: str
+    hint: str
 
     def __str__(self) -> str:
-        return f"{self.file}: {self.field}: {self.value}: {self.cure}"
+        return f"{self.file}: {self.field}: {self.value}: {self.hint}"
 
 
 class SettingsInvalid(Exception):
@@ -126,12 +126,12 @@
         field = ".".join(str(part) for part in row["loc"])
         missing = row["type"] == "missing"
         value = "(missing)" if missing else repr(row["input"])
-        cure = _cure(row["loc"], row["msg"])
-        problems.append(SettingsProblem(str(path), field, value, cure))
+        hint = _hint(row["loc"], row["msg"])
+        problems.append(SettingsProblem(str(path), field, value, hint))
     return problems
 
 
-def _cure(location: tuple[int | str, ...], message: str) -> str:
+def _hint(location: tuple[int | str, ...], message: str) -> str:
     """The library's message, and for an unknown key the keys that exist."""
     if "Extra inputs" not in message:
         return message
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -65,7 +65,7 @@
         }
         self.assertEqual(fields, wanted)
         unknown = next(p for p in caught.exception.problems if p.field == "node.colour")
-        self.assertIn("known here: name, zone", unknown.cure)
+        self.assertIn("known here: name, zone", unknown.hint)
 
     def test_check_exits_2_and_prints_each_field(self) -> None:
         self.path.write_text(BAD)
