--- a/src/bendshed/logs.py
+++ b/src/bendshed/logs.py
@@ -17,9 +17,9 @@
 
 BUFFER_BYTES = 512 * 1024
 """Lines that no reader has taken yet; further ones are dropped."""
-FLUSH_S = 0.02
+FLUSH_DELAY_S = 0.02
 """Lines of this time leave in one write."""
-BLOCKED_RETRY_S = 0.2
+RETRY_DELAY_S = 0.2
 CHUNK_BYTES = select.PIPE_BUF
 """Bytes that a pipe takes without blocking once it polls as writable (POSIX)."""
 
@@ -36,11 +36,9 @@
     def __init__(self, prefix: str) -> None:
         self.prefix = prefix
 
-    def say(self, sentence: str, **fields: Any) -> None:
+    def say(self, text: str, **fields: Any) -> None:
         """Write one line; ``fields`` are values beside the message."""
-        log_message(
-            message_type=f"bendshed:{self.prefix}", text=f"{self.prefix}: {sentence}", **fields
-        )
+        log_message(message_type=f"bendshed:{self.prefix}", text=f"{self.prefix}: {text}", **fields)
 
 
 class BoundedLineWriter:
@@ -58,10 +56,10 @@
         self._descriptor = descriptor
         self._lines: deque[bytes] = deque()
         self._num_bytes = 0
-        self._num_untold = 0
-        self._rest = b""
+        self._num_unreported = 0
+        self._unwritten = b""
         self._is_closed = False
-        self._flushing: asyncio.TimerHandle | None = None
+        self._flush_timer: asyncio.TimerHandle | None = None
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
 
@@ -70,33 +68,33 @@
         line = orjson.dumps(message, default=str) + b"\n"
         if self._is_closed or self._num_bytes + len(line) > BUFFER_BYTES:
             self.num_dropped += 1
-            self._num_untold += 1
+            self._num_unreported += 1
             return
         self._lines.append(line)
         self._num_bytes += len(line)
-        self._schedule(FLUSH_S)
+        self._schedule(FLUSH_DELAY_S)
 
     def _schedule(self, delay_s: float) -> None:
-        if self._flushing is not None:
+        if self._flush_timer is not None:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             self.flush()
             return
-        self._flushing = loop.call_later(delay_s, self.flush)
+        self._flush_timer = loop.call_later(delay_s, self.flush)
 
     def flush(self) -> None:
         """Write what the reader takes now."""
-        self._flushing = None
-        while self._lines or self._rest:
-            if not self._rest:
-                self._rest = self._next_batch()
+        self._flush_timer = None
+        while self._lines or self._unwritten:
+            if not self._unwritten:
+                self._unwritten = self._next_batch()
             if not self._write_chunk():
                 break
-        if (self._lines or self._rest) and not self._is_closed:
+        if (self._lines or self._unwritten) and not self._is_closed:
             self._retry_later()
-        elif self._num_untold and not self._is_closed:
+        elif self._num_unreported and not self._is_closed:
             self._report_dropped()
 
     def _retry_later(self) -> None:
@@ -104,7 +102,7 @@
             loop = asyncio.get_running_loop()
         except RuntimeError:
             return
-        self._flushing = loop.call_later(BLOCKED_RETRY_S, self.flush)
+        self._flush_timer = loop.call_later(RETRY_DELAY_S, self.flush)
 
     def _next_batch(self) -> bytes:
         batch = bytearray(self._lines.popleft())
@@ -117,24 +115,24 @@
         if not self._poll.poll(0):
             return False
         try:
-            written = os.write(self._descriptor, self._rest[:CHUNK_BYTES])
+            written = os.write(self._descriptor, self._unwritten[:CHUNK_BYTES])
         except OSError:
             self._close()
             return False
-        self._rest = self._rest[written:]
+        self._unwritten = self._unwritten[written:]
         self._num_bytes -= written
         return True
 
     def _close(self) -> None:
         """The reader is gone for good: drop what is held and what will come."""
         self._is_closed = True
-        self.num_dropped += len(self._lines) + self._rest.count(b"\n")
+        self.num_dropped += len(self._lines) + self._unwritten.count(b"\n")
         self._lines.clear()
-        self._rest = b""
+        self._unwritten = b""
         self._num_bytes = 0
 
     def _report_dropped(self) -> None:
-        dropped, self._num_untold = self._num_untold, 0
+        dropped, self._num_unreported = self._num_unreported, 0
         PartLog("logs").say(
             "lines dropped: reader too slow", dropped=dropped, in_all=self.num_dropped
         )
@@ -153,6 +151,6 @@
     log_to(sys.stderr.fileno())
 
 
-def name_process(name: str, life: str) -> None:
+def name_process(name: str, incarnation_id: str) -> None:
     """Put the process's name and the id of this incarnation (field ``life``) into every line."""
-    add_global_fields(process=name, life=life)
+    add_global_fields(process=name, life=incarnation_id)
