--- a/src/bendshed/model/__init__.py
+++ b/src/bendshed/model/__init__.py
@@ -1,1 +1,1 @@
-"""Values that every layer shares: runner, service, route, tenant, zone, region, prompt part."""
+"""Value types that all layers share: runner, service, route, tenant, zone, region, prompt part."""
--- a/src/bendshed/model/address.py
+++ b/src/bendshed/model/address.py
@@ -1,11 +1,11 @@
-"""Where a node or runner listens: a frozen value."""
+"""Network address of a node or runner."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """IP number and port that a node's peers use (TCP and UDP alike)."""
+    """IP address and port of a node or runner; nodes use the port for both TCP and UDP."""
 
     host: str
     port: int
--- a/src/bendshed/model/places.py
+++ b/src/bendshed/model/places.py
@@ -1,4 +1,4 @@
-"""Where machines and runners are located: zones, regions, and the distance of two zones. Pure."""
+"""Location of machines and runners: zones, regions, and the distance between zones. No I/O."""
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
@@ -6,11 +6,11 @@
 
 
 class Distance(StrEnum):
-    """Distance of two zones."""
+    """Distance between two zones."""
 
     SAME_ZONE = "same_zone"
     SAME_REGION = "same_region"
-    """Another zone of the same region."""
+    """A different zone of the same region."""
     OTHER_REGION = "other_region"
 
 
@@ -28,16 +28,16 @@
     region_of: Mapping[str, str] = field(default_factory=dict)
 
     def region(self, zone: str) -> str:
-        """Region of a zone; empty: not declared."""
+        """Return the region of a zone; empty if the zone is not declared."""
         return self.region_of.get(zone, "")
 
     @property
     def regions(self) -> list[str]:
-        """All declared regions, in an order that all nodes share."""
+        """All declared regions, in the same order on every node."""
         return sorted(set(self.region_of.values()))
 
     def distance(self, zone: str, other: str) -> Distance:
-        """Distance of two zones."""
+        """Return the distance between two zones."""
         if zone == other:
             return Distance.SAME_ZONE
         if self.region(zone) == self.region(other):
@@ -45,5 +45,5 @@
         return Distance.OTHER_REGION
 
     def is_within(self, zone: str, regions: Collection[str] | None) -> bool:
-        """Whether a zone is located in one of some regions; ``None``: in any."""
+        """Return whether a zone is in one of the regions; ``None`` allows any region."""
         return regions is None or self.region(zone) in regions
--- a/src/bendshed/model/principal.py
+++ b/src/bendshed/model/principal.py
@@ -1,4 +1,4 @@
-"""On whose behalf a request runs: a frozen value."""
+"""The tenant on whose behalf a request runs, and its urgency."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Principal:
-    """On whose behalf a request runs.
+    """The authenticated caller of a request.
 
     Attributes:
-        tenant: ``None``: the configuration names no tenants, or the route is open to all.
-        urgency: of its requests on this route; 0 is the most urgent.
-        is_authentication_disabled: the configuration names no tenants.
+        tenant: ``None`` if the configuration declares no tenants or the route is public.
+        urgency: urgency of the tenant's requests on this route; 0 is the most urgent.
+        is_authentication_disabled: whether the configuration declares no tenants, so that no
+            request is authenticated.
 
     """
 
@@ -22,10 +23,10 @@
 
     @property
     def name(self) -> str:
-        """The tenant's name; empty: nobody's."""
+        """The tenant's name; empty if there is no tenant."""
         return self.tenant.name if self.tenant is not None else ""
 
     @property
     def is_limited(self) -> bool:
-        """Whether the tenant's requests are counted."""
+        """Whether the tenant has a rate limit, so that its requests are counted."""
         return self.tenant is not None and self.tenant.rate_per_s > 0
--- a/src/bendshed/model/route_index.py
+++ b/src/bendshed/model/route_index.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and which part of a split."""
+"""Route look-up by host and path, and weighted choice of a route's target service."""
 
 import xxhash
 
@@ -8,7 +8,7 @@
 
 
 class RouteIndex:
-    """Routes of one document by host, longest prefix first."""
+    """Routes of one document by host, longest path prefix first."""
 
     def __init__(self, document: ServiceDocument) -> None:
         self.document = document
@@ -19,7 +19,7 @@
             routes.sort(key=lambda route: -len(route.path_prefix))
 
     def match(self, host: str, path: str) -> Route | None:
-        """Route of a request; ``None``: none takes it. A port in ``host`` is ignored."""
+        """Return the route of a request, or ``None``. A port in ``host`` is ignored."""
         name = host.partition(":")[0].lower()
         for route in self._by_host.get(name, ()):
             if path.startswith(route.path_prefix):
@@ -28,7 +28,7 @@
 
 
 def choose_target(route: Route, key: str) -> str:
-    """Service of the split for a key; over many keys the shares are the weights."""
+    """Return the target service for a key; over many keys the shares approach the weights."""
     if len(route.targets) == 1:
         return route.targets[0].service
     total = sum(target.weight for target in route.targets)
--- a/src/bendshed/model/runner.py
+++ b/src/bendshed/model/runner.py
@@ -1,4 +1,4 @@
-"""A runner as the list of runners describes it: a frozen value without measurements."""
+"""A runner as the runner list describes it, without load measurements."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class RunnerState(StrEnum):
-    """A runner's state, as it reports it."""
+    """A runner's state as reported by the runner itself."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -18,7 +18,8 @@
     """One incarnation of a runner, as listed.
 
     Attributes:
-        cold_left_ms: time for which it stays cold, from the receipt of this entry; 0: warm.
+        cold_left_ms: remaining time for which the runner is cold, counted from the receipt of this
+            entry; 0 if it is warm.
 
     """
 
--- a/src/bendshed/model/service_document.py
+++ b/src/bendshed/model/service_document.py
@@ -1,11 +1,11 @@
-"""What operators declare of services: routes, splits, limits. Plain frozen values."""
+"""The operators' declaration of services: routes, traffic splits, limits, tenants."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 
 class RouteKind(StrEnum):
-    """What may be done with a request of a route."""
+    """How the requests of a route may be repeated or resumed."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A part of a split."""
+    """A target service of a route and its share of the traffic."""
 
     service: str
     weight: float
@@ -22,21 +22,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go where, and how.
+    """Which requests are forwarded to which services, and how.
 
     Attributes:
-        host, path_prefix: requests that it takes; the longest prefix of a host wins.
-        timeout_ms: longest time that a request may be held.
-        target_ms: time within which an answer is in time.
+        host, path_prefix: requests that match the route; the longest prefix of a host wins.
+        timeout_ms: maximum time for which a request may be pending.
+        target_ms: response time objective.
         priority: 0 is the most urgent.
-        targets: services by weight; one without a split.
-        max_attempts: runners to which one request may be sent.
-        keeps_turns: turns bring only their new input; transcripts of their chains are stored here.
+        targets: services by weight; a single one if the traffic is not split.
+        max_attempts: maximum number of runners to which one request may be sent.
+        keeps_turns: requests are turns that contain only their new input; the transcripts of their
+            chains are stored here.
         retention_ms: how long a turn is stored after its answer.
-        is_sticky: requests share prompt prefixes, so a session stays at its runner.
-        is_resumable: a broken stream may go on at another runner.
+        is_sticky: requests share prompt prefixes, so a session stays on its runner.
+        is_resumable: an interrupted stream may be continued by another runner.
         is_public: requests need no credential.
-        allowed_regions: it is served, cached and stored only there; empty: anywhere.
+        allowed_regions: regions in which requests may be served, cached and stored; empty for any.
 
     """
 
@@ -59,18 +60,19 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request may be sent again after it may have been run."""
         return self.kind is RouteKind.IDEMPOTENT or self.is_resumable
 
 
 @dataclass(frozen=True, slots=True)
 class EngineFeatures:
-    """What the model engines of a service can do.
+    """Capacities of the model engines of a service.
 
     Attributes:
-        slots: requests that run at once.
-        event_tokens: tokens that one event of a stream holds at most.
-        memory_tokens: running requests and cached prompt parts together; 0: not configured.
+        slots: requests that run concurrently.
+        event_tokens: maximum number of tokens in one event of a stream.
+        memory_tokens: capacity for running requests and cached prompt parts together; 0 if not
+            configured.
 
     """
 
@@ -81,11 +83,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """Runners of one kind.
+    """A service: a group of equivalent runners.
 
     Attributes:
-        cold_per_s: requests a second that a cold runner serves; 0: no bound.
-        cold_start_ms: how long a runner stays cold after its start.
+        cold_per_s: requests per second that a cold runner can serve; 0 for no limit.
+        cold_start_ms: how long a runner is cold after its start.
 
     """
 
@@ -99,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Bounds on what callers send."""
+    """Limits on the size and timing of callers' requests."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -109,14 +111,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """Whose callers are admitted, and their limits.
+    """A tenant whose callers are admitted, and its limits.
 
     Attributes:
-        credentials: SHA-256 of each, in hex; the credentials themselves are not stored.
-        priority: 0 is the most urgent; a route's priority decides between equals.
-        rate_per_s: requests a second over all nodes; 0: without limit.
-        burst: requests on top of the rate in one window.
-        allowed_regions: its requests are served, cached and stored only there; empty: anywhere.
+        credentials: hexadecimal SHA-256 digests; the credentials themselves are not stored.
+        priority: 0 is the most urgent; the route's priority decides between equal tenants.
+        rate_per_s: requests per second over all nodes; 0 for no limit.
+        burst: requests admitted in one window in addition to the rate.
+        allowed_regions: regions in which its requests may be served, cached and stored; empty for
+            any.
 
     """
 
@@ -130,10 +133,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceDocument:
-    """The whole configuration at one version.
+    """The complete configuration at one version.
 
     Attributes:
-        tenants: empty: callers need no credential.
+        tenants: if empty, callers need no credential.
 
     """
 
