--- a/src/bendshed/__main__.py
+++ b/src/bendshed/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bendshed`` is the command ``bendshed``."""
+"""Entry point of ``python -m bendshed``, which runs the ``bendshed`` command."""
 
 import sys
 
--- a/src/bendshed/errors.py
+++ b/src/bendshed/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds and the table from kind to answer.
+"""The closed list of error kinds and the table that maps each kind to its response.
 
-Every refusal or failure that a node answers with has one of these kinds. ``ran`` says what the
-caller may conclude about the call itself: ``NO`` is said only after the program's group has
-committed that no attempt was granted (docs/design/0001).
+Every refusal or failure that a node reports has one of these kinds. ``ran`` states what the caller
+may conclude about the call itself: ``NO`` is returned only after the program's group has committed
+that no attempt was granted (docs/design/0001).
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class ErrorKind(StrEnum):
-    """Every kind of error that bendshed answers with."""
+    """All kinds of errors that bendshed returns."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -53,13 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorAnswer:
-    """How one kind is answered.
+    """The response to one kind of error.
 
     Attributes:
         status: HTTP status code.
         retryable: whether the same request may be sent again, with the same idempotency key.
         ran: whether an engine may have run it.
-        retry_after_s: value of ``Retry-After`` in seconds; ``None``: no header.
+        retry_after_s: value of ``Retry-After`` in seconds; ``None`` for no header.
 
     """
 
@@ -106,10 +106,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A tagged outcome: the request ends with this error.
+    """An error with which a request ends.
 
     Attributes:
-        retry_after_s: seconds after which to come back, where it is known better than by the table.
+        retry_after_s: retry delay in seconds, if it is known more precisely than in the table.
 
     """
 
@@ -119,11 +119,11 @@
 
     @property
     def answer(self) -> ErrorAnswer:
-        """The row of the table for this kind."""
+        """The table entry for this kind."""
         return ANSWERS[self.kind]
 
     def body(self) -> dict[str, object]:
-        """Error body in the shape of the usual chat-completions API, plus kind and ``ran``."""
+        """Return an error body in the format of the OpenAI API, plus ``kind`` and ``ran``."""
         return {
             "error": {
                 "message": self.detail,
@@ -137,7 +137,7 @@
 
 
 class BendshedError(Exception):
-    """Carries a refusal through code that cannot return it (library call-backs)."""
+    """Carries a refusal through code that cannot return it, such as library callbacks."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
@@ -145,7 +145,7 @@
 
 
 def parse_kind(text: str) -> ErrorKind:
-    """Read a kind from the wire; a kind of a later version becomes ``INTERNAL``."""
+    """Parse a kind from the wire; an unknown one, as from a later version, becomes ``INTERNAL``."""
     try:
         return ErrorKind(text)
     except ValueError:
--- a/src/bendshed/identifiers.py
+++ b/src/bendshed/identifiers.py
@@ -1,4 +1,4 @@
-"""Which group holds a program or a tenant, rendezvous ranking (xxhash), digests."""
+"""Assignment of keys to groups and nodes (xxhash), and digests."""
 
 import hashlib
 from bisect import bisect_right
@@ -8,24 +8,24 @@
 
 
 def group_of(key: str, group_count: int) -> int:
-    """Group number in ``[0, group_count)`` of a program id or tenant name."""
+    """Return the group number in ``[0, group_count)`` of a program id or tenant name."""
     return xxhash.xxh3_64_intdigest(key.encode()) % group_count
 
 
 def rendezvous_rank(key: str, candidates: Iterable[str]) -> list[str]:
-    """Candidates by falling weight for the key (highest random weight, Thaler 1998)."""
+    """Return the candidates by descending weight for the key (rendezvous hashing, Thaler 1998)."""
     return sorted(
         candidates, key=lambda name: (-xxhash.xxh3_64_intdigest(f"{key}/{name}".encode()), name)
     )
 
 
 def credential_digest(credential: str) -> str:
-    """SHA-256 in hex: what is stored and compared in a credential's place."""
+    """Return the hexadecimal SHA-256, which is stored and compared instead of the credential."""
     return hashlib.sha256(credential.encode()).hexdigest()
 
 
 def content_digest(*parts: str) -> bytes:
-    """128-bit digest of a list of texts; lengths are part of it."""
+    """Return the 128-bit digest of a list of strings, including their lengths."""
     digest = xxhash.xxh3_128()
     for part in parts:
         encoded = part.encode()
@@ -35,10 +35,10 @@
 
 
 class HashRing:
-    """Owners of many keys among some nodes (consistent hashing, Karger 1997).
+    """Assigns keys to nodes (consistent hashing, Karger 1997).
 
-    Building costs a sort of the nodes, a look-up one hash and a binary search; ranking every node
-    for every key, as ``rendezvous_rank`` does, was measured too slow for thousands of keys.
+    Construction sorts the nodes' points; a look-up costs one hash and a binary search.
+    ``rendezvous_rank`` ranks every node for every key, which is too slow for thousands of keys.
     """
 
     POINTS_PER_NODE = 16
@@ -54,7 +54,7 @@
         self._owners = [owner for _, owner in points]
 
     def owner(self, key: str) -> str:
-        """Node that owns the key; empty without nodes."""
+        """Return the node that owns the key; empty if there are no nodes."""
         if not self._owners:
             return ""
         place = bisect_right(self._positions, xxhash.xxh3_64_intdigest(key.encode()))
--- a/src/bendshed/logs.py
+++ b/src/bendshed/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: eliot JSON lines; each part writes short messages with a fixed prefix.
+"""Structured logs in eliot JSON lines; each component writes short messages with a fixed prefix.
 
-Lines go through a bounded buffer that never blocks the process: a slow or closed reader costs
-dropped lines, which are counted and reported.
+Lines pass through a bounded buffer and never block the process: if the reader is slow or has
+closed, lines are dropped, counted and reported.
 """
 
 import asyncio
@@ -16,38 +16,39 @@
 from eliot import add_destinations, add_global_fields, log_message
 
 BUFFER_BYTES = 512 * 1024
-"""Lines that no reader has taken yet; further ones are dropped."""
+"""Limit on the buffered lines that are not written yet; further lines are dropped."""
 FLUSH_DELAY_S = 0.02
-"""Lines of this time leave in one write."""
+"""Lines are buffered for this time, so that they are written in one system call."""
 RETRY_DELAY_S = 0.2
 CHUNK_BYTES = select.PIPE_BUF
-"""Bytes that a pipe takes without blocking once it polls as writable (POSIX)."""
+"""Bytes that a pipe accepts without blocking once it polls as writable (POSIX)."""
 
 
 class PartLog:
-    """Writes the log lines of one part.
+    """Writes the log lines of one component.
+
+    Prompt text and callers' tokens must never be passed as fields.
 
     Attributes:
-        prefix: fixed name in front of each message, such as ``membership``.
+        prefix: fixed name at the start of each message, such as ``membership``.
 
-    Prompt text and tokens of callers are never passed as fields.
     """
 
     def __init__(self, prefix: str) -> None:
         self.prefix = prefix
 
     def say(self, text: str, **fields: Any) -> None:
-        """Write one line; ``fields`` are values beside the message."""
+        """Write one line with a message and structured fields."""
         log_message(message_type=f"bendshed:{self.prefix}", text=f"{self.prefix}: {text}", **fields)
 
 
 class BoundedLineWriter:
-    """Buffers lines for one file descriptor and writes what it takes at once.
+    """Buffers lines for one file descriptor and writes without blocking.
 
-    Invariant: no call waits for the reader; at most ``BUFFER_BYTES`` are held.
+    Invariant: no call waits for the reader; at most ``BUFFER_BYTES`` are buffered.
 
     Attributes:
-        num_dropped: lines dropped since start.
+        num_dropped: number of lines dropped since start.
 
     """
 
@@ -64,7 +65,7 @@
         self._poll.register(descriptor, select.POLLOUT)
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Take one message (an eliot destination)."""
+        """Buffer one message; called by eliot, for which this is a destination."""
         line = orjson.dumps(message, default=str) + b"\n"
         if self._is_closed or self._num_bytes + len(line) > BUFFER_BYTES:
             self.num_dropped += 1
@@ -85,7 +86,7 @@
         self._flush_timer = loop.call_later(delay_s, self.flush)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much as is possible without blocking."""
         self._flush_timer = None
         while self._lines or self._unwritten:
             if not self._unwritten:
@@ -111,7 +112,7 @@
         return bytes(batch)
 
     def _write_chunk(self) -> bool:
-        """Write a chunk; ``False``: the reader takes nothing now, or is gone."""
+        """Write a chunk; return ``False`` if the descriptor is not writable or is closed."""
         if not self._poll.poll(0):
             return False
         try:
@@ -124,7 +125,7 @@
         return True
 
     def _close(self) -> None:
-        """The reader is gone for good: drop what is held and what will come."""
+        """Drop the buffered and all further lines, because the reader has closed."""
         self._is_closed = True
         self.num_dropped += len(self._lines) + self._unwritten.count(b"\n")
         self._lines.clear()
@@ -139,7 +140,7 @@
 
 
 def log_to(descriptor: int) -> BoundedLineWriter:
-    """Send the process's log to a file descriptor, one JSON object a line."""
+    """Write the process's log to a file descriptor, one JSON object per line."""
     writer = BoundedLineWriter(descriptor)
     add_destinations(writer)
     atexit.register(writer.flush)
@@ -147,10 +148,10 @@
 
 
 def log_to_stderr() -> None:
-    """Send the process's log to standard error."""
+    """Write the process's log to standard error."""
     log_to(sys.stderr.fileno())
 
 
 def name_process(name: str, incarnation_id: str) -> None:
-    """Put the process's name and the id of this incarnation (field ``life``) into every line."""
+    """Add the process's name and its incarnation id (field ``life``) to every line."""
     add_global_fields(process=name, life=incarnation_id)
--- a/src/bendshed/median.py
+++ b/src/bendshed/median.py
@@ -1,10 +1,10 @@
-"""The median without the library's module of statistics, which a start would load for it alone."""
+"""The median, without importing ``statistics``, which would slow down the start for this alone."""
 
 from collections.abc import Iterable
 
 
 def median(values: Iterable[float]) -> float:
-    """The middle of some values, or the mean of the two in the middle; 0: there are none."""
+    """Return the median, the mean of the two middle values for an even number, or 0 for none."""
     ranked = sorted(values)
     if not ranked:
         return 0.0
--- a/src/bendshed/node.py
+++ b/src/bendshed/node.py
@@ -1,6 +1,6 @@
-"""One node: all its parts wired together, over ports only.
+"""One node: its components connected to each other, with ports for all external dependencies.
 
-The same class runs as a process, many to a process, and under virtual time.
+The same class runs alone in a process, with many others in one process, and in virtual time.
 """
 
 import asyncio
@@ -35,7 +35,8 @@
 from bendshed.wire import peer_pb2 as wire
 
 REPLACEMENT_WAIT_FACTOR = 2.0
-"""A planned stop waits this many times the replacement delay for a lost replica's successor."""
+"""A planned stop waits up to this multiple of the replacement delay for the replacement of a lost
+replica."""
 REPLACEMENT_CHECK_INTERVAL_S = 0.25
 
 log = PartLog("node")
@@ -43,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class NodePorts:
-    """Everything outside the node.
+    """The node's external dependencies.
 
     Attributes:
         storage: ``None`` on a node without a data folder.
-        boot: rises with each process of the node (wall clock in milliseconds at start).
+        boot: increases with each process of the node (wall clock in milliseconds at its start).
 
     """
 
@@ -63,10 +64,10 @@
 
 
 class Node:
-    """A node without its HTTP side.
+    """A node without its HTTP server.
 
     Attributes:
-        draining: refuses new calls; set by ``drain``.
+        draining: whether new calls are refused; set by ``drain``.
 
     """
 
@@ -180,7 +181,7 @@
         )
 
     def start(self) -> None:
-        """Start all parts."""
+        """Start all components."""
         if self.host is not None:
             self.host.start()
         self.membership.start()
@@ -192,16 +193,16 @@
         log.say("started", node=self.node_id, zone=self.settings.node.zone)
 
     def submit(self, call: CallRequest) -> LiveAnswer | Refusal:
-        """Take a call, or refuse it unrun while this node stops."""
+        """Accept a call, or refuse it without running it while this node is stopping."""
         if self.draining:
             detail = "this node is stopping; the request was not run, send it to another node"
             return Refusal(ErrorKind.DRAINING, detail)
         return self.executor.submit(call)
 
     async def drain(self) -> None:
-        """Take no new work, hand leadership over, and wait for every call under way."""
+        """Refuse new calls, transfer leadership, and wait for all calls in progress."""
         self.draining = True
-        log.say("drains", calls=len(self.executor.live))
+        log.say("draining", calls=len(self.executor.live))
         self.membership.leave()
         if self.host is not None:
             self.host.transfer_all_leadership()
@@ -209,7 +210,7 @@
         await self._wait_until_not_needed()
 
     async def _wait_until_not_needed(self) -> None:
-        """Wait, within limits, until no group needs this node any more."""
+        """Wait until no group needs this node any more, or a time limit is reached."""
         if self._departure is None:
             return
         limit_s = REPLACEMENT_WAIT_FACTOR * self.settings.groups.replace_after_s
@@ -221,7 +222,7 @@
             await asyncio.sleep(REPLACEMENT_CHECK_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Stop all parts."""
+        """Stop all components."""
         for part in (self._placement, self.programs, self.host):
             if part is not None:
                 await part.stop()
@@ -234,7 +235,7 @@
     # --- wiring --------------------------------------------------------------------------
 
     def engine_of(self, runner_id: str) -> Engine | None:
-        """Engine adapter of a runner; ``None``: the runner is unknown here."""
+        """Return the engine adapter of a runner, or ``None`` if the runner is unknown."""
         runner = self.table.runners.get(runner_id)
         if runner is None:
             return None
@@ -263,7 +264,7 @@
         return TenantBudget(known.budget_tokens if known is not None else 0, snapshot.revision)
 
     def _executor_address(self, identity: str) -> Address | None:
-        """Address of an executor's process; ``None`` when that process is gone."""
+        """Return the address of an executor's process, or ``None`` if it no longer runs."""
         node_id, _, boot = identity.partition("@")
         member = self.membership.view.members.get(node_id)
         if member is None or str(member.boot) != boot:
@@ -272,6 +273,6 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read ``host:port``; an IPv6 number stands in brackets."""
+    """Parse ``host:port``; an IPv6 address is in brackets."""
     host, _, port = text.rpartition(":")
     return Address(host.strip("[]"), int(port))
--- a/src/bendshed/policy.py
+++ b/src/bendshed/policy.py
@@ -1,6 +1,7 @@
-"""Mechanisms of the decisions that can be switched off one at a time.
+"""Scheduling mechanisms that can be switched off individually.
 
-Operators leave all of them on; each exists so that its worth can be measured anew (docs/POLICY.md).
+Operators leave all of them on. The switches exist so that the benefit of each mechanism can be
+measured again (docs/POLICY.md).
 """
 
 from collections.abc import Iterable
@@ -9,24 +10,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """What is in use.
+    """The mechanisms in use.
 
     Attributes:
-        session_affinity: a session stays at the runner that holds its cache.
-        step_aside: a session leaves a runner that is loaded far above the idlest one.
-        avoidance: runners that were broken, unreachable or full a moment ago come last.
-        preview: a turn goes to its runner while its reservation is still being committed.
-        relays: requests for the turn log go through other fronts around a cut.
-        refusal_when_isolated: a front that nobody answers refuses turns at once.
-        shared_reading: many fronts rely on one replica machine's reading of the registry.
-        replicas_follow: replica machines rely on one machine's reading too.
-        kept_catalog: replica machines tell after a start what they knew before it.
-        quick_election: a replica that has just started stands for election at once.
-        shared_load: a turn runs where the leader of the turn log advises, which hears of all turns.
-        programs_first: beyond a quota new programs are refused before turns of those under way.
-        thing_affinity: plain requests that name the same thing go to the same runner.
-        regional_groups: the turn log has a group at home in each region.
-        kept_connections: a request goes to a runner with an idle connection unless that costs it.
+        session_affinity: a session stays on the runner that holds its cache.
+        step_aside: a session leaves a runner whose load is far above that of the least loaded one.
+        avoidance: runners that were recently broken, unreachable or full are tried last.
+        preview: a turn is sent to its runner while its reservation is still being committed.
+        relays: requests to the turn log are relayed by other fronts around a network partition.
+        refusal_when_isolated: a front that receives no answers refuses turns immediately.
+        shared_reading: many fronts rely on one replica machine that reads the registry.
+        replicas_follow: replica machines also rely on one machine that reads the registry.
+        kept_catalog: after a start, replica machines serve the catalog that they had stored.
+        quick_election: a replica that has just started becomes a candidate immediately.
+        shared_load: a turn runs where the leader of the turn log advises, since it knows all turns.
+        programs_first: over quota, new programs are refused before turns of running programs.
+        thing_affinity: plain requests with the same affinity key go to the same runner.
+        regional_groups: the turn log has a group with its home in each region.
+        kept_connections: a request prefers a runner with an idle connection unless that is slower.
 
     """
 
@@ -48,12 +49,12 @@
 
 
 ALL_ENABLED = Policy()
-"""What operators run."""
+"""The policy that operators use."""
 
 SWITCHES = frozenset(field.name for field in fields(Policy))
 SWITCHES_HINT = f"use one of {', '.join(sorted(SWITCHES))}"
 
 
 def unknown_switches(names: Iterable[str]) -> list[str]:
-    """Names that are no switch, for a check of settings."""
+    """Return the names that are not switches, for the validation of settings."""
     return [name for name in names if name not in SWITCHES]
--- a/src/bendshed/process.py
+++ b/src/bendshed/process.py
@@ -1,4 +1,4 @@
-"""Runs one node as a process: HTTP server, signals, orderly stop."""
+"""Runs one node as a process: HTTP server, signals, graceful shutdown."""
 
 import asyncio
 import random
@@ -28,17 +28,17 @@
 
 RUNNER_CONNECT_TIMEOUT_S = 2.0
 LEAVE_PROPAGATION_S = 0.5
-"""Time for the others to hear that this node leaves, before it closes."""
+"""Delay before closing, in which the other nodes learn that this node is leaving."""
 
 log = PartLog("process")
 
 
 class NodeFailed(Exception):
-    """A part of the node failed; the process ends so that it is restarted."""
+    """A component of the node failed; the process exits so that it is restarted."""
 
 
 def open_storage(settings: Settings) -> LogStorage | None:
-    """Open the data folder's log, if the node has one."""
+    """Open the log in the data folder, if the node has one."""
     folder = settings.node.data_folder
     return open_or_replace(folder) if folder is not None else None
 
@@ -52,7 +52,7 @@
     failed: list[str] = []
 
     def on_failure(_loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        log.say("an error reached the loop", context=repr(context))
+        log.say("unhandled error in the event loop", context=repr(context))
         if "task" in context and isinstance(context.get("exception"), Exception):
             failed.append(str(context["message"]))
             stopping.set()
@@ -104,7 +104,7 @@
 async def _stop(
     settings: Settings, node: Node, server: HttpServer, serving: "asyncio.Task[None]"
 ) -> None:
-    """Finish every stream, then close. A second signal changes nothing."""
+    """Finish all streams, then close. A second signal has no effect."""
     try:
         async with asyncio.timeout(settings.node.drain_timeout_s):
             await node.drain()
@@ -112,11 +112,11 @@
             server.should_exit = True
             await serving
     except TimeoutError:
-        log.say("drain timed out: streams cut")
+        log.say("drain timed out: open streams closed")
     await node.stop()
 
 
 def print_addresses(**fields: object) -> None:
-    """Print one JSON line on standard output: the addresses in use, for the parent process."""
+    """Print the addresses in use as one JSON line on standard output, for the parent process."""
     sys.stdout.write(orjson.dumps(fields).decode() + "\n")
     sys.stdout.flush()
--- a/src/bendshed/tasks.py
+++ b/src/bendshed/tasks.py
@@ -12,8 +12,8 @@
 def start_loop(work: Coroutine[Any, Any, None], name: str) -> "asyncio.Task[None]":
     """Start a task that runs until it is cancelled.
 
-    If it fails, the loop's exception handler is called; a process ends then (``process.py``),
-    since a node without one of its parts is worse than a restarted one.
+    If the task fails, the event loop's exception handler is called, which ends the process
+    (``process.py``), since a restarted node is better than one without one of its components.
     """
     task = asyncio.get_running_loop().create_task(work, name=name)
     task.add_done_callback(_report_failure)
@@ -24,6 +24,6 @@
     if task.cancelled() or task.exception() is None:
         return
     error = task.exception()
-    log.say("a part failed", part=task.get_name(), error=repr(error))
+    log.say("background task failed", part=task.get_name(), error=repr(error))
     context = {"message": f"{task.get_name()} failed", "exception": error, "task": task}
     task.get_loop().call_exception_handler(context)
