--- a/src/bendshed/settings/__init__.py
+++ b/src/bendshed/settings/__init__.py
@@ -1,1 +1,1 @@
-"""A node's settings: TOML file, environment, flags; checked by pydantic."""
+"""A node's settings from a TOML file, the environment and flags, validated with pydantic."""
--- a/src/bendshed/settings/load.py
+++ b/src/bendshed/settings/load.py
@@ -1,4 +1,4 @@
-"""Reads settings. Order: flags over environment over file over defaults.
+"""Loads settings. Precedence: command line flags, environment, file, defaults.
 
 The environment variable of ``[section] key`` is ``BENDSHED_SECTION__KEY``.
 """
@@ -33,7 +33,7 @@
 
 
 class SettingsInvalid(Exception):
-    """All problems of a settings file at once."""
+    """All problems of a settings file, reported together."""
 
     def __init__(self, problems: list[SettingsProblem]) -> None:
         super().__init__("\n".join(str(problem) for problem in problems))
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveValue:
-    """One setting as it is in force, and where it comes from."""
+    """The effective value of one setting, and its source."""
 
     field: str
     value: str
@@ -51,13 +51,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedSettings:
-    """Settings and the source of each value."""
+    """Settings, and the source of each value that is not a default."""
 
     settings: Settings
     sources: dict[str, str]
 
     def effective(self) -> list[EffectiveValue]:
-        """All values, secrets hidden."""
+        """Return all values; secrets are hidden."""
         rows = []
         for section, fields in self.settings.model_dump(mode="json").items():
             for name, value in fields.items():
@@ -71,11 +71,11 @@
 def load_settings(
     path: Path, flags: Mapping[str, str], environment: Mapping[str, str] = os.environ
 ) -> LoadedSettings:
-    """Read, merge and check; raise ``SettingsInvalid``.
+    """Read, merge and validate settings; raise ``SettingsInvalid``.
 
     Args:
         path: TOML file.
-        flags: ``section.key`` to text, from the command line.
+        flags: values from the command line by ``section.key``.
         environment: process environment.
 
     """
@@ -132,7 +132,7 @@
 
 
 def _hint(location: tuple[int | str, ...], message: str) -> str:
-    """The library's message, and for an unknown key the keys that exist."""
+    """Return pydantic's message, or for an unknown key the keys that exist."""
     if "Extra inputs" not in message:
         return message
     section: type[BaseModel] = Settings
--- a/src/bendshed/settings/model.py
+++ b/src/bendshed/settings/model.py
@@ -1,4 +1,4 @@
-"""The settings of one node, with types, ranges, units and reasons."""
+"""The settings of one node, with types, ranges and units."""
 
 from pathlib import Path
 from typing import Annotated, Literal
@@ -15,7 +15,7 @@
 
 
 class NodeSection(_Section):
-    """Who this node is and where it listens. Port 0 takes a free one."""
+    """Identity and listen addresses of this node. Port 0 selects a free port."""
 
     name: Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
     zone: Annotated[str, Field(min_length=1)]
@@ -29,7 +29,7 @@
 
 
 class PlatformSection(_Section):
-    """Where the platform's services are."""
+    """Addresses and parameters of the platform's services."""
 
     object_api: Url
     machine_list: Url
@@ -39,7 +39,7 @@
 
 
 class GroupsSection(_Section):
-    """Replicated groups. ``count`` and ``replicas`` are fixed when the installation begins."""
+    """Replicated groups. ``count`` and ``replicas`` are fixed once an installation has started."""
 
     count: Annotated[int, Field(ge=1, le=4096)] = 8
     replicas: Annotated[int, Field(ge=1, le=7)] = 3
@@ -49,7 +49,7 @@
 
 
 class ProgramsSection(_Section):
-    """Defaults of calls and how long programs are retained."""
+    """Defaults for calls, and retention of programs."""
 
     default_deadline_s: Annotated[float, Field(gt=0)] = 120.0
     default_max_answer_tokens: Annotated[int, Field(ge=1)] = 512
@@ -58,7 +58,7 @@
 
 
 class RoutingSection(_Section):
-    """How the node learns of the engines' load."""
+    """How the node obtains the load of engines."""
 
     load_poll_interval_s: Annotated[float, Field(ge=0.1, le=60)] = 1.0
     load_polls_per_interval: Annotated[int, Field(ge=1)] = 16
@@ -66,7 +66,7 @@
 
 
 class OperatorsSection(_Section):
-    """Who may query and order. The token is a secret."""
+    """Access of operators to queries and commands. The token is a secret."""
 
     token_sha256: Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")] | None = None
 
