--- a/src/bendshed/placement/node_choice.py
+++ b/src/bendshed/placement/node_choice.py
@@ -17,7 +17,7 @@
 from bendshed.model.places import Places
 from bendshed.placement.runner_health import median_pace
 from bendshed.placement.runner_record import RunnerRecord
-from bendshed.policy import EVERYTHING, Policy
+from bendshed.policy import ALL_ENABLED, Policy
 
 SESSION_MAX_EXTRA_REQUESTS = 3
 """Requests of this node by which a session's runner may exceed the least loaded one. Beyond that
@@ -97,7 +97,7 @@
     session: str,
     view: NodeView,
     rng: random.Random,
-    policy: Policy = EVERYTHING,
+    policy: Policy = ALL_ENABLED,
     affinity_key: str = "",
 ) -> Choice | None:
     """Choose a runner that was not tried yet; ``None``: there is none.
--- a/src/bendshed/platform/settings.py
+++ b/src/bendshed/platform/settings.py
@@ -23,7 +23,7 @@
 from bendshed.placement.distance import LINK_SETTING_NAMES, LINK_SETTINGS_HINT, LinkSettings
 from bendshed.placement.groups import TurnGroups
 from bendshed.platform.names import SETTINGS_VARIABLE
-from bendshed.policy import EVERYTHING, SWITCHES_CURE, Policy, unknown_switches
+from bendshed.policy import ALL_ENABLED, SWITCHES_HINT, Policy, unknown_switches
 
 _IP = r"\d{1,3}(\.\d{1,3}){3}"
 IpNumber = Annotated[str, Meta(pattern=rf"^{_IP}$")]
@@ -118,7 +118,7 @@
     faultTolerance: FaultTolerance = FaultTolerance()  # noqa: N815
     bounds: Bounds = Bounds()
     platform: MetadataStore
-    policy: Policy = EVERYTHING
+    policy: Policy = ALL_ENABLED
     placement: LinkSettings = LinkSettings()
 
     @property
@@ -185,7 +185,7 @@
             raise SiteSettingsInvalid(f"{path}: {section}: not an object: write its fields by name")
     policy = content.get("policy") or {}
     for name in unknown_switches(policy):
-        raise SiteSettingsInvalid(f"{path}: policy.{name}: unknown: {SWITCHES_CURE}")
+        raise SiteSettingsInvalid(f"{path}: policy.{name}: unknown: {SWITCHES_HINT}")
     placement = content.get("placement") or {}
     for name in set(placement) - LINK_SETTING_NAMES:
         raise SiteSettingsInvalid(f"{path}: placement.{name}: unknown: {LINK_SETTINGS_HINT}")
--- a/src/bendshed/policy.py
+++ b/src/bendshed/policy.py
@@ -48,11 +48,11 @@
     regional_groups: bool = True
 
 
-EVERYTHING = Policy()
+ALL_ENABLED = Policy()
 """The policy that operators use."""
 
 SWITCHES = frozenset(field.name for field in fields(Policy))
-SWITCHES_CURE = f"use one of {', '.join(sorted(SWITCHES))}"
+SWITCHES_HINT = f"use one of {', '.join(sorted(SWITCHES))}"
 
 
 def unknown_switches(names: Iterable[str]) -> list[str]:
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -25,7 +25,7 @@
 from bendshed.placement.allowed_regions import unknown_regions
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.placement.zones import ZoneUpdate
-from bendshed.policy import EVERYTHING, Policy
+from bendshed.policy import ALL_ENABLED, Policy
 from bendshed.ports.runner import RunnerProtocol
 from bendshed.ports.runner_connections import RunnerConnections
 from bendshed.ports.transport import Transport
@@ -93,7 +93,7 @@
         times: CatalogTimes,
         rng: random.Random,
         metrics: ServiceMetrics,
-        policy: Policy = EVERYTHING,
+        policy: Policy = ALL_ENABLED,
         groups: TurnGroups = ONE_GROUP,
     ) -> None:
         self.directory = ReplicaDirectory()
--- a/src/bendshed/services/runner_placement.py
+++ b/src/bendshed/services/runner_placement.py
@@ -13,7 +13,7 @@
 from bendshed.model.permit import NO_PERMIT, TimedPermit
 from bendshed.model.places import Places
 from bendshed.placement.node_choice import Choice, NodeView, choose_runner
-from bendshed.policy import EVERYTHING, Policy
+from bendshed.policy import ALL_ENABLED, Policy
 from bendshed.ports.runner import RunnerProtocol, ServiceRequest
 from bendshed.ports.runner_connections import RunnerConnections
 from bendshed.retries.decisions import GiveUp, GiveUpReason, may_choose_runner
@@ -40,7 +40,7 @@
     node: str
     rng: random.Random
     metrics: ServiceMetrics
-    policy: Policy = EVERYTHING
+    policy: Policy = ALL_ENABLED
     permit_client: PermitClient | None = None
     places: Places = field(default_factory=Places)
 
--- a/src/bendshed/services/turn_ports.py
+++ b/src/bendshed/services/turn_ports.py
@@ -8,7 +8,7 @@
 from bendshed.consensus.group_client import GroupUnavailable
 from bendshed.logs import PartLog
 from bendshed.model.principal import Principal
-from bendshed.policy import EVERYTHING, Policy
+from bendshed.policy import ALL_ENABLED, Policy
 from bendshed.services.metrics import ServiceMetrics
 from bendshed.services.quota_client import QuotaClient
 from bendshed.services.turn_ends import PendingTurnEnds
@@ -43,7 +43,7 @@
     transcripts: TranscriptCache
     metrics: ServiceMetrics
     quotas: QuotaClient
-    policy: Policy = EVERYTHING
+    policy: Policy = ALL_ENABLED
     group_locator: GroupLocator = field(default_factory=GroupLocator)
     background_begins: "set[asyncio.Task[Any]]" = field(default_factory=set)
     ends: PendingTurnEnds = field(init=False)
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -21,7 +21,7 @@
 from bendshed.placement.distance import DistanceCosts, LinkSettings
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.placement.zones import ZoneUpdate
-from bendshed.policy import EVERYTHING, Policy
+from bendshed.policy import ALL_ENABLED, Policy
 from bendshed.ports.catalog_storage import CatalogStorage
 from bendshed.ports.log_storage import LogStorage
 from bendshed.ports.registry import ReplicaNode, ReplicaRegistry
@@ -88,7 +88,7 @@
 
     num_voters: int
     times: CatalogTimes
-    policy: Policy = EVERYTHING
+    policy: Policy = ALL_ENABLED
     quota_tolerance: QuotaTolerance = NO_TOLERANCE
     groups: TurnGroups = ONE_GROUP
     cold_rate_limit: ColdRateLimit = field(default_factory=ColdRateLimit)
--- a/tests/test_budget_after_refused_begins.py
+++ b/tests/test_budget_after_refused_begins.py
@@ -20,7 +20,7 @@
 
 from bendshed.consensus.group_client import GroupUnavailable
 from bendshed.errors import ErrorKind, Refusal
-from bendshed.policy import EVERYTHING
+from bendshed.policy import ALL_ENABLED
 from bendshed.rehearsal.site.oracle import Rule, check_spent
 from bendshed.rehearsal.site.records import Kind, SiteRequest
 from bendshed.rehearsal.site.runner import EVENT_TOKENS
@@ -67,7 +67,7 @@
     """A begin whose outcome is unknown to its front."""
 
     def exchange(self) -> StreamExchange:
-        policy = replace(EVERYTHING, shared_load=False)
+        policy = replace(ALL_ENABLED, shared_load=False)
         client = cast(TurnClient, self.client)
         self.ports = TurnPorts(client, MagicMock(), MagicMock(), MagicMock(), policy)
         attempts = MagicMock(may_have_run=False, answered_by="")
--- a/tests/test_previewed_turns.py
+++ b/tests/test_previewed_turns.py
@@ -7,7 +7,7 @@
 from unittest.mock import MagicMock
 
 from bendshed.errors import ErrorKind, Refusal
-from bendshed.policy import EVERYTHING
+from bendshed.policy import ALL_ENABLED
 from bendshed.services.stream_exchange import StreamExchange
 from bendshed.services.turn_record import TurnPorts, TurnRecord
 from bendshed.turns.client import TurnClient
@@ -39,7 +39,7 @@
 
 class PreviewedTurnTest(unittest.IsolatedAsyncioTestCase):
     async def run_turn(self, client: FakeTurnClient, tenant: str) -> Refusal:
-        policy = replace(EVERYTHING, shared_load=False)
+        policy = replace(ALL_ENABLED, shared_load=False)
         ports = TurnPorts(cast(TurnClient, client), MagicMock(), MagicMock(), MagicMock(), policy)
         attempts = MagicMock(may_have_run=False, answered_by="r")
         attempts.history.failed = []
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -19,7 +19,7 @@
     choose_runner,
 )
 from bendshed.placement.runner_record import FAILURES_TO_AVOID, RunnerRecord
-from bendshed.policy import EVERYTHING, Policy
+from bendshed.policy import ALL_ENABLED, Policy
 from bendshed.services.events import EventSplitter, read_event
 from bendshed.services.runners import RunnerTable
 
@@ -124,7 +124,7 @@
         node: str = "node",
         now_s: float = 0.0,
         affinity_key: str = "",
-        policy: Policy = EVERYTHING,
+        policy: Policy = ALL_ENABLED,
     ) -> str:
         view = NodeView(node, zone, connected, now_s)
         choice = choose_runner(self.records, tried, session, view, self.rng, policy, affinity_key)
