--- a/src/bendshed/adapters/tcp_transport.py
+++ b/src/bendshed/adapters/tcp_transport.py
@@ -14,7 +14,7 @@
 
 from google.protobuf.message import DecodeError
 
-from bendshed.adapters.silence import SilenceWatch
+from bendshed.adapters.silence import SilenceDetector
 from bendshed.adapters.traffic import Traffic
 from bendshed.logs import PartLog
 from bendshed.model.address import Address
@@ -45,7 +45,7 @@
         self.transport: asyncio.Transport | None = None
         self._peer_host = ""
         self.waiting: dict[int, asyncio.Future[Frame]] = {}
-        self.silence = SilenceWatch()
+        self.silence = SilenceDetector()
         self._is_retired = False
         self._next_request_id = 1
 
@@ -55,7 +55,7 @@
         peer = transport.get_extra_info("peername")
         self._peer_host = peer[0] if peer else ""
         self._owner.connections.add(self)
-        self.silence.note_heard(asyncio.get_running_loop().time())
+        self.silence.record_receipt(asyncio.get_running_loop().time())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._owner.connections.discard(self)
@@ -66,7 +66,7 @@
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        self.silence.note_heard(asyncio.get_running_loop().time())
+        self.silence.record_receipt(asyncio.get_running_loop().time())
         self._buffer += data
         position = 0
         while len(self._buffer) - position >= LENGTH.size:
@@ -110,7 +110,7 @@
         request_id = self._next_id()
         future: asyncio.Future[Frame] = asyncio.get_running_loop().create_future()
         self.waiting[request_id] = future
-        self.silence.note_request(timeout_s, asyncio.get_running_loop().time())
+        self.silence.record_request(timeout_s, asyncio.get_running_loop().time())
         return request_id, future
 
     def end_request(self, request_id: int) -> None:
@@ -123,8 +123,8 @@
             return
         self.write(frame, frame.method)
         now_s = asyncio.get_running_loop().time()
-        if self.silence.must_probe(now_s):
-            self.silence.note_request(0.0, now_s)
+        if self.silence.should_probe(now_s):
+            self.silence.record_request(0.0, now_s)
             self.write(Frame(request_id=self._next_id(), method=ECHO_METHOD), ECHO_METHOD)
 
     def retire(self) -> None:
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -11,7 +11,7 @@
 import asyncio
 import unittest
 
-from bendshed.adapters.silence import ANSWER_DUE_S, PROBE_AFTER_S, SilenceWatch
+from bendshed.adapters.silence import MIN_ANSWER_TIMEOUT_S, PROBE_AFTER_S, SilenceDetector
 from bendshed.adapters.tcp_transport import TcpTransport
 from bendshed.model.address import Address
 from bendshed.ports.transport import ECHO_METHOD, PeerUnreachable
@@ -143,36 +143,36 @@
         self.assertFalse(caught.exception.is_silent)
 
 
-class SilenceWatchTest(unittest.TestCase):
+class SilenceDetectorTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.watch = SilenceWatch()
-        self.watch.note_heard(10.0)
+        self.detector = SilenceDetector()
+        self.detector.record_receipt(10.0)
 
     def test_nothing_requested_is_no_silence(self) -> None:
-        self.assertFalse(self.watch.is_silent(1e9))
+        self.assertFalse(self.detector.is_silent(1e9))
 
     def test_the_first_overdue_answer_counts_not_the_last(self) -> None:
         for number in range(5):
-            self.watch.note_request(0.06, 10.0 + number)
-        self.assertFalse(self.watch.is_silent(10.0 + ANSWER_DUE_S))
-        self.assertTrue(self.watch.is_silent(10.1 + ANSWER_DUE_S))
+            self.detector.record_request(0.06, 10.0 + number)
+        self.assertFalse(self.detector.is_silent(10.0 + MIN_ANSWER_TIMEOUT_S))
+        self.assertTrue(self.detector.is_silent(10.1 + MIN_ANSWER_TIMEOUT_S))
 
     def test_a_long_wait_is_not_cut_short(self) -> None:
-        self.watch.note_request(8.0, 10.0)
-        self.assertFalse(self.watch.is_silent(18.0))
-        self.assertTrue(self.watch.is_silent(18.1))
+        self.detector.record_request(8.0, 10.0)
+        self.assertFalse(self.detector.is_silent(18.0))
+        self.assertTrue(self.detector.is_silent(18.1))
 
     def test_any_byte_ends_the_doubt(self) -> None:
-        self.watch.note_request(0.06, 10.0)
-        self.watch.note_heard(10.5)
-        self.assertFalse(self.watch.is_silent(1e9))
+        self.detector.record_request(0.06, 10.0)
+        self.detector.record_receipt(10.5)
+        self.assertFalse(self.detector.is_silent(1e9))
 
     def test_one_way_messages_probe_once_until_the_answer_is_due(self) -> None:
-        self.assertFalse(self.watch.must_probe(10.0 + PROBE_AFTER_S))
-        self.assertTrue(self.watch.must_probe(10.1 + PROBE_AFTER_S))
-        self.watch.note_request(0.0, 10.1 + PROBE_AFTER_S)
-        self.assertFalse(self.watch.must_probe(10.2 + PROBE_AFTER_S))
+        self.assertFalse(self.detector.should_probe(10.0 + PROBE_AFTER_S))
+        self.assertTrue(self.detector.should_probe(10.1 + PROBE_AFTER_S))
+        self.detector.record_request(0.0, 10.1 + PROBE_AFTER_S)
+        self.assertFalse(self.detector.should_probe(10.2 + PROBE_AFTER_S))
 
     def test_a_request_that_waits_long_does_not_replace_the_probe(self) -> None:
-        self.watch.note_request(100.0, 10.0)
-        self.assertTrue(self.watch.must_probe(10.1 + PROBE_AFTER_S))
+        self.detector.record_request(100.0, 10.0)
+        self.assertTrue(self.detector.should_probe(10.1 + PROBE_AFTER_S))
