--- a/src/bendshed/adapters/connection_pool.py
+++ b/src/bendshed/adapters/connection_pool.py
@@ -54,7 +54,7 @@
         idle = self._idle.get(address, [])
         while idle:
             connection = idle.pop()
-            if connection.is_reusable and connection.rest_until_s > now_s:
+            if connection.is_reusable and connection.reusable_until_s > now_s:
                 return connection
             connection.abort()
         return None
@@ -63,7 +63,7 @@
         """Whether a connection rests there that may be used again."""
         now_s = asyncio.get_running_loop().time()
         return any(
-            connection.is_reusable and connection.rest_until_s > now_s
+            connection.is_reusable and connection.reusable_until_s > now_s
             for connection in self._idle.get(address, ())
         )
 
--- a/src/bendshed/adapters/http_connection.py
+++ b/src/bendshed/adapters/http_connection.py
@@ -28,9 +28,9 @@
 MAX_HEAD_BYTES = 64 * 1024
 FIRST_INTERIM_STATUS, FIRST_FINAL_STATUS, LAST_STATUS = 100, 200, 599
 KNOWN_VERSIONS = ("1.0", "1.1")
-DEFAULT_REST_S = 4.0
+DEFAULT_KEEP_ALIVE_S = 4.0
 """Rest after which a connection is not used again when the peer names no time."""
-REST_SHARE = 0.75
+KEEP_ALIVE_SHARE = 0.75
 """Share of the peer's own idle time after which a connection is not used again."""
 
 
@@ -41,15 +41,15 @@
     request, and no other byte has come.
 
     Attributes:
-        rest_until_s: loop time until which an idle connection may be used again.
+        reusable_until_s: loop time until which an idle connection may be used again.
         on_silent: called when nothing was heard for ``USER_TIMEOUT_MS`` after a request.
 
     """
 
     def __init__(self) -> None:
-        self.rest_until_s = 0.0
-        self.on_silent: Callable[[], None] = _pass_over
-        self._unheard_since_s: float | None = None
+        self.reusable_until_s = 0.0
+        self.on_silent: Callable[[], None] = _ignore_silence
+        self._no_receipt_since_s: float | None = None
         self._num_sent = 0
         self._num_received = 0
         self._loop = asyncio.get_running_loop()
@@ -63,7 +63,7 @@
         self._num_buffered = 0
         self._wake: asyncio.Future[None] | None = None
         self._complete = False
-        self._foreign = False
+        self._skips_message = False
         self._usable = True
         self._error: ResponseBroken | None = None
 
@@ -86,7 +86,7 @@
         self._head_ready = self._loop.create_future()
         content = request.encode()
         self._num_sent += len(content)
-        self._unheard_since_s = self._loop.time()
+        self._no_receipt_since_s = self._loop.time()
         self._transport.write(content)
         return await self._head_ready
 
@@ -114,7 +114,7 @@
         if unsent or not self._complete or not self._answer_head.is_framed:
             self.abort()
             return
-        self.rest_until_s = self._loop.time() + _rest_s(self._answer_head)
+        self.reusable_until_s = self._loop.time() + _max_idle_s(self._answer_head)
 
     def take_counts(self) -> tuple[int, int]:
         """Bytes sent and received since they were taken last."""
@@ -125,7 +125,7 @@
     def abort(self) -> None:
         """Close at once."""
         self._usable = False
-        since_s, self._unheard_since_s = self._unheard_since_s, None
+        since_s, self._no_receipt_since_s = self._no_receipt_since_s, None
         if since_s is not None and self._loop.time() - since_s >= USER_TIMEOUT_MS / 1000:
             self.on_silent()
         if self._transport is not None:
@@ -144,7 +144,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse; a byte without a request ends the connection."""
         self._num_received += len(data)
-        self._unheard_since_s = None
+        self._no_receipt_since_s = None
         if self._request is None or self._complete:
             self.abort()
             return
@@ -159,7 +159,7 @@
         """An unframed answer ends properly with its connection."""
         started = self._head_ready is not None and self._head_ready.done()
         is_open = self._request is not None and started and not self._complete
-        if is_open and not self._foreign and not self._answer_head.is_framed:
+        if is_open and not self._skips_message and not self._answer_head.is_framed:
             self._end()
         self._usable = False
         return None
@@ -194,7 +194,7 @@
     def on_message_begin(self) -> None:
         """A new answer begins."""
         self._head = ResponseHead()  # the last one belongs to the reader of its answer
-        self._foreign = self._complete
+        self._skips_message = self._complete
         if self._complete:
             self.abort()  # more than one answer
 
@@ -208,14 +208,14 @@
         self._head.is_framed = _is_framed(self._head)
         request = self._request
         if request is None or self._complete or self._is_interim():
-            self._foreign = True
+            self._skips_message = True
             return
-        if not self._is_sensible():
+        if not self._is_valid_response():
             raise ValueError(
                 f"status {self._head.status} in HTTP/{self._parser.get_http_version()}"
             )
         if not request.matches(self._head):
-            self._foreign = True
+            self._skips_message = True
             self._usable = False
             return
         self._answer_head = self._head
@@ -228,7 +228,7 @@
     def _is_interim(self) -> bool:
         return FIRST_INTERIM_STATUS <= self._head.status < FIRST_FINAL_STATUS
 
-    def _is_sensible(self) -> bool:
+    def _is_valid_response(self) -> bool:
         """A final status of the protocol, in a version of it, in a head of bearable size.
 
         The parser takes any three digits; passed on, they would be no answer to the caller.
@@ -240,7 +240,7 @@
 
     def on_body(self, body: bytes) -> None:
         """Keep a piece of the body."""
-        if self._foreign or self._complete:
+        if self._skips_message or self._complete:
             return
         self._chunks.append(body)
         self._num_buffered += len(body)
@@ -250,14 +250,14 @@
 
     def on_message_complete(self) -> None:
         """An answer ended as it was framed."""
-        if self._foreign:
+        if self._skips_message:
             return
         if not self._parser.should_keep_alive():
             self._usable = False
         self._end()
 
 
-def _pass_over() -> None:
+def _ignore_silence() -> None:
     """No pool keeps connections beside this one."""
 
 
@@ -270,13 +270,13 @@
     return coding is not None and b"chunked" in coding.lower()
 
 
-def _rest_s(head: ResponseHead) -> float:
+def _max_idle_s(head: ResponseHead) -> float:
     """How long the connection may rest and still be used."""
     for part in (head.get(b"keep-alive") or b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.strip().isdigit():
-            return int(value) * REST_SHARE
-    return DEFAULT_REST_S
+            return int(value) * KEEP_ALIVE_SHARE
+    return DEFAULT_KEEP_ALIVE_S
 
 
 async def open_connection(address: Address, timeout_s: float) -> HttpConnection:
