--- a/src/bendshed/adapters/connection_pool.py
+++ b/src/bendshed/adapters/connection_pool.py
@@ -10,7 +10,7 @@
 from bendshed.ports.runner_connections import RunnerConnection, RunnerConnections
 
 MAX_IDLE_PER_PEER = 32
-CONNECT_TRIPS = 4.0
+CONNECT_TIMEOUT_ROUND_TRIPS = 4.0
 """Least connect timeout for a far peer, in its round trips."""
 REQUEST, ANSWER = "request", "answer"
 """Directions in which bytes are counted, to the peer and from it."""
@@ -41,8 +41,10 @@
             return connection
         self.num_opened += 1
         began_s = asyncio.get_running_loop().time()
-        far_s = CONNECT_TRIPS * (self._round_trips.min_s(address, began_s) or 0.0)
-        opened = await open_connection(address, max(self._connect_timeout_s, far_s))
+        min_timeout_s = CONNECT_TIMEOUT_ROUND_TRIPS * (
+            self._round_trips.min_s(address, began_s) or 0.0
+        )
+        opened = await open_connection(address, max(self._connect_timeout_s, min_timeout_s))
         now_s = asyncio.get_running_loop().time()
         self._round_trips.record(address, now_s - began_s, now_s)
         # Kept connections fall silent together; each would lose one more request.
