--- a/src/bendshed/adapters/tcp_transport.py
+++ b/src/bendshed/adapters/tcp_transport.py
@@ -25,7 +25,7 @@
 MAX_FRAME_BYTES = 256 * 1024 * 1024
 CONNECT_TIMEOUT_S = 0.5
 """Shorter than TCP's first retransmission: a machine that has just come up answers the next try."""
-CONNECT_TRIPS = 4.0
+CONNECT_TIMEOUT_ROUND_TRIPS = 4.0
 """Least connect timeout for a far machine, in its round trips."""
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 """One-way messages to a peer that does not read are dropped beyond this."""
@@ -142,7 +142,7 @@
         return request_id
 
 
-class _Datagrams(asyncio.DatagramProtocol):
+class _DatagramProtocol(asyncio.DatagramProtocol):
     """UDP socket of a node."""
 
     def __init__(self, owner: "TcpTransport") -> None:
@@ -183,7 +183,7 @@
         self._server = await loop.create_server(lambda: _Connection(self), self._host, self._port)
         port = self._server.sockets[0].getsockname()[1]
         self._datagrams, _ = await loop.create_datagram_endpoint(
-            lambda: _Datagrams(self), local_addr=(self._host, port)
+            lambda: _DatagramProtocol(self), local_addr=(self._host, port)
         )
         return Address(self._host, port)
 
@@ -219,8 +219,8 @@
                 finally:
                     connection.end_request(request_id)
                 now_s = asyncio.get_running_loop().time()
-                expected_round_trip_s = now_s - sent_s - reply.served_us / 1_000_000
-                self.round_trips.record(peer, expected_round_trip_s, now_s)
+                round_trip_s = now_s - sent_s - reply.served_us / 1_000_000
+                self.round_trips.record(peer, round_trip_s, now_s)
                 return reply.payload
         except TimeoutError as error:
             raise PeerUnreachable(f"{peer} did not answer {method} in time") from error
@@ -280,8 +280,8 @@
     async def _open(self, peer: Address) -> _Connection:
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        far_s = CONNECT_TRIPS * (self.round_trip_s(peer) or 0.0)
-        async with asyncio.timeout(max(CONNECT_TIMEOUT_S, far_s)):
+        min_timeout_s = CONNECT_TIMEOUT_ROUND_TRIPS * (self.round_trip_s(peer) or 0.0)
+        async with asyncio.timeout(max(CONNECT_TIMEOUT_S, min_timeout_s)):
             _, connection = await loop.create_connection(
                 lambda: _Connection(self), peer.host, peer.port
             )
