--- a/src/bendshed/adapters/connection_pool.py
+++ b/src/bendshed/adapters/connection_pool.py
@@ -4,7 +4,7 @@
 from functools import partial
 
 from bendshed.adapters.http_connection import HttpConnection, open_connection
-from bendshed.adapters.traffic import Traffic
+from bendshed.adapters.traffic import TrafficCounter
 from bendshed.model.address import Address
 from bendshed.ports.round_trips import RoundTrips
 from bendshed.ports.runner_connections import RunnerConnection, RunnerConnections
@@ -27,7 +27,7 @@
 
     def __init__(self, connect_timeout_s: float) -> None:
         self.num_opened = 0
-        self.traffic = Traffic(
+        self.traffic = TrafficCounter(
             "bendshed_runner_bytes", "Bytes to and from runners by direction and distance"
         )
         self._round_trips: RoundTrips[Address] = RoundTrips()
@@ -74,8 +74,8 @@
         idle = self._idle.setdefault(address, [])
         assert isinstance(connection, HttpConnection)
         num_sent, num_received = connection.take_counts()
-        self.traffic.note(REQUEST, address.host, num_sent)
-        self.traffic.note(ANSWER, address.host, num_received)
+        self.traffic.record(REQUEST, address.host, num_sent)
+        self.traffic.record(ANSWER, address.host, num_received)
         if connection.is_reusable and len(idle) < MAX_IDLE_PER_PEER:
             idle.append(connection)
         else:
--- a/src/bendshed/adapters/tcp_transport.py
+++ b/src/bendshed/adapters/tcp_transport.py
@@ -15,7 +15,7 @@
 from google.protobuf.message import DecodeError
 
 from bendshed.adapters.silence import SilenceDetector
-from bendshed.adapters.traffic import Traffic
+from bendshed.adapters.traffic import TrafficCounter
 from bendshed.logs import PartLog
 from bendshed.model.address import Address
 from bendshed.ports.transport import ECHO_METHOD, PeerUnreachable, Transport
@@ -96,7 +96,7 @@
         if self.transport is None:
             return
         content = frame.SerializeToString()
-        self._owner.traffic.note(method, self._peer_host, len(content) + LENGTH.size)
+        self._owner.traffic.record(method, self._peer_host, len(content) + LENGTH.size)
         self.transport.write(LENGTH.pack(len(content)) + content)
 
     @property
@@ -167,7 +167,7 @@
     def __init__(self, host: str, port: int) -> None:
         super().__init__()
         self.connections: set[_Connection] = set()
-        self.traffic = Traffic(
+        self.traffic = TrafficCounter(
             "bendshed_peer_bytes_sent", "Bytes to other nodes by kind of message and distance"
         )
         self._host = host
--- a/src/bendshed/adapters/traffic.py
+++ b/src/bendshed/adapters/traffic.py
@@ -13,7 +13,7 @@
 """The zone of the other side was not known when it was written to."""
 
 
-class Traffic(Collector):
+class TrafficCounter(Collector):
     """Counts what an adapter writes; the page reads the sums when it is scraped.
 
     Attributes:
@@ -22,13 +22,13 @@
 
     """
 
-    def __init__(self, name: str, text: str) -> None:
+    def __init__(self, name: str, help_text: str) -> None:
         self._name = name
-        self._text = text
+        self._help_text = help_text
         self.distance: Callable[[str], Distance | None] = lambda _host: None
         self.num_bytes: Counter[tuple[str, str]] = Counter()
 
-    def note(self, message: str, host: str, num_bytes: int) -> None:
+    def record(self, message: str, host: str, num_bytes: int) -> None:
         """Bytes went to a host, or came from it."""
         kind = self.distance(host)
         self.num_bytes[message, kind.value if kind is not None else UNKNOWN_DISTANCE] += num_bytes
@@ -39,7 +39,7 @@
 
     def collect(self) -> Iterator[Metric]:
         """The current counts."""
-        family = CounterMetricFamily(self._name, self._text, labels=["message", "distance"])
+        family = CounterMetricFamily(self._name, self._help_text, labels=["message", "distance"])
         for (message, distance), num_bytes in sorted(self.num_bytes.items()):
             family.add_metric([message, distance], num_bytes)
         yield family
