--- a/src/bendshed/adapters/http.py
+++ b/src/bendshed/adapters/http.py
@@ -13,7 +13,7 @@
 from blacksheep import Application, Request, Response
 
 CONNECT_TIMEOUT_S = 5.0
-SILENCE_TIMEOUT_S = 60.0
+READ_TIMEOUT_S = 60.0
 """A stream that brings no byte for this long counts as broken."""
 
 CONNECTION_ERRORS = (OSError, TimeoutError, aiohttp.ClientError)
@@ -55,7 +55,7 @@
 
     def __init__(self) -> None:
         timeout = aiohttp.ClientTimeout(
-            total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=SILENCE_TIMEOUT_S
+            total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=READ_TIMEOUT_S
         )
         self._session = aiohttp.ClientSession(
             timeout=timeout,
