--- a/src/bendshed/adapters/durable_file.py
+++ b/src/bendshed/adapters/durable_file.py
@@ -14,19 +14,19 @@
 
 def write_durable(path: Path, content: bytes) -> None:
     """Replace a file durably; raise ``OSError``."""
-    beside = path.with_suffix(".new")
-    with beside.open("wb") as file:
+    temporary_path = path.with_suffix(".new")
+    with temporary_path.open("wb") as file:
         file.write(xxhash.xxh3_64_digest(content) + content)
         file.flush()
         os.fsync(file.fileno())
-    beside.replace(path)
+    temporary_path.replace(path)
     _sync_folder(path.parent)
 
 
 def read_durable(path: Path) -> bytes:
     """Read a file; raise ``OSError`` or ``FileDamaged``."""
-    whole = path.read_bytes()
-    digest, content = whole[:DIGEST_BYTES], whole[DIGEST_BYTES:]
+    stored = path.read_bytes()
+    digest, content = stored[:DIGEST_BYTES], stored[DIGEST_BYTES:]
     if digest != xxhash.xxh3_64_digest(content):
         raise FileDamaged(str(path))
     return content
