--- a/src/bendshed/adapters/openai_engine.py
+++ b/src/bendshed/adapters/openai_engine.py
@@ -107,27 +107,27 @@
 
     async def cancel(self, attempt_id: str) -> None:
         """End a stream; its name cannot be started any more."""
-        await self._checked("DELETE", f"/v1/streams/{attempt_id}")
+        await self._send_checked("DELETE", f"/v1/streams/{attempt_id}")
 
     async def load(self) -> LoadReport:
         """Report the load."""
-        return LoadReport(**orjson.loads(await self._checked("GET", "/load")))
+        return LoadReport(**orjson.loads(await self._send_checked("GET", "/load")))
 
     async def held_programs(self) -> list[str]:
         """Programs for which KV cache is held."""
-        programs: list[str] = orjson.loads(await self._checked("GET", "/kv/holds"))["programs"]
+        programs: list[str] = orjson.loads(await self._send_checked("GET", "/kv/holds"))["programs"]
         return programs
 
     async def release(self, program_id: str) -> None:
         """Give back the KV cache held for a program."""
-        await self._checked("DELETE", f"/kv/holds/{program_id}")
+        await self._send_checked("DELETE", f"/kv/holds/{program_id}")
 
     async def order(self, fence: int, order: str, argument: str) -> None:
         """Send a fenced order."""
         body = {"fence": fence, "order": order, "argument": argument}
-        await self._checked("POST", "/orders", orjson.dumps(body))
+        await self._send_checked("POST", "/orders", orjson.dumps(body))
 
-    async def _checked(self, method: str, path: str, content: bytes | None = None) -> bytes:
+    async def _send_checked(self, method: str, path: str, content: bytes | None = None) -> bytes:
         answer = await self._send(method, f"{self._base_url}{path}", content)
         if answer.status in (404, 501):
             raise NotSupported(path)
