--- a/src/bendshed/adapters/metrics_page.py
+++ b/src/bendshed/adapters/metrics_page.py
@@ -39,9 +39,9 @@
             )
             return
         loop = asyncio.get_running_loop()
-        loop.add_reader(listener, self._begin, listener)
+        loop.add_reader(listener, self._start_server, listener)
 
-    def _begin(self, listener: socket.socket) -> None:
+    def _start_server(self, listener: socket.socket) -> None:
         from bendshed.adapters.http_server import make_server  # noqa: PLC0415 (see the class)
 
         loop = asyncio.get_running_loop()
