--- a/src/bendshed/adapters/__init__.py
+++ b/src/bendshed/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters of the product's ports to usual protocols: HTTP, object API, chat engines, TCP."""
+"""Adapters of the ports to standard protocols: HTTP, object API, chat engines, TCP."""
--- a/src/bendshed/adapters/asgi.py
+++ b/src/bendshed/adapters/asgi.py
@@ -1,4 +1,4 @@
-"""The little of ASGI that is used without the house's HTTP library."""
+"""ASGI types and helpers for applications that do not use the blacksheep framework."""
 
 from collections.abc import Awaitable, Callable, MutableMapping
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 async def serve_lifespan(receive: Receive, send: Send) -> None:
-    """Answer the server's start and stop."""
+    """Acknowledge the server's startup and shutdown events."""
     while True:
         message = await receive()
         await send({"type": message["type"] + ".complete"})
@@ -19,7 +19,7 @@
 
 
 async def send_text(send: Send, status: int, content: bytes) -> None:
-    """Send a short whole answer."""
+    """Send a complete plain-text response."""
     headers = [
         (b"content-type", b"text/plain"),
         (b"content-length", str(len(content)).encode()),
--- a/src/bendshed/adapters/connection_pool.py
+++ b/src/bendshed/adapters/connection_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to many peers, the most recently used first."""
+"""Pool of persistent connections to many peers, reused in most-recently-used order."""
 
 import asyncio
 from functools import partial
@@ -11,17 +11,17 @@
 
 MAX_IDLE_PER_PEER = 32
 CONNECT_TIMEOUT_ROUND_TRIPS = 4.0
-"""Least connect timeout for a far peer, in its round trips."""
+"""Minimum connect timeout as a multiple of the peer's round trip, for distant peers."""
 REQUEST, ANSWER = "request", "answer"
-"""Directions in which bytes are counted, to the peer and from it."""
+"""Directions in which bytes are counted: to the peer and from the peer."""
 
 
 class ConnectionPool(RunnerConnections):
     """Idle connections by address.
 
     Attributes:
-        num_opened: connections opened since start.
-        traffic: bytes of requests and answers whose connections were given back.
+        num_opened: number of connections opened since start.
+        traffic: bytes of requests and responses, counted when their connection is released.
 
     """
 
@@ -35,7 +35,7 @@
         self._idle: dict[Address, list[HttpConnection]] = {}
 
     async def acquire(self, address: Address) -> HttpConnection:
-        """Take an idle connection or open one; raise ``ConnectFailed``."""
+        """Return an idle connection or open one; raise ``ConnectFailed``."""
         connection = self._take_idle(address)
         if connection is not None:
             return connection
@@ -47,7 +47,8 @@
         opened = await open_connection(address, max(self._connect_timeout_s, min_timeout_s))
         now_s = asyncio.get_running_loop().time()
         self._round_trips.record(address, now_s - began_s, now_s)
-        # Kept connections fall silent together; each would lose one more request.
+        # If one connection to a peer is silent, the idle ones probably are too, and each of them
+        # would lose another request.
         opened.on_silent = partial(self.forget, address)
         return opened
 
@@ -62,7 +63,7 @@
         return None
 
     def has_idle(self, address: Address) -> bool:
-        """Whether a connection rests there that may be used again."""
+        """Return whether there is an idle connection to the peer that may be reused."""
         now_s = asyncio.get_running_loop().time()
         return any(
             connection.is_reusable and connection.reusable_until_s > now_s
@@ -70,7 +71,7 @@
         )
 
     def release(self, address: Address, connection: RunnerConnection) -> None:
-        """Give a connection back after ``finish``, or drop it."""
+        """Return a connection to the pool, or close it if it is not reusable."""
         idle = self._idle.setdefault(address, [])
         assert isinstance(connection, HttpConnection)
         num_sent, num_received = connection.take_counts()
@@ -82,7 +83,7 @@
             connection.abort()
 
     def forget(self, address: Address) -> None:
-        """Close the idle connections to a peer that is gone."""
+        """Close the idle connections to a peer that is no longer in use."""
         for connection in self._idle.pop(address, []):
             connection.abort()
 
--- a/src/bendshed/adapters/durable_file.py
+++ b/src/bendshed/adapters/durable_file.py
@@ -1,4 +1,4 @@
-"""Small files that are always whole: written beside the old one, synced, renamed, with a digest."""
+"""Atomic replacement of small files: temporary file, fsync, rename; a digest detects damage."""
 
 import os
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 
 class FileDamaged(Exception):
-    """The file's digest does not fit its content."""
+    """The file's digest does not match its content."""
 
 
 def write_durable(path: Path, content: bytes) -> None:
@@ -33,7 +33,7 @@
 
 
 def _sync_folder(folder: Path) -> None:
-    """A renamed name lasts once its folder is synced."""
+    """Sync a folder, which makes a rename in it durable."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
--- a/src/bendshed/adapters/http.py
+++ b/src/bendshed/adapters/http.py
@@ -1,9 +1,9 @@
-"""HTTP by libraries: a client (aiohttp) and a helper for routes (blacksheep).
+"""HTTP client (aiohttp) and a helper for routes (blacksheep).
 
-The house's library for HTTP serves our side. Its client was measured unfit towards engines: it
-resends a request whose connection closed before the answer (a call would start twice), reuses
-connections that the other side has closed, and lets the garbage collector take a connection whose
-stream is being read, so that the stream never ends. See docs/design/0002.
+blacksheep is used for the server only. Its client is unsuitable for engines: it resends a request
+whose connection closed before the response (a call would start twice), reuses connections that the
+peer has closed, and lets the garbage collector free a connection whose stream is being read, so
+that the stream never ends. See docs/design/0002.
 """
 
 from collections.abc import AsyncIterator, Awaitable, Callable, Mapping
@@ -14,15 +14,15 @@
 
 CONNECT_TIMEOUT_S = 5.0
 READ_TIMEOUT_S = 60.0
-"""A stream that brings no byte for this long counts as broken."""
+"""A stream that delivers no data for this long counts as broken."""
 
 CONNECTION_ERRORS = (OSError, TimeoutError, aiohttp.ClientError)
-"""What a request may raise when the other side does not answer properly."""
+"""Exceptions that a request may raise if the peer does not send a valid response."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: Mapping[str, str]
@@ -30,7 +30,7 @@
 
 
 class HttpStream:
-    """An answer whose body is read as it comes."""
+    """A response whose body is read as it arrives."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self.status = response.status
@@ -41,7 +41,7 @@
         return await self._response.read()
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Bytes as they arrive; raises one of ``CONNECTION_ERRORS`` when the body is cut."""
+        """Yield bytes as they arrive; raise one of ``CONNECTION_ERRORS`` on a truncated body."""
         try:
             async for chunk in self._response.content.iter_any():
                 yield chunk
@@ -51,7 +51,7 @@
 
 
 class HttpClient:
-    """One client per process. A request is sent once and never repeated by the client."""
+    """HTTP client, one per process. It sends each request once and never retries."""
 
     def __init__(self) -> None:
         timeout = aiohttp.ClientTimeout(
@@ -70,7 +70,7 @@
         content: bytes | None = None,
         headers: Mapping[str, str] | None = None,
     ) -> HttpAnswer:
-        """Send a request and read the whole answer."""
+        """Send a request and read the complete response."""
         async with self._session.request(
             method, url, data=content, headers=headers, allow_redirects=False
         ) as response:
@@ -83,7 +83,7 @@
         content: bytes | None = None,
         headers: Mapping[str, str] | None = None,
     ) -> HttpStream:
-        """Send a request and return once the answer's head is there."""
+        """Send a request and return once the response head has arrived."""
         response = await self._session.request(
             method, url, data=content, headers=headers, allow_redirects=False
         )
@@ -95,7 +95,7 @@
 
 
 def is_refused(error: BaseException) -> bool:
-    """Whether the connection was refused, so that nothing was sent."""
+    """Return whether the connection was refused, so that nothing was sent."""
     cause = error.os_error if isinstance(error, aiohttp.ClientConnectorError) else error
     return isinstance(cause, ConnectionRefusedError)
 
@@ -104,7 +104,7 @@
 
 
 def add_route(application: Application, method: str, path: str, handler: Handler) -> None:
-    """Add a route whose handler may be a bound method (the library wants plain functions)."""
+    """Add a route whose handler may be a bound method; blacksheep accepts plain functions only."""
 
     async def route(request: Request) -> Response:
         return await handler(request)
--- a/src/bendshed/adapters/http_connection.py
+++ b/src/bendshed/adapters/http_connection.py
@@ -1,8 +1,9 @@
-"""One HTTP/1.1 client connection on httptools' parser, one request at a time.
+"""HTTP/1.1 client connection based on httptools' parser, for one request at a time.
 
-A scheduler must know more of a connection than the usual clients report: whether anything was sent,
-whether an answer belongs to the request, whether it ended as it was framed or was cut, and whether
-bytes came without a request. Nothing is repeated, redirected, decompressed or normalised here.
+The scheduler needs details that common clients do not report: whether anything was sent, whether a
+response belongs to the request, whether its body is complete or truncated, and whether bytes
+arrived without a request. Requests are never retried or redirected, and content is neither
+decompressed nor normalized.
 """
 
 import asyncio
@@ -23,26 +24,27 @@
 
 PAUSE_READING_BYTES = 256 * 1024
 USER_TIMEOUT_MS = 4_000
-"""Unacknowledged bytes break a connection after this long. A request that was given up without any
-byte for as long shows that the connection may be silent, also where its bytes are acknowledged."""
+"""The kernel closes a connection whose bytes are unacknowledged for this long. If a request is
+aborted after this long without any received byte, the connection may be silent even though its
+bytes are acknowledged."""
 MAX_HEAD_BYTES = 64 * 1024
 FIRST_INTERIM_STATUS, FIRST_FINAL_STATUS, LAST_STATUS = 100, 200, 599
 KNOWN_VERSIONS = ("1.0", "1.1")
 DEFAULT_KEEP_ALIVE_S = 4.0
-"""Rest after which a connection is not used again when the peer names no time."""
+"""Idle time after which a connection is not reused if the peer sends no keep-alive timeout."""
 KEEP_ALIVE_SHARE = 0.75
-"""Share of the peer's own idle time after which a connection is not used again."""
+"""Fraction of the peer's keep-alive timeout after which a connection is not reused."""
 
 
 class HttpConnection(asyncio.Protocol, RunnerConnection):
-    """A connection.
+    """A client connection.
 
-    Invariant: it ``is_reusable`` only if each answer so far was whole and framed, belonged to its
-    request, and no other byte has come.
+    Invariant: it ``is_reusable`` only if all responses so far were complete and framed and belonged
+    to their requests, and no other bytes were received.
 
     Attributes:
-        reusable_until_s: loop time until which an idle connection may be used again.
-        on_silent: called when nothing was heard for ``USER_TIMEOUT_MS`` after a request.
+        reusable_until_s: event loop time until which an idle connection may be reused.
+        on_silent: called if nothing was received for ``USER_TIMEOUT_MS`` after a request.
 
     """
 
@@ -67,7 +69,7 @@
         self._usable = True
         self._error: ResponseBroken | None = None
 
-    # --- use -----------------------------------------------------------------------------
+    # --- requests ------------------------------------------------------------------------
 
     @property
     def is_reusable(self) -> bool:
@@ -76,7 +78,7 @@
         return alive and self._usable and self._request is None
 
     async def send(self, request: ClientRequest) -> ResponseHead:
-        """Send a request and wait for the head of its answer; raise ``ResponseBroken``."""
+        """Send a request and wait for the response head; raise ``ResponseBroken``."""
         if self._transport is None or self._transport.is_closing():
             raise ResponseBroken("the connection was closed")
         self._request = request
@@ -91,7 +93,7 @@
         return await self._head_ready
 
     async def body(self) -> AsyncIterator[bytes]:
-        """Chunks as they arrive; raise ``ResponseBroken`` unless the body ends properly."""
+        """Yield chunks as they arrive; raise ``ResponseBroken`` if the body is incomplete."""
         while True:
             while self._chunks:
                 chunk = b"".join(self._chunks)
@@ -108,7 +110,7 @@
             await self._wake
 
     def finish(self) -> None:
-        """The answer was read whole: the connection may serve again if nothing speaks against."""
+        """End the exchange after a complete response; keep the connection if it is reusable."""
         self._request = None
         unsent = self._transport is not None and self._transport.get_write_buffer_size() > 0
         if unsent or not self._complete or not self._answer_head.is_framed:
@@ -117,13 +119,13 @@
         self.reusable_until_s = self._loop.time() + _max_idle_s(self._answer_head)
 
     def take_counts(self) -> tuple[int, int]:
-        """Bytes sent and received since they were taken last."""
+        """Return the bytes sent and received since the last call."""
         counts = self._num_sent, self._num_received
         self._num_sent = self._num_received = 0
         return counts
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         self._usable = False
         since_s, self._no_receipt_since_s = self._no_receipt_since_s, None
         if since_s is not None and self._loop.time() - since_s >= USER_TIMEOUT_MS / 1000:
@@ -134,7 +136,7 @@
     # --- asyncio -------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; bound how long unacknowledged bytes may hang."""
+        """Store the transport; limit how long bytes may remain unacknowledged."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         own_socket = transport.get_extra_info("socket")
@@ -142,7 +144,7 @@
             own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Parse; a byte without a request ends the connection."""
+        """Parse received data; close the connection on data without a request."""
         self._num_received += len(data)
         self._no_receipt_since_s = None
         if self._request is None or self._complete:
@@ -152,11 +154,11 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, ValueError) as error:
             if not self._complete:
-                self._fail(f"no HTTP answer: {error}")
+                self._fail(f"invalid HTTP response: {error}")
             self.abort()
 
     def eof_received(self) -> bool | None:
-        """An unframed answer ends properly with its connection."""
+        """Complete an unframed response, which ends with its connection."""
         started = self._head_ready is not None and self._head_ready.done()
         is_open = self._request is not None and started and not self._complete
         if is_open and not self._skips_message and not self._answer_head.is_framed:
@@ -165,7 +167,7 @@
         return None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Whatever was not complete is broken."""
+        """Fail an incomplete response."""
         self._transport = None
         self._usable = False
         if isinstance(exc, TimeoutError):
@@ -178,7 +180,7 @@
         self._error = ResponseBroken(reason)
         if self._head_ready is not None and not self._head_ready.done():
             self._head_ready.set_exception(self._error)
-            self._head_ready.exception()  # a caller that left does not make it unretrieved
+            self._head_ready.exception()  # marks it as retrieved, also if send() was cancelled
         self._notify()
 
     def _notify(self) -> None:
@@ -192,18 +194,18 @@
     # --- httptools -----------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """A new answer begins."""
-        self._head = ResponseHead()  # the last one belongs to the reader of its answer
+        """Begin a new response."""
+        self._head = ResponseHead()  # the previous one is in use by the reader of its response
         self._skips_message = self._complete
         if self._complete:
-            self.abort()  # more than one answer
+            self.abort()  # more than one response
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Store a header."""
         self._head.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Decide whose answer it is."""
+        """Determine whether the response belongs to the request."""
         self._head.status = self._parser.get_status_code()
         self._head.is_framed = _is_framed(self._head)
         request = self._request
@@ -229,9 +231,10 @@
         return FIRST_INTERIM_STATUS <= self._head.status < FIRST_FINAL_STATUS
 
     def _is_valid_response(self) -> bool:
-        """A final status of the protocol, in a version of it, in a head of bearable size.
+        """Return whether status and version are valid and the head is not too large.
 
-        The parser takes any three digits; passed on, they would be no answer to the caller.
+        The parser accepts any three digits as a status; forwarded, an undefined status would not be
+        a valid response for the caller.
         """
         size = sum(len(name) + len(value) for name, value in self._head.headers)
         in_range = FIRST_FINAL_STATUS <= self._head.status <= LAST_STATUS
@@ -239,7 +242,7 @@
         return in_range and known and size <= MAX_HEAD_BYTES
 
     def on_body(self, body: bytes) -> None:
-        """Keep a piece of the body."""
+        """Buffer a chunk of the body."""
         if self._skips_message or self._complete:
             return
         self._chunks.append(body)
@@ -249,7 +252,7 @@
         self._notify()
 
     def on_message_complete(self) -> None:
-        """An answer ended as it was framed."""
+        """Complete a framed response."""
         if self._skips_message:
             return
         if not self._parser.should_keep_alive():
@@ -258,7 +261,7 @@
 
 
 def _ignore_silence() -> None:
-    """No pool keeps connections beside this one."""
+    """Do nothing; the connection does not belong to a pool with other connections."""
 
 
 def _is_framed(head: ResponseHead) -> bool:
@@ -271,7 +274,7 @@
 
 
 def _max_idle_s(head: ResponseHead) -> float:
-    """How long the connection may rest and still be used."""
+    """Return the idle time in seconds after which the connection is not reused."""
     for part in (head.get(b"keep-alive") or b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.strip().isdigit():
--- a/src/bendshed/adapters/http_server.py
+++ b/src/bendshed/adapters/http_server.py
@@ -1,4 +1,4 @@
-"""uvicorn in this process and loop, on sockets that are bound at once."""
+"""uvicorn in the current process and event loop, on sockets that are already bound."""
 
 import contextlib
 import logging
@@ -9,17 +9,17 @@
 
 
 class HttpServer(uvicorn.Server):
-    """uvicorn in this process and loop; signals stay ours."""
+    """uvicorn server that leaves signal handling to the process."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave the signal handlers alone."""
+        """Keep the existing signal handlers."""
         yield
 
 
 def make_server(application: Any, **options: Any) -> HttpServer:
-    """Return a server, still to be run with ``serve(sockets=[...])``."""
-    logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)  # ours says what happened
+    """Return a server, which the caller runs with ``serve(sockets=[...])``."""
+    logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)  # errors are in our own log
     config = uvicorn.Config(
         application,
         loop="none",
--- a/src/bendshed/adapters/http_store.py
+++ b/src/bendshed/adapters/http_store.py
@@ -1,7 +1,7 @@
 """Object API and machine list over HTTP.
 
 Objects are resources with an ``ETag`` (their version) and conditional writes (RFC 9110,
-``If-Match`` and ``If-None-Match``); a watch is a listing that waits.
+``If-Match`` and ``If-None-Match``); a watch is a list request that waits (long polling).
 """
 
 import base64
@@ -28,7 +28,7 @@
         self._base_url = base_url.rstrip("/")
 
     async def get(self, key: str) -> StoredObject | None:
-        """Read one object."""
+        """Return an object, or ``None`` if it is absent."""
         answer = await _send(self._client, "GET", self._url(key))
         if answer.status == 404:
             return None
@@ -51,11 +51,11 @@
         return StoredObject(key, _version(answer), content)
 
     async def list_after(self, prefix: str, after_key: str) -> list[StoredObject]:
-        """Objects under the prefix after ``after_key``."""
+        """Return the objects under the prefix after ``after_key``."""
         return await self.watch(prefix, after_key, 0.0)
 
     async def watch(self, prefix: str, after_key: str, wait_s: float) -> list[StoredObject]:
-        """Wait for the first such object."""
+        """Like ``list_after``, but wait up to ``wait_s`` seconds for the first such object."""
         query = urlencode({"prefix": prefix, "after": after_key, "wait": wait_s})
         answer = await _send(self._client, "GET", f"{self._base_url}/objects?{query}")
         _expect(answer, 200)
@@ -76,7 +76,7 @@
         self._base_url = base_url.rstrip("/")
 
     async def read(self) -> list[Machine]:
-        """All machines."""
+        """Return all machines."""
         answer = await _send(self._client, "GET", f"{self._base_url}/machines")
         _expect(answer, 200)
         return [Machine(**row) for row in orjson.loads(answer.body)["machines"]]
@@ -103,5 +103,5 @@
 def _version(answer: HttpAnswer) -> int:
     tag = answer.headers.get("ETag")
     if tag is None:
-        raise StoreUnavailable("an answer without ETag")
+        raise StoreUnavailable("response without an ETag header")
     return int(tag.strip('"'))
--- a/src/bendshed/adapters/metrics_page.py
+++ b/src/bendshed/adapters/metrics_page.py
@@ -1,4 +1,4 @@
-"""The metrics address: one page of text; its server is loaded at the first scrape."""
+"""The metrics endpoint: one page of text, whose server is loaded at the first scrape."""
 
 import asyncio
 import socket
@@ -20,8 +20,8 @@
 class MetricsPage:
     """Serves a registry at one address and path.
 
-    The server is loaded at the first scrape: most processes are never scraped, and it
-    would cost each of them memory and part of its start.
+    The server is loaded at the first scrape, because most processes are never scraped and it would
+    cost each of them memory and startup time.
     """
 
     def __init__(self, registry: CollectorRegistry, path: str) -> None:
@@ -30,7 +30,7 @@
         self._serving: asyncio.Task[None] | None = None
 
     def listen(self, host: str, port: int) -> None:
-        """Listen; an address that is taken costs the metrics and nothing else."""
+        """Listen; if the address is in use, only the metrics are unavailable."""
         try:
             listener = bind(host, port)
         except OSError as error:
@@ -61,6 +61,6 @@
 
 
 def count_dropped_lines(registry: CollectorRegistry, writer: BoundedLineWriter) -> None:
-    """Tell how many log lines were dropped since start."""
+    """Export the number of log lines dropped since start."""
     dropped = Gauge("bendshed_log_lines_dropped", "Log lines dropped", registry=registry)
     dropped.set_function(lambda: writer.num_dropped)
--- a/src/bendshed/adapters/openai_engine.py
+++ b/src/bendshed/adapters/openai_engine.py
@@ -26,14 +26,14 @@
 
 
 class HttpEngineStream(EngineStream):
-    """Reads server-sent events; whole events only, the closing ``[DONE]`` left out."""
+    """Yields complete server-sent events without the final ``[DONE]``."""
 
     def __init__(self, answer: HttpStream) -> None:
         self.summary = StreamSummary()
         self._answer = answer
 
     async def events(self) -> AsyncIterator[bytes]:
-        """Raw events; the summary is complete when this ends without an error."""
+        """Yield raw events; the summary is complete when this ends without an error."""
         seen: list[bytes] = []
         rest = b""
         try:
@@ -53,8 +53,9 @@
 class OpenAiEngine(Engine):
     """One engine at ``base_url``.
 
-    Beside ``/v1/chat/completions`` it uses ``/v1/streams/<name>`` (resume, cancel), ``/load``,
-    ``/kv/holds`` and ``/orders``; an engine that answers 404 or 501 there lacks that part.
+    In addition to ``/v1/chat/completions`` it uses ``/v1/streams/<name>`` (resume, cancel),
+    ``/load``, ``/kv/holds`` and ``/orders``; status 404 or 501 means that the engine does not
+    implement that operation.
     """
 
     def __init__(self, client: HttpClient, base_url: str) -> None:
@@ -97,7 +98,7 @@
         raise EngineBroken(detail)
 
     async def resume(self, attempt_id: str) -> EngineStream:
-        """Read a stream again from its first byte."""
+        """Reread a stream from its first byte."""
         answer = await self._stream("GET", f"{self._base_url}/v1/streams/{attempt_id}")
         if answer.status == 404:
             raise StreamUnknown(attempt_id)
@@ -106,20 +107,20 @@
         return HttpEngineStream(answer)
 
     async def cancel(self, attempt_id: str) -> None:
-        """End a stream; its name cannot be started any more."""
+        """Cancel a stream; a later start under its name is rejected."""
         await self._send_checked("DELETE", f"/v1/streams/{attempt_id}")
 
     async def load(self) -> LoadReport:
-        """Report the load."""
+        """Return the current load."""
         return LoadReport(**orjson.loads(await self._send_checked("GET", "/load")))
 
     async def held_programs(self) -> list[str]:
-        """Programs for which KV cache is held."""
+        """Return the programs for which KV cache is held."""
         programs: list[str] = orjson.loads(await self._send_checked("GET", "/kv/holds"))["programs"]
         return programs
 
     async def release(self, program_id: str) -> None:
-        """Give back the KV cache held for a program."""
+        """Release the KV cache held for a program."""
         await self._send_checked("DELETE", f"/kv/holds/{program_id}")
 
     async def order(self, fence: int, order: str, argument: str) -> None:
@@ -145,7 +146,7 @@
 
 
 def request_body(request: EngineRequest) -> dict[str, Any]:
-    """Body of a chat-completions request for one attempt."""
+    """Return the body of a chat-completions request for one attempt."""
     return {
         "model": request.model,
         "messages": [message_to_json(message) for message in request.messages],
@@ -159,6 +160,6 @@
 
 
 def message_to_json(message: Any) -> dict[str, Any]:
-    """Chat message as JSON; fields beyond role and content travel unread."""
+    """Return a chat message as JSON; fields other than role and content are forwarded unchanged."""
     extra: dict[str, Any] = orjson.loads(message.extra_json) if message.extra_json else {}
     return {"role": message.role, "content": message.content, **extra}
--- a/src/bendshed/adapters/silence.py
+++ b/src/bendshed/adapters/silence.py
@@ -1,27 +1,28 @@
-"""When an open connection counts as silent, though nothing has closed it. Pure.
+"""Detection of connections that are open but no longer deliver data. No I/O.
 
-Only an answer that is due and does not come shows it. Times are of the caller's clock, in seconds.
+The only evidence is an answer that is overdue. Times are in seconds on the caller's clock.
 """
 
 import math
 from dataclasses import dataclass
 
 MIN_ANSWER_TIMEOUT_S = 1.0
-"""Least time for an answer, also where its request was given up sooner. A lost segment is repeated
-within it, and a node without processor time for less loses no connection. With ``PROBE_AFTER_S``
-and a connect timeout it lies within the 3 s in which a node has to be in touch."""
+"""Minimum time for an answer, even if its request timed out sooner. It allows for the
+retransmission of a lost segment, and for a node that gets no processor time for less than this.
+Together with ``PROBE_AFTER_S`` and a connect timeout it is within the 3 s in which a node must
+restore contact."""
 PROBE_AFTER_S = 1.0
-"""One-way messages go into a connection that nothing was heard on for so long only with a request
-beside them, since they bring no answer themselves."""
+"""If nothing was received on a connection for this long, one-way messages on it are accompanied by
+a request, since they are not answered themselves."""
 
 
 @dataclass(slots=True)
 class SilenceDetector:
-    """What one connection owes.
+    """State of one connection.
 
     Attributes:
-        received_s: when bytes came last, or the connection was opened.
-        due_s: when the first answer was due of those requested since then.
+        received_s: time of the last received bytes, or of the connection's opening.
+        due_s: earliest due time of the answers requested since then.
 
     """
 
@@ -29,19 +30,23 @@
     due_s: float = math.inf
 
     def record_receipt(self, now_s: float) -> None:
-        """Bytes came, or the connection was opened."""
+        """Record that bytes were received, or that the connection was opened."""
         self.received_s = now_s
         self.due_s = math.inf
 
     def record_request(self, timeout_s: float, now_s: float) -> None:
-        """A request was sent whose answer is waited for so long."""
+        """Record a request whose answer is awaited for ``timeout_s``."""
         self.due_s = min(self.due_s, now_s + max(timeout_s, MIN_ANSWER_TIMEOUT_S))
 
     def should_probe(self, now_s: float) -> bool:
-        """Whether one-way messages would go on unheard: no answer is due soon."""
+        """Return whether to send a request with a one-way message.
+
+        This is the case if nothing was received for ``PROBE_AFTER_S`` and no answer is due soon, so
+        that a silent connection would remain undetected.
+        """
         is_quiet = now_s - self.received_s > PROBE_AFTER_S
         return is_quiet and self.due_s > now_s + MIN_ANSWER_TIMEOUT_S
 
     def is_silent(self, now_s: float) -> bool:
-        """Whether an answer is overdue and nothing has come since it was requested."""
+        """Return whether an answer is overdue and nothing was received since its request."""
         return now_s > self.due_s
--- a/src/bendshed/adapters/tcp_transport.py
+++ b/src/bendshed/adapters/tcp_transport.py
@@ -1,9 +1,9 @@
 """Transport over TCP (requests, one-way messages) and UDP (datagrams), on one port number.
 
-A frame on TCP is a protobuf ``Frame`` behind its length in four bytes. A connection carries
-requests and their replies in any order; messages written in one turn of the loop leave in one
-segment. Lost connections are opened again on the next message, and so are those that fell silent
-without being closed (``silence.py``).
+A frame on TCP is a protobuf ``Frame`` preceded by its length in four bytes. A connection carries
+requests and their replies in any order; messages written in one iteration of the event loop are
+sent in one segment. Lost connections are reopened for the next message, as are connections that
+no longer deliver data without having been closed (``silence.py``).
 """
 
 import asyncio
@@ -24,13 +24,15 @@
 LENGTH = struct.Struct("!I")
 MAX_FRAME_BYTES = 256 * 1024 * 1024
 CONNECT_TIMEOUT_S = 0.5
-"""Shorter than TCP's first retransmission: a machine that has just come up answers the next try."""
+"""Shorter than TCP's first retransmission: a machine that has just started answers the next
+attempt sooner than the retransmitted segment."""
 CONNECT_TIMEOUT_ROUND_TRIPS = 4.0
-"""Least connect timeout for a far machine, in its round trips."""
+"""Minimum connect timeout as a multiple of the peer's round trip, for distant peers."""
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
-"""One-way messages to a peer that does not read are dropped beyond this."""
+"""Further one-way messages are dropped while this much is buffered for a peer."""
 MAX_SERVED_US = 2**32 - 1
-"""Most that a reply's field holds, 71 minutes; the rest of a longer wait counts as round trip."""
+"""Maximum value of the field in a reply, 71 minutes; the excess of a longer processing time counts
+as round trip."""
 HANDLER_FAILED = "handler_failed"
 
 log = PartLog("transport")
@@ -73,7 +75,7 @@
             (size,) = LENGTH.unpack_from(self._buffer, position)
             end = position + LENGTH.size + size
             if size > MAX_FRAME_BYTES:
-                self.abort("a frame is too long")
+                self.abort("frame is too long")
                 return
             if len(self._buffer) < end:
                 break
@@ -82,7 +84,7 @@
             try:
                 frame = Frame.FromString(content)
             except DecodeError:
-                self.abort("a frame cannot be read")
+                self.abort("frame cannot be decoded")
                 return
             self._owner.on_frame(self, frame)
         del self._buffer[:position]
@@ -118,7 +120,7 @@
         self._abort_if_unused()
 
     def write_one_way(self, frame: Frame) -> None:
-        """Write a message, and a request beside it where nothing else would bring an answer."""
+        """Write a message, and an additional request if no other answer is expected soon."""
         if self.is_full:
             return
         self.write(frame, frame.method)
@@ -128,7 +130,7 @@
             self.write(Frame(request_id=self._next_id(), method=ECHO_METHOD), ECHO_METHOD)
 
     def retire(self) -> None:
-        """Send nothing here any more; an answer that comes after all is still taken."""
+        """Stop sending on this connection; late answers are still accepted."""
         self._is_retired = True
         self._abort_if_unused()
 
@@ -151,16 +153,16 @@
     def datagram_received(self, data: bytes, addr: Any) -> None:
         if self._owner.datagram_handler is None:
             return
-        # Anybody may send bytes that are no message of ours; a line for each would flood the log.
+        # Datagrams can come from any sender; logging each invalid one would flood the log.
         with contextlib.suppress(DecodeError):
             self._owner.datagram_handler(data)
 
 
 class TcpTransport(Transport):
-    """The real network.
+    """Transport over the operating system's network.
 
     Attributes:
-        traffic: what was sent by kind of message and distance, datagrams left out.
+        traffic: bytes sent by kind of message and distance, excluding datagrams.
 
     """
 
@@ -202,7 +204,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def round_trip_s(self, peer: Address) -> float | None:
-        """Seconds to a peer and back, the least that was measured lately; ``None``: never."""
+        """Return the recent minimum round trip to a peer in seconds; ``None`` if not measured."""
         return self.round_trips.min_s(peer, asyncio.get_running_loop().time())
 
     async def request(self, peer: Address, method: str, payload: bytes, timeout_s: float) -> bytes:
@@ -226,7 +228,7 @@
             raise PeerUnreachable(f"{peer} did not answer {method} in time") from error
 
     def send(self, peer: Address, method: str, payload: bytes) -> None:
-        """Send a one-way message; connect first if need be."""
+        """Send a one-way message; connect first if necessary."""
         frame = Frame(method=method, payload=payload)
         connection = self._open_connection(peer)
         if connection is not None:
@@ -261,15 +263,15 @@
             raise PeerUnreachable(f"cannot connect to {peer}", not was_refused) from error
 
     def _open_connection(self, peer: Address) -> _Connection | None:
-        """Connection to a peer if one is open now."""
+        """Return the connection to a peer if one is open and not silent."""
         task = self._outgoing.get(peer)
         if task is None or not task.done() or task.cancelled() or task.exception() is not None:
             return None
         connection = task.result()
         if connection.transport is None:
             return None
-        # Neither a reset nor the kernel ends a connection whose bytes are lost or acknowledged
-        # midway; each further message would be lost in it.
+        # A connection whose bytes are lost, or acknowledged by an intermediary, is closed neither
+        # by a reset nor by the kernel; every further message on it would be lost.
         if connection.silence.is_silent(asyncio.get_running_loop().time()):
             log.say("connection replaced: silent", peer=str(peer))
             del self._outgoing[peer]
@@ -289,7 +291,7 @@
         return connection
 
     def on_frame(self, connection: _Connection, frame: Frame) -> None:
-        """Route one incoming frame."""
+        """Dispatch one incoming frame."""
         if frame.is_reply:
             future = connection.waiting.pop(frame.request_id, None)
             if future is None or future.done():
--- a/src/bendshed/adapters/traffic.py
+++ b/src/bendshed/adapters/traffic.py
@@ -1,4 +1,4 @@
-"""Bytes by kind of message and by what lies between, for the metrics page."""
+"""Counts bytes by kind of message and by distance, for the metrics endpoint."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -10,15 +10,15 @@
 from bendshed.model.places import Distance
 
 UNKNOWN_DISTANCE = "not_told"
-"""The zone of the other side was not known when it was written to."""
+"""The zone of the peer was not known when the bytes were transferred."""
 
 
 class TrafficCounter(Collector):
-    """Counts what an adapter writes; the page reads the sums when it is scraped.
+    """Counts an adapter's bytes; the totals are collected at each scrape.
 
     Attributes:
-        distance: from this process to a host; ``None``: unknown.
-        num_bytes: by kind of message and distance, since start.
+        distance: distance from this process to a host; ``None`` if unknown.
+        num_bytes: bytes by kind of message and distance, since start.
 
     """
 
@@ -29,16 +29,16 @@
         self.num_bytes: Counter[tuple[str, str]] = Counter()
 
     def record(self, message: str, host: str, num_bytes: int) -> None:
-        """Bytes went to a host, or came from it."""
+        """Count bytes sent to a host or received from it."""
         kind = self.distance(host)
         self.num_bytes[message, kind.value if kind is not None else UNKNOWN_DISTANCE] += num_bytes
 
     def add_to(self, registry: CollectorRegistry) -> None:
-        """Show the counts on a metrics page."""
+        """Register the counts for export."""
         registry.register(self)
 
     def collect(self) -> Iterator[Metric]:
-        """The current counts."""
+        """Yield the current counts."""
         family = CounterMetricFamily(self._name, self._help_text, labels=["message", "distance"])
         for (message, distance), num_bytes in sorted(self.num_bytes.items()):
             family.add_metric([message, distance], num_bytes)
