--- a/tests/stalling_proxy.py
+++ b/tests/stalling_proxy.py
@@ -9,7 +9,7 @@
 CHUNK_BYTES = 65_536
 
 
-class Silence(enum.Enum):
+class StalledDirection(enum.Enum):
     """Which bytes of the open connections are lost."""
 
     BOTH = "both"
@@ -18,7 +18,7 @@
 
 
 class StallingProxy:
-    """Passes bytes on. After ``fall_silent`` the connections of that moment lose theirs.
+    """Passes bytes on. After ``stall`` the connections of that moment lose theirs.
 
     They stay open: what is written to them is read and acknowledged, and goes nowhere. Connections
     opened later work.
@@ -32,7 +32,7 @@
         self.num_opened = 0
         self._target = target
         self._server: asyncio.Server | None = None
-        self._silenced: set[tuple[int, Silence]] = set()
+        self._stalled: set[tuple[int, StalledDirection]] = set()
         self._writers: list[asyncio.StreamWriter] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -41,10 +41,10 @@
         self._server = await asyncio.start_server(self._accept, LOCAL, 0)
         return Address(*self._server.sockets[0].getsockname()[:2])
 
-    def fall_silent(self, silence: Silence = Silence.BOTH) -> None:
+    def stall(self, direction: StalledDirection = StalledDirection.BOTH) -> None:
         """Lose all further bytes of the connections that are open."""
         for number in range(1, self.num_opened + 1):
-            self._silenced.add((number, silence))
+            self._stalled.add((number, direction))
 
     async def stop(self) -> None:
         """Close everything."""
@@ -62,32 +62,32 @@
         self._writers.append(writer)
         to_reader, to_writer = await asyncio.open_connection(self._target.host, self._target.port)
         self._writers.append(to_writer)
-        for source, sink, silence in (
-            (reader, to_writer, Silence.TO_TARGET),
-            (to_reader, writer, Silence.FROM_TARGET),
+        for source, sink, direction in (
+            (reader, to_writer, StalledDirection.TO_TARGET),
+            (to_reader, writer, StalledDirection.FROM_TARGET),
         ):
             task = asyncio.get_running_loop().create_task(
-                self._pass_on(source, sink, number, silence)
+                self._forward(source, sink, number, direction)
             )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _pass_on(
+    async def _forward(
         self,
         source: asyncio.StreamReader,
         sink: asyncio.StreamWriter,
         number: int,
-        silence: Silence,
+        direction: StalledDirection,
     ) -> None:
         try:
             while content := await source.read(CHUNK_BYTES):
-                if not self._is_silent(number, silence):
+                if not self._is_stalled(number, direction):
                     sink.write(content)
                     await sink.drain()
         except ConnectionError:
             pass  # one side is gone; the other learns it below unless it is silent
-        if not self._is_silent(number, silence):
+        if not self._is_stalled(number, direction):
             sink.close()
 
-    def _is_silent(self, number: int, silence: Silence) -> bool:
-        return not self._silenced.isdisjoint({(number, silence), (number, Silence.BOTH)})
+    def _is_stalled(self, number: int, direction: StalledDirection) -> bool:
+        return not self._stalled.isdisjoint({(number, direction), (number, StalledDirection.BOTH)})
--- a/tests/test_http_connection.py
+++ b/tests/test_http_connection.py
@@ -269,12 +269,12 @@
             await sending
 
     async def test_request_aborted_after_the_timeout_closes_idle_connections(self) -> None:
-        self.proxy.fall_silent()
+        self.proxy.stall()
         await self.abort_after(USER_TIMEOUT_MS / 1000)
         self.assertFalse(self.pool.has_idle(self.address))
 
     async def test_request_aborted_early_keeps_idle_connections(self) -> None:
-        self.proxy.fall_silent()
+        self.proxy.stall()
         await self.abort_after(0.5 * USER_TIMEOUT_MS / 1000)
         self.assertTrue(self.pool.has_idle(self.address))
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -194,7 +194,7 @@
         self.model.put("kind", "a", {})
         await asyncio.gather(*(self.api.get("kind", "a") for _ in range(self.NUM_KEPT)))
         self.assertEqual(self.proxy.num_opened, self.NUM_KEPT)
-        self.proxy.fall_silent()
+        self.proxy.stall()
         with self.assertRaises(StoreUnavailable):
             await self.api.get("kind", "a")
         self.assertIsNotNone(await self.api.get("kind", "a"))
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -15,7 +15,7 @@
 from bendshed.adapters.tcp_transport import TcpTransport
 from bendshed.model.address import Address
 from bendshed.ports.transport import ECHO_METHOD, PeerUnreachable
-from tests.stalling_proxy import LOCAL, Silence, StallingProxy
+from tests.stalling_proxy import LOCAL, StalledDirection, StallingProxy
 
 METHOD, SLOW_METHOD, ONE_WAY_METHOD = "say", "wait", "tell"
 TRY_S = 0.3
@@ -87,21 +87,21 @@
         return False
 
     async def test_requests_are_answered_again_whichever_way_is_silent(self) -> None:
-        for silence in Silence:
+        for direction in StalledDirection:
             await self.request()
-            self.proxy.fall_silent(silence)
-            self.assertTrue(await self.is_answered_again(), silence)
+            self.proxy.stall(direction)
+            self.assertTrue(await self.is_answered_again(), direction)
 
     async def test_one_way_messages_arrive_again(self) -> None:
-        for silence in (Silence.BOTH, Silence.TO_TARGET):
+        for direction in (StalledDirection.BOTH, StalledDirection.TO_TARGET):
             self.assertTrue(await self.is_told())
-            self.proxy.fall_silent(silence)
-            self.assertTrue(await self.is_told(), silence)
+            self.proxy.stall(direction)
+            self.assertTrue(await self.is_told(), direction)
 
     async def test_requests_that_are_given_up_early_show_it_too(self) -> None:
         """A relay's answer ends the direct request before its own time is over."""
         await self.request()
-        self.proxy.fall_silent()
+        self.proxy.stall()
         self.assertTrue(await self.is_answered_by_cancelled_tries())
 
     async def is_answered_by_cancelled_tries(self) -> bool:
--- a/tests/test_silent_groups.py
+++ b/tests/test_silent_groups.py
@@ -115,5 +115,5 @@
         await self.open_all_connections()
         self.assertTrue(await self.can_commit())
         for proxy in self.proxies:
-            proxy.fall_silent()
+            proxy.stall()
         self.assertTrue(await self.can_commit())
