--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -18,10 +18,10 @@
 from tests.stalling_proxy import LOCAL, StalledDirection, StallingProxy
 
 METHOD, SLOW_METHOD, ONE_WAY_METHOD = "say", "wait", "tell"
-TRY_S = 0.3
-NUM_TRIES = 10
+ATTEMPT_TIMEOUT_S = 0.3
+NUM_ATTEMPTS = 10
 """Tries of a request, one after the other: 3 s, the time within which a node has to be in touch."""
-GUARD_S = 30.0
+TEST_TIMEOUT_S = 30.0
 """Ends a request that hangs; a busy machine may take its time for one that is answered."""
 HEARTBEAT_S = 0.025
 NUM_HEARTBEATS = 120
@@ -38,8 +38,8 @@
         self.address: Address = await self.proxy.start()
         self.peer.handlers[METHOD] = self.answer
         self.peer.handlers[SLOW_METHOD] = self.answer_late
-        self.peer.one_way_handlers[ONE_WAY_METHOD] = self.take
-        self.taken = asyncio.Event()
+        self.peer.one_way_handlers[ONE_WAY_METHOD] = self.receive
+        self.received = asyncio.Event()
         self.arrived, self.may_answer = asyncio.Event(), asyncio.Event()
 
     async def asyncTearDown(self) -> None:
@@ -55,21 +55,21 @@
         await self.may_answer.wait()
         return payload
 
-    def take(self, _payload: bytes) -> None:
-        self.taken.set()
+    def receive(self, _payload: bytes) -> None:
+        self.received.set()
 
     async def request(self) -> bytes:
         """Request once, as long as one try of a turn's begin takes."""
-        return await self.node.request(self.address, METHOD, b"x", TRY_S)
+        return await self.node.request(self.address, METHOD, b"x", ATTEMPT_TIMEOUT_S)
 
-    async def is_told(self) -> bool:
+    async def one_way_message_arrives(self) -> bool:
         """Whether one of many one-way messages arrives."""
-        self.taken.clear()
+        self.received.clear()
         for _ in range(NUM_HEARTBEATS):
             self.node.send(self.address, ONE_WAY_METHOD, b"x")
             try:
                 async with asyncio.timeout(HEARTBEAT_S):
-                    await self.taken.wait()
+                    await self.received.wait()
             except TimeoutError:
                 continue
             return True
@@ -78,7 +78,7 @@
 
 class SilentConnectionTest(NodeBehindProxy):
     async def is_answered_again(self) -> bool:
-        for _ in range(NUM_TRIES):
+        for _ in range(NUM_ATTEMPTS):
             try:
                 await self.request()
             except PeerUnreachable:
@@ -86,29 +86,29 @@
             return True
         return False
 
-    async def test_requests_are_answered_again_whichever_way_is_silent(self) -> None:
+    async def test_requests_are_answered_again_for_each_stalled_direction(self) -> None:
         for direction in StalledDirection:
             await self.request()
             self.proxy.stall(direction)
             self.assertTrue(await self.is_answered_again(), direction)
 
-    async def test_one_way_messages_arrive_again(self) -> None:
+    async def test_one_way_messages_arrive_again_after_a_stall(self) -> None:
         for direction in (StalledDirection.BOTH, StalledDirection.TO_TARGET):
-            self.assertTrue(await self.is_told())
+            self.assertTrue(await self.one_way_message_arrives())
             self.proxy.stall(direction)
-            self.assertTrue(await self.is_told(), direction)
+            self.assertTrue(await self.one_way_message_arrives(), direction)
 
-    async def test_requests_that_are_given_up_early_show_it_too(self) -> None:
+    async def test_silence_is_detected_by_requests_cancelled_early(self) -> None:
         """A relay's answer ends the direct request before its own time is over."""
         await self.request()
         self.proxy.stall()
-        self.assertTrue(await self.is_answered_by_cancelled_tries())
+        self.assertTrue(await self.is_answered_by_cancelled_attempts())
 
-    async def is_answered_by_cancelled_tries(self) -> bool:
-        for _ in range(NUM_TRIES):
+    async def is_answered_by_cancelled_attempts(self) -> bool:
+        for _ in range(NUM_ATTEMPTS):
             try:
-                async with asyncio.timeout(TRY_S):
-                    await self.node.request(self.address, METHOD, b"x", 2 * TRY_S)
+                async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
+                    await self.node.request(self.address, METHOD, b"x", 2 * ATTEMPT_TIMEOUT_S)
             except (TimeoutError, PeerUnreachable):
                 continue
             return True
@@ -118,7 +118,7 @@
 class LiveConnectionTest(NodeBehindProxy):
     """What is no silence opens no further connection and loses no answer."""
 
-    async def test_a_request_that_waits_there_is_no_silence(self) -> None:
+    async def test_slow_request_is_not_counted_as_silence(self) -> None:
         loop = asyncio.get_running_loop()
         real_time, ahead_s = loop.time, 0.0
         loop.time = lambda: real_time() + ahead_s  # type: ignore[method-assign]
@@ -130,16 +130,16 @@
         self.assertEqual(await waiting, b"late")
         self.assertEqual(self.proxy.num_opened, 1)
 
-    async def test_one_way_messages_that_arrive_open_no_connection(self) -> None:
+    async def test_delivered_one_way_messages_open_no_further_connection(self) -> None:
         for _ in range(NUM_HEARTBEATS):
-            self.assertTrue(await self.is_told())
+            self.assertTrue(await self.one_way_message_arrives())
         self.assertEqual(self.proxy.num_opened, 1)
 
-    async def test_a_peer_that_knows_no_echo_answers_it_all_the_same(self) -> None:
+    async def test_peer_without_the_echo_method_still_replies(self) -> None:
         """Builds run side by side; any reply shows that the connection works."""
         del self.peer.handlers[ECHO_METHOD]
         with self.assertRaises(PeerUnreachable) as caught:
-            await self.node.request(self.address, ECHO_METHOD, b"", GUARD_S)
+            await self.node.request(self.address, ECHO_METHOD, b"", TEST_TIMEOUT_S)
         self.assertFalse(caught.exception.is_silent)
 
 
@@ -148,21 +148,21 @@
         self.detector = SilenceDetector()
         self.detector.record_receipt(10.0)
 
-    def test_nothing_requested_is_no_silence(self) -> None:
+    def test_not_silent_without_requests(self) -> None:
         self.assertFalse(self.detector.is_silent(1e9))
 
-    def test_the_first_overdue_answer_counts_not_the_last(self) -> None:
+    def test_earliest_due_answer_counts(self) -> None:
         for number in range(5):
             self.detector.record_request(0.06, 10.0 + number)
         self.assertFalse(self.detector.is_silent(10.0 + MIN_ANSWER_TIMEOUT_S))
         self.assertTrue(self.detector.is_silent(10.1 + MIN_ANSWER_TIMEOUT_S))
 
-    def test_a_long_wait_is_not_cut_short(self) -> None:
+    def test_longer_request_timeout_is_respected(self) -> None:
         self.detector.record_request(8.0, 10.0)
         self.assertFalse(self.detector.is_silent(18.0))
         self.assertTrue(self.detector.is_silent(18.1))
 
-    def test_any_byte_ends_the_doubt(self) -> None:
+    def test_any_received_byte_resets_the_detector(self) -> None:
         self.detector.record_request(0.06, 10.0)
         self.detector.record_receipt(10.5)
         self.assertFalse(self.detector.is_silent(1e9))
@@ -173,6 +173,6 @@
         self.detector.record_request(0.0, 10.1 + PROBE_AFTER_S)
         self.assertFalse(self.detector.should_probe(10.2 + PROBE_AFTER_S))
 
-    def test_a_request_that_waits_long_does_not_replace_the_probe(self) -> None:
+    def test_long_request_does_not_replace_the_probe(self) -> None:
         self.detector.record_request(100.0, 10.0)
         self.assertTrue(self.detector.should_probe(10.1 + PROBE_AFTER_S))
