--- a/tests/stalling_proxy.py
+++ b/tests/stalling_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy of one TCP address whose open connections can fall silent without being closed."""
+"""A TCP proxy whose open connections can be stalled without being closed."""
 
 import asyncio
 import enum
@@ -10,7 +10,7 @@
 
 
 class StalledDirection(enum.Enum):
-    """Which bytes of the open connections are lost."""
+    """Direction in which the bytes of the open connections are lost."""
 
     BOTH = "both"
     TO_TARGET = "to the target"
@@ -18,13 +18,13 @@
 
 
 class StallingProxy:
-    """Passes bytes on. After ``stall`` the connections of that moment lose theirs.
+    """Forwards bytes; ``stall`` makes the connections that are open at that time lose their bytes.
 
-    They stay open: what is written to them is read and acknowledged, and goes nowhere. Connections
-    opened later work.
+    Stalled connections stay open: bytes written to them are read and acknowledged, but discarded.
+    Connections opened later work.
 
     Attributes:
-        num_opened: connections that were accepted.
+        num_opened: number of accepted connections.
 
     """
 
@@ -42,7 +42,7 @@
         return Address(*self._server.sockets[0].getsockname()[:2])
 
     def stall(self, direction: StalledDirection = StalledDirection.BOTH) -> None:
-        """Lose all further bytes of the connections that are open."""
+        """Discard all further bytes of the connections that are open."""
         for number in range(1, self.num_opened + 1):
             self._stalled.add((number, direction))
 
@@ -85,7 +85,7 @@
                     sink.write(content)
                     await sink.drain()
         except ConnectionError:
-            pass  # one side is gone; the other learns it below unless it is silent
+            pass  # one side has closed; the other is closed below unless it is stalled
         if not self._is_stalled(number, direction):
             sink.close()
 
--- a/tests/test_http_connection.py
+++ b/tests/test_http_connection.py
@@ -1,4 +1,4 @@
-"""The client connection against a peer that answers well, badly, twice, late and not at all."""
+"""The client connection with valid, invalid, duplicate, late and missing responses."""
 
 import asyncio
 import unittest
@@ -31,7 +31,7 @@
 
 
 class ScriptedPeer:
-    """Answers each request by the next script: bytes to send, then whether to close or reset."""
+    """Answers each request with the next script: bytes to send, then whether to close or reset."""
 
     def __init__(self) -> None:
         self.scripts: list[tuple[list[bytes], str]] = []
@@ -219,14 +219,14 @@
 
 
 class SilentConnectionsTest(unittest.IsolatedAsyncioTestCase):
-    """Kept connections to a runner that fall silent together, while new ones work.
-
-    Seen: nothing was served at a site for twelve seconds; no log was kept. How it may come about:
-    fronts keep idle connections to runners for as long as a runner names, and all fall silent.
-    Cause: a request that was given up unheard closed its own connection only, and each further
-    request took another silent one and was lost with it. Proof: a proxy that goes on reading and
-    passes nothing on. Fronts that have just started have no such connections, so it is not what
-    holds a site up after a loss of power.
+    """Idle connections to a runner that all become silent, while new connections work.
+
+    Observed: a site served nothing for twelve seconds; no log was kept. Possible cause: fronts keep
+    idle connections for as long as the runner allows, and all of them become silent. A request that
+    was aborted without a response closed only its own connection, so each further request was lost
+    on another silent one. The test reproduces this with a proxy that keeps reading but forwards
+    nothing. Fronts that have just started have no idle connections, so this does not explain a
+    delay after a power loss.
     """
 
     KEEP_ALIVE_S = 60
@@ -247,7 +247,7 @@
         await self.proxy.stop()
 
     async def fill_pool(self) -> None:
-        """Leave some idle connections in the pool."""
+        """Put ``NUM_IDLE`` idle connections into the pool."""
         self.peer.scripts = [([self.answer], "")] * (2 * self.NUM_IDLE)
         connections = [await self.pool.acquire(self.address) for _ in range(self.NUM_IDLE)]
         for connection in connections:
@@ -257,7 +257,7 @@
             self.pool.release(self.address, connection)
 
     async def abort_after(self, waited_s: float) -> None:
-        """Send a request that nobody hears, and close its connection so much later."""
+        """Send a request that is not forwarded, and abort its connection after ``waited_s``."""
         loop = asyncio.get_running_loop()
         connection = await self.pool.acquire(self.address)
         sending = loop.create_task(connection.send(request()))
@@ -289,7 +289,7 @@
         self.assertTrue(self.pool.has_idle(self.address))
 
     async def test_kernel_timeout_closes_idle_connections(self) -> None:
-        """Bytes that nobody acknowledged: asyncio passes on the socket's error."""
+        """When bytes are not acknowledged, asyncio reports the socket's timeout error."""
         connection = await self.pool.acquire(self.address)
         connection.connection_lost(TimeoutError())
         self.assertFalse(self.pool.has_idle(self.address))
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,11 +1,10 @@
-"""Connections between nodes that fall silent without being closed, while new ones work.
-
-Seen: twelve seconds after the return of power nothing was served at a site; no log was kept. How it
-may come about: the connections of all nodes fall silent. Cause: a request that timed out said
-nothing of its connection, so each further one went into the same dead connection; nobody waits for
-an answer to a one-way message, so consensus went on sending heartbeats and votes into nothing.
-Proof: a proxy that goes on reading and passes nothing on; new connections through it work. That the
-site's connections were silent is not proven.
+"""Connections between nodes that become silent without being closed, while new connections work.
+
+Observed: a site served nothing twelve seconds after power was restored; no log was kept. Possible
+cause: the connections of all nodes were silent, which is not proven. A request's timeout did not
+affect its connection, so each further request used the same dead connection; one-way messages have
+no answer, so consensus kept sending heartbeats and votes that were lost. The tests use a proxy that
+keeps reading but forwards nothing; new connections through it work.
 """
 
 import asyncio
@@ -20,12 +19,12 @@
 METHOD, SLOW_METHOD, ONE_WAY_METHOD = "say", "wait", "tell"
 ATTEMPT_TIMEOUT_S = 0.3
 NUM_ATTEMPTS = 10
-"""Tries of a request, one after the other: 3 s, the time within which a node has to be in touch."""
+"""Consecutive attempts of a request: 3 s in total, within which a node must restore contact."""
 TEST_TIMEOUT_S = 30.0
-"""Ends a request that hangs; a busy machine may take its time for one that is answered."""
+"""Ends a request that hangs; it is long because answers may be slow on a busy machine."""
 HEARTBEAT_S = 0.025
 NUM_HEARTBEATS = 120
-"""One-way messages at the pace of consensus for as long."""
+"""One-way messages at the interval of consensus heartbeats, also for 3 s."""
 
 
 class NodeBehindProxy(unittest.IsolatedAsyncioTestCase):
@@ -59,11 +58,11 @@
         self.received.set()
 
     async def request(self) -> bytes:
-        """Request once, as long as one try of a turn's begin takes."""
+        """Send one request with the timeout of one attempt to begin a turn."""
         return await self.node.request(self.address, METHOD, b"x", ATTEMPT_TIMEOUT_S)
 
     async def one_way_message_arrives(self) -> bool:
-        """Whether one of many one-way messages arrives."""
+        """Return whether one of ``NUM_HEARTBEATS`` one-way messages arrives."""
         self.received.clear()
         for _ in range(NUM_HEARTBEATS):
             self.node.send(self.address, ONE_WAY_METHOD, b"x")
@@ -99,7 +98,7 @@
             self.assertTrue(await self.one_way_message_arrives(), direction)
 
     async def test_silence_is_detected_by_requests_cancelled_early(self) -> None:
-        """A relay's answer ends the direct request before its own time is over."""
+        """A relay's answer cancels the direct request before its own timeout."""
         await self.request()
         self.proxy.stall()
         self.assertTrue(await self.is_answered_by_cancelled_attempts())
@@ -116,7 +115,7 @@
 
 
 class LiveConnectionTest(NodeBehindProxy):
-    """What is no silence opens no further connection and loses no answer."""
+    """Without silence no further connection is opened and no answer is lost."""
 
     async def test_slow_request_is_not_counted_as_silence(self) -> None:
         loop = asyncio.get_running_loop()
@@ -136,7 +135,7 @@
         self.assertEqual(self.proxy.num_opened, 1)
 
     async def test_peer_without_the_echo_method_still_replies(self) -> None:
-        """Builds run side by side; any reply shows that the connection works."""
+        """Nodes of different versions run together; any reply shows that the connection works."""
         del self.peer.handlers[ECHO_METHOD]
         with self.assertRaises(PeerUnreachable) as caught:
             await self.node.request(self.address, ECHO_METHOD, b"", TEST_TIMEOUT_S)
