--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -26,7 +26,7 @@
     return port
 
 
-class CountedTest(unittest.TestCase):
+class CountersTest(unittest.TestCase):
     """A simulated site under load: its processes count what happened."""
 
     @classmethod
@@ -61,13 +61,13 @@
         self.assertEqual(self.total("bendshed_turn_commands_total", 'end="committed"'), 2 * turns)
         self.assertEqual(self.total("bendshed_turn_log_leader{", 'group="0"'), 1)
 
-    def test_gauges_tell_what_is(self) -> None:
+    def test_gauges_show_the_current_state(self) -> None:
         self.assertEqual(self.total("bendshed_open_requests "), 0)
         self.assertGreater(self.total("bendshed_runners", 'state="ready"'), 0)
 
 
 class PageTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_page_is_served_when_it_is_asked_for(self) -> None:
+    async def test_page_is_served_on_request(self) -> None:
         registry = CollectorRegistry()
         ServiceMetrics(registry).requests.labels("stream", "answered").inc()
         port = free_port()
@@ -80,7 +80,7 @@
         other = await client.send("GET", f"http://{HOST}:{port}/other")
         self.assertEqual(other.status, 404)
 
-    async def test_a_taken_address_costs_the_metrics_only(self) -> None:
+    async def test_address_in_use_only_disables_the_metrics(self) -> None:
         listener = bind(HOST, 0)
         self.addCleanup(listener.close)
         MetricsPage(CollectorRegistry(), "/metrics").listen(HOST, listener.getsockname()[1])
@@ -88,10 +88,10 @@
 
 
 class CommandTest(unittest.TestCase):
-    def test_wrong_words_end_with_2(self) -> None:
-        for words in ([], ["leader"], ["node", "x"], ["node", "1", "2"]):
-            with self.subTest(words=words):
-                said = io.StringIO()
-                with contextlib.redirect_stderr(said):
-                    self.assertEqual(main(words), 2)
-                self.assertIn("give one role", said.getvalue())
+    def test_invalid_arguments_exit_with_2(self) -> None:
+        for arguments in ([], ["leader"], ["node", "x"], ["node", "1", "2"]):
+            with self.subTest(arguments=arguments):
+                stderr = io.StringIO()
+                with contextlib.redirect_stderr(stderr):
+                    self.assertEqual(main(arguments), 2)
+                self.assertIn("give one role", stderr.getvalue())
