--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -30,38 +30,38 @@
             content += part
         return [orjson.loads(line) for line in content.splitlines()]
 
-    async def test_lines_leave_together_and_in_order(self) -> None:
+    async def test_lines_are_written_together_and_in_order(self) -> None:
         for number in range(100):
             self.writer({**LINE, "number": number})
         self.assertEqual(self.read(), [])
         self.writer.flush()
         self.assertEqual([row["number"] for row in self.read()], list(range(100)))  # type: ignore[index]
 
-    async def test_a_reader_that_reads_nothing_costs_lines_and_no_time(self) -> None:
+    async def test_blocked_reader_drops_lines_without_blocking(self) -> None:
         size = len(orjson.dumps(LINE)) + 1
         for _ in range(4 * BUFFER_BYTES // size):
             self.writer(LINE)
             self.writer.flush()
         self.assertGreater(self.writer.num_dropped, 0)
-        held = 0
+        num_read = 0
         while rows := self.read():
-            held += len(rows)
+            num_read += len(rows)
             self.writer.flush()
-        self.assertEqual(held + self.writer.num_dropped, 4 * BUFFER_BYTES // size)
+        self.assertEqual(num_read + self.writer.num_dropped, 4 * BUFFER_BYTES // size)
 
-    async def test_a_line_longer_than_a_pipe_takes_is_whole(self) -> None:
+    async def test_line_longer_than_a_pipe_chunk_is_complete(self) -> None:
         self.writer({"text": "x" * 20_000})
         self.writer.flush()
         self.assertEqual(self.read(), [{"text": "x" * 20_000}])
 
-    async def test_a_closed_reader_ends_nothing(self) -> None:
+    async def test_closed_reader_drops_lines_without_error(self) -> None:
         os.close(self.reader)
         for _ in range(10):
             self.writer(LINE)
             self.writer.flush()
         self.assertEqual(self.writer.num_dropped, 10)
 
-    async def test_lines_leave_by_themselves(self) -> None:
+    async def test_lines_are_written_without_explicit_flush(self) -> None:
         self.writer(LINE)
         loop = asyncio.get_running_loop()
         arrived = asyncio.Event()
@@ -72,7 +72,7 @@
 
 
 class WithoutLoopTest(unittest.TestCase):
-    def test_a_line_outside_a_loop_is_written_at_once(self) -> None:
+    def test_line_outside_an_event_loop_is_written_immediately(self) -> None:
         reader, writing_end = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writing_end)
