--- a/tests/test_identifiers.py
+++ b/tests/test_identifiers.py
@@ -7,7 +7,7 @@
 
 
 class IdentifiersTest(unittest.TestCase):
-    def test_a_ring_spreads_keys_and_moves_few(self) -> None:
+    def test_ring_distributes_keys_and_moves_few_on_removal(self) -> None:
         before = {key: HashRing(NODES).owner(key) for key in KEYS[:1]}
         ring, smaller = HashRing(NODES), HashRing(NODES[:-1])
         owners = {key: ring.owner(key) for key in KEYS}
@@ -18,7 +18,7 @@
         moved = {key for key in KEYS if smaller.owner(key) != owners[key]}
         self.assertEqual({owners[key] for key in moved}, {NODES[-1]})
 
-    def test_an_empty_ring_owns_nothing(self) -> None:
+    def test_empty_ring_has_no_owner(self) -> None:
         self.assertEqual(HashRing(()).owner("x"), "")
 
     def test_ranks_and_groups_are_stable(self) -> None:
