--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -38,7 +38,7 @@
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / "node.toml"
 
-    def test_flags_go_over_environment_over_file_over_default(self) -> None:
+    def test_precedence_is_flags_environment_file_default(self) -> None:
         self.path.write_text(GOOD)
         environment = {"BENDSHED_NODE__ZONE": "b", "BENDSHED_GROUPS__COUNT": "16"}
         loaded = load_settings(self.path, {"node.zone": "c"}, environment)
@@ -50,12 +50,12 @@
         self.assertEqual(sources["node.name"], str(self.path))
         self.assertEqual(sources["groups.replicas"], "default")
 
-    def test_every_problem_is_named_at_once(self) -> None:
+    def test_all_problems_are_reported_together(self) -> None:
         self.path.write_text(BAD)
         with self.assertRaises(SettingsInvalid) as caught:
             load_settings(self.path, {}, {})
         fields = {problem.field for problem in caught.exception.problems}
-        wanted = {
+        expected = {
             "node.name",
             "node.host",
             "node.peer_port",
@@ -63,7 +63,7 @@
             "platform.object_api",
             "platform.machine_list",
         }
-        self.assertEqual(fields, wanted)
+        self.assertEqual(fields, expected)
         unknown = next(p for p in caught.exception.problems if p.field == "node.colour")
         self.assertIn("known here: name, zone", unknown.hint)
 
@@ -75,7 +75,7 @@
         for field in ("node.host", "node.colour", "platform.machine_list"):
             self.assertIn(field, errors)
 
-    def test_a_broken_file_is_named(self) -> None:
+    def test_invalid_toml_file_is_named(self) -> None:
         self.path.write_text("[node\n")
         tester = self._tester(SettingsCheckCommand())
         self.assertEqual(tester.execute(str(self.path)), 2)
@@ -89,7 +89,7 @@
         self.assertNotIn("a" * 64, text)
         self.assertIn("(hidden)", text)
 
-    def test_the_example_file_is_valid(self) -> None:
+    def test_example_file_is_valid(self) -> None:
         example = Path(__file__).parent.parent / "docs" / "operators" / "example-node.toml"
         self.assertEqual(load_settings(example, {}, {}).settings.groups.replicas, 1)
 
