--- a/src/bendshed/node.py
+++ b/src/bendshed/node.py
@@ -202,7 +202,7 @@
     async def drain(self) -> None:
         """Refuse new calls, transfer leadership, and wait for all calls in progress."""
         self.draining = True
-        log.say("draining", calls=len(self.executor.live))
+        log.say("drain started", calls=len(self.executor.live))
         self.membership.leave()
         if self.host is not None:
             self.host.transfer_all_leadership()
--- a/tests/test_clock_free.py
+++ b/tests/test_clock_free.py
@@ -1,4 +1,5 @@
-"""What decides about turns and requests never reads the time of day: clock steps pass it by."""
+"""Code that decides about turns and requests never reads the wall clock, whose steps would affect
+it."""
 
 import ast
 import unittest
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The log never blocks a process, holds a bounded part of its lines and tells what it dropped."""
+"""The log never blocks a process, buffers a bounded number of bytes and counts dropped lines."""
 
 import asyncio
 import os
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the platform's processes: what is counted, and the page that tells it."""
+"""Metrics of the platform's processes: counters, gauges and the metrics endpoint."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 
 class CountersTest(unittest.TestCase):
-    """A simulated site under load: its processes count what happened."""
+    """The processes of a simulated site under load count requests, attempts and turns."""
 
     @classmethod
     def setUpClass(cls) -> None:
--- a/tests/test_same_verdict.py
+++ b/tests/test_same_verdict.py
@@ -1,4 +1,4 @@
-"""No test's verdict depends on how busy the machine is."""
+"""The Hypothesis profile makes test results independent of the machine's load."""
 
 import unittest
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The committed protobuf code is what the .proto files give."""
+"""The committed protobuf code matches the .proto files."""
 
 import tempfile
 import unittest
