--- a/tests/test_clock_free.py
+++ b/tests/test_no_wall_clock.py
@@ -20,8 +20,8 @@
     return names
 
 
-class ClockFreeTest(unittest.TestCase):
-    def test_no_module_reads_the_time_of_day(self) -> None:
+class NoWallClockTest(unittest.TestCase):
+    def test_no_module_reads_the_wall_clock(self) -> None:
         for folder in FOLDERS:
             for path in sorted((SOURCES / folder).glob("*.py")):
                 with self.subTest(module=f"{folder}/{path.name}"):
