--- a/src/bendshed/process.py
+++ b/src/bendshed/process.py
@@ -89,7 +89,7 @@
     server.config.app = services
     node.start()
     serving = loop.create_task(server.serve(sockets=[listener]))
-    own_member = node.membership.swim.me
+    own_member = node.membership.swim.local_member
     print_addresses(
         node_id=node.node_id, peer_port=own_member.peer_port, http_port=own_member.http_port
     )
--- a/src/bendshed/programs/state.py
+++ b/src/bendshed/programs/state.py
@@ -1,6 +1,6 @@
-"""The replicated state of one group: programs, calls, budgets. Pure and deterministic.
+"""The replicated state machine of one group: programs, calls, budgets. Pure and deterministic.
 
-The records are the messages of ``wire/programs.proto``: a snapshot is the state, unconverted.
+The records are messages of ``wire/programs.proto``, so a snapshot needs no conversion.
 """
 
 from collections.abc import Iterable, Iterator
@@ -10,15 +10,18 @@
 from bendshed.wire import programs_pb2 as wire
 
 TOKENS_PER_MESSAGE = 8
-"""Upper bound of tokens that a chat template adds to one message."""
+"""Upper bound on the tokens that a chat template adds to one message."""
 TOKENS_PER_PROMPT = 16
-"""Upper bound of tokens that a chat template adds to one prompt."""
+"""Upper bound on the tokens that a chat template adds to one prompt."""
 
-_CLOSED = (wire.CALL_STATUS_FINISHED, wire.CALL_STATUS_FAILED, wire.CALL_STATUS_ABANDONED)
+_CLOSED_STATUSES = (wire.CALL_STATUS_FINISHED, wire.CALL_STATUS_FAILED, wire.CALL_STATUS_ABANDONED)
 
 
 def find_call(program: wire.ProgramRecord, number: int) -> wire.CallRecord | None:
-    """Call of that number; calls are ordered by rising number, usually without gaps from 1."""
+    """Return the call with this number.
+
+    Calls are in ascending order of number, usually without gaps from 1.
+    """
     position = number - 1
     if 0 <= position < len(program.calls) and program.calls[position].number == number:
         return program.calls[position]
@@ -31,7 +34,7 @@
 
 
 def open_calls(programs: Iterable[wire.ProgramRecord]) -> Iterator[wire.CallRecord]:
-    """Calls that are queued or dispatched."""
+    """Yield the calls that are queued or dispatched."""
     for program in programs:
         for call in program.calls[program.closed_through :]:
             if call.status in (wire.CALL_STATUS_QUEUED, wire.CALL_STATUS_DISPATCHED):
@@ -39,10 +42,10 @@
 
 
 def is_runnable(program: wire.ProgramRecord, call: wire.CallRecord) -> bool:
-    """Whether the call's turn has come.
+    """Whether the program's call order lets the call run.
 
-    Every call issued before it has been dispatched or closed, and the one before it in its
-    branch is closed.
+    Every call with a lower number has been dispatched or closed, and those of its own branch are
+    closed.
     """
     expected = program.closed_through + 1
     for other in program.calls[program.closed_through :]:
@@ -50,7 +53,7 @@
             break
         if other.number != expected or other.status == wire.CALL_STATUS_QUEUED:
             return False
-        if other.branch == call.branch and other.status not in _CLOSED:
+        if other.branch == call.branch and other.status not in _CLOSED_STATUSES:
             return False
         expected += 1
     return expected == call.number
@@ -60,13 +63,13 @@
     return program.highest_started > number
 
 
-def _bytes_of(messages: Iterable[wire.ChatMessage]) -> int:
+def _token_upper_bound(messages: Iterable[wire.ChatMessage]) -> int:
     sizes = [len(m.content.encode()) + len(m.extra_json) + TOKENS_PER_MESSAGE for m in messages]
     return sum(sizes)
 
 
 def history_calls(program: wire.ProgramRecord, last_call: int) -> list[wire.CallRecord]:
-    """Finished calls whose turns form the history that ends with ``last_call``, oldest first."""
+    """Return the finished calls that form the history up to ``last_call``, oldest first."""
     chain = []
     number = last_call
     while number:
@@ -80,12 +83,12 @@
 
 
 def turn_messages(call: wire.CallRecord) -> list[wire.ChatMessage]:
-    """Messages of a finished turn: what the caller sent, then the answer."""
+    """Return the messages of a finished turn: the caller's messages, then the answer."""
     return [*call.messages, wire.ChatMessage(role="assistant", content=call.answer)]
 
 
 def history_digest(calls: Iterable[wire.CallRecord]) -> bytes:
-    """Digest of a history; equal digests mean equal prompts."""
+    """Return the digest of a history; equal digests mean equal prompts."""
     parts: list[str] = []
     for call in calls:
         for message in turn_messages(call):
@@ -98,12 +101,12 @@
 
     Invariants: a call has at most one attempt in progress; an unrepeatable call is dispatched
     again only after its attempt was proven not started; ``spent + reserved`` of a program never
-    exceeds its limit, and of a tenant's portion never what was received.
+    exceeds its limit, and that of a tenant's portion never exceeds the tokens received.
 
     Attributes:
         programs: by program id.
-        portions: what this group borrowed, by tenant.
-        homes: what this group lends, by tenant; only for tenants whose home it is.
+        portions: tokens that this group borrowed, by tenant.
+        homes: tokens that this group lends, by tenant; only for tenants whose home group it is.
 
     """
 
@@ -122,7 +125,7 @@
         ).SerializeToString(deterministic=True)
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by a snapshot."""
+        """Replace the state with a snapshot."""
         parsed = wire.GroupState.FromString(state)
         self.programs = {record.program_id: record for record in parsed.programs}
         self.portions = {record.tenant: record for record in parsed.portions}
@@ -152,7 +155,7 @@
         return _refused(ErrorKind.INTERNAL, "the command is of a later version")
 
     def describe(self, program_id: str, number: int) -> wire.CallResult:
-        """What a call is now."""
+        """Return the current state of a call."""
         program = self.programs.get(program_id)
         call = find_call(program, number) if program is not None else None
         if program is None or call is None:
@@ -175,20 +178,25 @@
         )
 
     def add_history(
-        self, result: wire.CallResult, program_id: str, number: int, known: int, digest: bytes
+        self,
+        result: wire.CallResult,
+        program_id: str,
+        number: int,
+        known_call: int,
+        known_digest: bytes,
     ) -> None:
-        """Add to a granted result the turns before the call, only those after ``known``."""
+        """Add to a granted result the turns before the call, only those after ``known_call``."""
         program = self.programs[program_id]
         call = find_call(program, number)
         assert call is not None
         chain = history_calls(program, call.previous_in_branch)
         numbers = [turn.number for turn in chain]
         start = 0
-        if known in numbers:
-            position = numbers.index(known) + 1
-            if history_digest(chain[:position]) == digest:
+        if known_call in numbers:
+            position = numbers.index(known_call) + 1
+            if history_digest(chain[:position]) == known_digest:
                 start = position
-        result.history_after_call = known if start else 0
+        result.history_after_call = known_call if start else 0
         result.history_digest = history_digest(chain)
         for turn in chain[start:]:
             result.history.append(
@@ -203,7 +211,7 @@
             return _refused(ErrorKind.CONFLICT, "this program id belongs to another tenant")
         call = find_call(program, command.call_number) if program is not None else None
         if program is not None and call is not None:
-            refused = self._submit_again(program, call, command)
+            refused = self._resubmit(program, call, command)
         else:
             refused = self._submit_new(program, command)
         if refused is not None:
@@ -211,9 +219,9 @@
         program = self.programs[command.program_id]
         call = find_call(program, command.call_number)
         assert call is not None
-        holds_cache = program.last_runner in ("", command.runner)
-        may_run = call.status == wire.CALL_STATUS_QUEUED and is_runnable(program, call)
-        if command.runner and holds_cache and may_run:
+        is_on_cache_holder = program.last_runner in ("", command.runner)
+        is_ready = call.status == wire.CALL_STATUS_QUEUED and is_runnable(program, call)
+        if command.runner and is_on_cache_holder and is_ready:
             return self._grant(
                 program, call, command.executor, command.request_id, command.runner, command.now_ms
             )
@@ -277,16 +285,18 @@
             return _refused(ErrorKind.OUT_OF_ORDER, "a later call of the program was started")
         return None
 
-    def _submit_again(
+    def _resubmit(
         self, program: wire.ProgramRecord, call: wire.CallRecord, command: wire.SubmitCall
     ) -> wire.CallResult | None:
-        same_body = call.body_digest == command.body_digest
-        if call.idempotency_key != command.idempotency_key or not same_body:
+        has_same_body = call.body_digest == command.body_digest
+        if call.idempotency_key != command.idempotency_key or not has_same_body:
             return _refused(
                 ErrorKind.CONFLICT, "this call number was issued with another key or body"
             )
-        lost = call.status == wire.CALL_STATUS_FAILED and call.error_kind == ErrorKind.ENGINE_LOST
-        if call.status == wire.CALL_STATUS_ABANDONED or (lost and not call.unrepeatable):
+        is_lost = (
+            call.status == wire.CALL_STATUS_FAILED and call.error_kind == ErrorKind.ENGINE_LOST
+        )
+        if call.status == wire.CALL_STATUS_ABANDONED or (is_lost and not call.unrepeatable):
             if program.ended_reason:
                 return _refused(ErrorKind.PROGRAM_ENDED, program.ended_reason)
             if _later_call_started(program, call.number):
@@ -306,7 +316,7 @@
             takes_over = command.replaces_attempt == call.attempt and not call.unrepeatable
             if not takes_over:
                 return self.describe(command.program_id, command.call_number)
-            self._settle(program, call, call.reserved_tokens)
+            self._charge_reservation(program, call, call.reserved_tokens)
             call.status = wire.CALL_STATUS_QUEUED
             call.error_kind = ErrorKind.ENGINE_LOST
         if call.status != wire.CALL_STATUS_QUEUED or not is_runnable(program, call):
@@ -324,31 +334,40 @@
         runner: str,
         now_ms: int,
     ) -> wire.CallResult:
-        """Reserve the worst case and grant the next attempt, or refuse for good."""
+        """Reserve the worst-case tokens and grant the next attempt.
+
+        A call past its deadline or a limit is closed. If the tenant's portion does not suffice,
+        the result says how many tokens are missing.
+        """
         if now_ms > call.deadline_ms:
-            return self._close_unrun(program, call, ErrorKind.DEADLINE_EXCEEDED)
+            return self._close_queued(program, call, ErrorKind.DEADLINE_EXCEEDED)
         if now_ms - program.started_ms > program.limits.max_seconds * 1000:
-            return self._close_unrun(program, call, ErrorKind.PROGRAM_LIMIT)
+            return self._close_queued(program, call, ErrorKind.PROGRAM_LIMIT)
         branch = next(b for b in program.branches if b.name == call.branch)
         call.previous_in_branch = branch.last_call
-        worst = self._worst_case_tokens(program, call)
-        used = program.spent_tokens + program.reserved_tokens
-        if used + worst > program.limits.max_tokens:
-            return self._close_unrun(program, call, ErrorKind.BUDGET_EXHAUSTED)
+        worst_case_tokens = self._worst_case_tokens(program, call)
+        used_tokens = program.spent_tokens + program.reserved_tokens
+        if used_tokens + worst_case_tokens > program.limits.max_tokens:
+            return self._close_queued(program, call, ErrorKind.BUDGET_EXHAUSTED)
         portion = self._portion(program.tenant)
-        missing = portion.spent_tokens + portion.reserved_tokens + worst - portion.received_tokens
+        missing = (
+            portion.spent_tokens
+            + portion.reserved_tokens
+            + worst_case_tokens
+            - portion.received_tokens
+        )
         if missing > 0:
             result = self.describe(program.program_id, call.number)
             result.needs_portion_tenant = program.tenant
             result.needs_portion_tokens = missing
             return result
-        program.reserved_tokens += worst
-        portion.reserved_tokens += worst
-        call.reserved_tokens = worst
+        program.reserved_tokens += worst_case_tokens
+        portion.reserved_tokens += worst_case_tokens
+        call.reserved_tokens = worst_case_tokens
         call.status = wire.CALL_STATUS_DISPATCHED
         call.attempt += 1
         program.highest_started = max(program.highest_started, call.number)
-        self._advance_closed(program)
+        self._advance_closed_through(program)
         call.executor = executor
         call.request_id = request_id
         call.runner = runner
@@ -357,32 +376,40 @@
         return self.describe(program.program_id, call.number)
 
     @staticmethod
-    def _advance_closed(program: wire.ProgramRecord) -> None:
-        """Move ``closed_through`` on, so that checks need not look at a long past.
+    def _advance_closed_through(program: wire.ProgramRecord) -> None:
+        """Advance ``closed_through``, so that checks skip the closed calls at the start.
 
-        Abandoned calls may be revived, so they end the run unless a later call was started.
+        An abandoned call may be submitted again until a later call was started; until then
+        ``closed_through`` stops before it.
         """
         for call in program.calls[program.closed_through :]:
-            over = call.status in (wire.CALL_STATUS_FINISHED, wire.CALL_STATUS_FAILED)
-            over = over or call.status == wire.CALL_STATUS_ABANDONED
-            if not over or call.number != program.closed_through + 1:
+            is_closed = call.status in (wire.CALL_STATUS_FINISHED, wire.CALL_STATUS_FAILED)
+            is_closed = is_closed or call.status == wire.CALL_STATUS_ABANDONED
+            if not is_closed or call.number != program.closed_through + 1:
                 break
             if call.number >= program.highest_started:
                 break
             program.closed_through = call.number
 
     def _worst_case_tokens(self, program: wire.ProgramRecord, call: wire.CallRecord) -> int:
-        """Upper bound: a token is at least one byte; earlier turns are known exactly."""
-        tokens = _bytes_of(call.messages) + TOKENS_PER_PROMPT + call.max_answer_tokens
+        """Return an upper bound on the call's tokens.
+
+        A token is at least one byte; the token counts of earlier turns are known exactly.
+        """
+        tokens = _token_upper_bound(call.messages) + TOKENS_PER_PROMPT + call.max_answer_tokens
         previous = find_call(program, call.previous_in_branch)
         if previous is not None:
             tokens += previous.prompt_tokens + previous.answer_tokens + TOKENS_PER_MESSAGE
         return tokens
 
-    def _close_unrun(
+    def _close_queued(
         self, program: wire.ProgramRecord, call: wire.CallRecord, kind: ErrorKind
     ) -> wire.CallResult:
-        """Close a queued call. One whose earlier attempt had started is not "not run"."""
+        """Close a queued call without running it.
+
+        If an earlier attempt had started, the call fails with ``ENGINE_LOST``, because it must not
+        be reported as not run.
+        """
         if call.error_kind == ErrorKind.ENGINE_LOST:
             call.status = wire.CALL_STATUS_FAILED
         else:
@@ -402,17 +429,17 @@
             case wire.ATTEMPT_OUTCOME_ANSWERED:
                 self._finish_answered(program, call, command)
             case wire.ATTEMPT_OUTCOME_NOT_STARTED:
-                self._settle(program, call, 0)
+                self._charge_reservation(program, call, 0)
                 call.status = wire.CALL_STATUS_QUEUED
                 if command.final:
-                    self._close_unrun(program, call, ErrorKind(command.error_kind))
+                    self._close_queued(program, call, ErrorKind(command.error_kind))
             case wire.ATTEMPT_OUTCOME_BROKEN if not call.unrepeatable:
-                self._settle(program, call, call.reserved_tokens)
+                self._charge_reservation(program, call, call.reserved_tokens)
                 call.error_kind = ErrorKind.ENGINE_LOST
-                final = wire.CALL_STATUS_FAILED if command.final else wire.CALL_STATUS_QUEUED
-                call.status = final
+                final_status = wire.CALL_STATUS_FAILED if command.final else wire.CALL_STATUS_QUEUED
+                call.status = final_status
             case _:
-                self._settle(program, call, call.reserved_tokens)
+                self._charge_reservation(program, call, call.reserved_tokens)
                 call.status = wire.CALL_STATUS_FAILED
                 call.error_kind = command.error_kind or ErrorKind.OUTCOME_UNKNOWN
         return self.describe(command.program_id, command.call_number)
@@ -420,7 +447,7 @@
     def _finish_answered(
         self, program: wire.ProgramRecord, call: wire.CallRecord, command: wire.FinishCall
     ) -> None:
-        self._settle(program, call, command.prompt_tokens + command.answer_tokens)
+        self._charge_reservation(program, call, command.prompt_tokens + command.answer_tokens)
         call.status = wire.CALL_STATUS_FINISHED
         call.error_kind = ""
         call.answer = command.answer
@@ -431,8 +458,10 @@
         branch = next(b for b in program.branches if b.name == call.branch)
         branch.last_call = call.number
 
-    def _settle(self, program: wire.ProgramRecord, call: wire.CallRecord, tokens: int) -> None:
-        """Turn a reservation into what was spent."""
+    def _charge_reservation(
+        self, program: wire.ProgramRecord, call: wire.CallRecord, tokens: int
+    ) -> None:
+        """Replace the call's reservation with the tokens that it spent."""
         portion = self._portion(program.tenant)
         program.reserved_tokens -= call.reserved_tokens
         portion.reserved_tokens -= call.reserved_tokens
@@ -445,9 +474,9 @@
         call = find_call(program, command.call_number) if program is not None else None
         if program is None or call is None:
             return wire.CallResult(status=wire.CALL_STATUS_UNKNOWN)
-        mine = call.request_id == command.request_id or not command.request_id
-        if call.status == wire.CALL_STATUS_QUEUED and mine:
-            return self._close_unrun(program, call, ErrorKind(command.error_kind))
+        may_abandon = call.request_id == command.request_id or not command.request_id
+        if call.status == wire.CALL_STATUS_QUEUED and may_abandon:
+            return self._close_queued(program, call, ErrorKind(command.error_kind))
         return self.describe(command.program_id, command.call_number)
 
     def _end(self, command: wire.EndProgram) -> wire.CallResult:
@@ -459,7 +488,7 @@
             program.last_active_ms = command.now_ms
             for call in program.calls:
                 if call.status == wire.CALL_STATUS_QUEUED:
-                    self._close_unrun(program, call, ErrorKind.PROGRAM_ENDED)
+                    self._close_queued(program, call, ErrorKind.PROGRAM_ENDED)
         return wire.CallResult()
 
     # --- tenant budget -------------------------------------------------------------------
@@ -470,11 +499,11 @@
         return self.portions[tenant]
 
     def next_portion_sequence(self, tenant: str) -> int:
-        """Sequence number of the next portion that this group may request."""
+        """Return the sequence number of the next portion that this group may request."""
         return self._portion(tenant).last_sequence + 1
 
     def _lend(self, command: wire.LendPortion) -> wire.CallResult:
-        """Lend once per (borrower, sequence); a repeated request gets the same answer."""
+        """Lend once per (borrower, sequence); a repeated request gets the same reply."""
         home = self.homes.setdefault(command.tenant, wire.TenantHome(tenant=command.tenant))
         if command.limit_revision >= home.limit_revision:
             home.limit_revision = command.limit_revision
@@ -486,8 +515,8 @@
             return wire.CallResult(tokens=lent.tokens)
         if command.sequence != lent.sequence + 1:
             return _refused(ErrorKind.CONFLICT, "the portion's sequence is out of step")
-        free = home.limit_tokens - sum(row.total_tokens for row in home.lent)
-        tokens = min(command.tokens, free)
+        available_tokens = home.limit_tokens - sum(row.total_tokens for row in home.lent)
+        tokens = min(command.tokens, available_tokens)
         if tokens <= 0:
             return _refused(ErrorKind.BUDGET_EXHAUSTED, "the tenant's budget is spent or lent")
         lent.sequence = command.sequence
--- a/tests/test_site_processes.py
+++ b/tests/test_site_processes.py
@@ -1,4 +1,4 @@
-"""Drives real fronts and stores on stand-ins, waiting for events."""
+"""Real front and store processes with stand-ins for the platform; tests wait for events."""
 
 import asyncio
 import fcntl
@@ -18,31 +18,31 @@
 
 
 class SiteProcessesTest(unittest.IsolatedAsyncioTestCase):
-    async def test_programs_outlive_a_store_and_a_planned_stop(self) -> None:
+    async def test_programs_survive_a_store_crash_and_a_planned_stop(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             site = SiteInstallation(Path(folder))
             try:
                 await site.start(num_fronts=2)
-                await self._drive(site)
+                await self._run_scenario(site)
                 self.assertEqual(check_all(site.seen), [])
             finally:
                 await site.stop()
 
-    async def _drive(self, site: SiteInstallation) -> None:
+    async def _run_scenario(self, site: SiteInstallation) -> None:
         first = make_program(site, "first", ProgramPlan(turns=2, tools=2, sub_agents=1))
         await first.run()
         self.assertTrue(first.finished, first.statuses)
         await self._kill_a_store(site, first.last_turn)
         await self._stop_a_front(site)
-        loop = make_program(
+        looping = make_program(
             site, "loop", ProgramPlan(turns=9, tools=0, sub_agents=2, loops=True), ["front-2"]
         )
-        loop.budget_tokens = 250
-        await loop.run()
-        self.assertIn(402, loop.statuses)
+        looping.budget_tokens = 250
+        await looping.run()
+        self.assertIn(402, looping.statuses)
 
     async def _kill_a_store(self, site: SiteInstallation, turn: str) -> None:
-        """Whichever leads, turns go on, and what was said before is found."""
+        """Kill a store, leader or not: turns continue, and the earlier turns are found."""
         store = site.stores["store-1"]
         await store.end(signal.SIGKILL)
         second = make_program(site, "second", ProgramPlan(turns=2, tools=0))
@@ -51,7 +51,7 @@
         await store.start()
 
     async def _stop_a_front(self, site: SiteInstallation) -> None:
-        """A stop under a running turn cuts nothing and ends with 0."""
+        """Stop a front during a turn: the turn completes, and the process exits with 0."""
         third = make_program(site, "third", ProgramPlan(turns=1, tools=0), ["front-1"])
         running = asyncio.create_task(third.run())
         await self._wait_for_run(site, "third")
@@ -65,23 +65,26 @@
             await asyncio.sleep(0)
 
 
-NUM_LINES_ON = 200
-"""Lines that a full pipe is offered without growing; 76 kB, more than it holds."""
+REQUESTS_PER_ROUND = 200
+"""Requests, each of which logs a line, per check whether the pipe still grows.
+
+Their lines have 76 kB in all, more than the pipe holds.
+"""
 
 
 class UnreadLogTest(unittest.IsolatedAsyncioTestCase):
-    """A front whose log nobody reads serves on."""
+    """A front whose log is not read continues to serve."""
 
     PIPE_BYTES = 64 * 1024
 
-    async def test_a_full_pipe_stops_nothing(self) -> None:
+    async def test_a_front_serves_while_its_log_pipe_is_full(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             site = SiteInstallation(Path(folder))
             client = HttpClient()
             try:
                 await site.start(num_fronts=1)
                 reader = await self._restart_with_unread_log(site)
-                await self._fill(site, client, reader)
+                await self._fill_pipe(site, client, reader)
                 program = make_program(site, "p", ProgramPlan(turns=2, tools=1))
                 await program.run()
                 self.assertTrue(program.finished, program.statuses)
@@ -100,21 +103,22 @@
         await site.wait_ready(front)
         return reader
 
-    async def _fill(self, site: SiteInstallation, client: HttpClient, reader: int) -> None:
-        """Ask for what no route takes, a line each, until the pipe holds no more, and on.
+    async def _fill_pipe(self, site: SiteInstallation, client: HttpClient, reader: int) -> None:
+        """Send requests without a route, each of which logs a line, until the pipe is full.
 
-        How much it holds depends on the lines: a page of it is not shared by two writes that do
-        not fit, so with lines of 380 bytes it is full at 60,800. It is full when it does not grow.
+        Its capacity depends on the lines: a write that does not fit into the current page starts a
+        new one, so with lines of 380 bytes it is full at 60,800 bytes. It counts as full when it
+        has stopped growing.
         """
         unread, unread_before = 0, -1
         while unread > unread_before or unread < self.PIPE_BYTES // 2:
             unread_before = unread
-            await self._ask(site, client, NUM_LINES_ON)
+            await self._send_unrouted(site, client, REQUESTS_PER_ROUND)
             unread = self._unread_bytes(reader)
 
-    async def _ask(self, site: SiteInstallation, client: HttpClient, times: int) -> None:
+    async def _send_unrouted(self, site: SiteInstallation, client: HttpClient, count: int) -> None:
         url = f"http://{site.fronts['front-1'].front}/nowhere"
-        for number in range(times):
+        for number in range(count):
             answer = await client.send("GET", url, headers={"X-Request-Id": f"r{number}"})
             self.assertEqual(answer.status, 404)
 
