--- a/src/bendshed/gateway/forwarding.py
+++ b/src/bendshed/gateway/forwarding.py
@@ -12,7 +12,7 @@
 from bendshed.adapters.asgi import Receive, Scope, Send
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.ports.caller_protocol import CallerProtocol, ReceivedRequest
-from bendshed.ports.http_messages import Headers, ResponseHead, end_to_end
+from bendshed.ports.http_messages import Headers, ResponseHead, end_to_end_headers
 from bendshed.ports.runner import Caller, ServiceRequest
 from bendshed.services.forwarder import Forwarder
 
@@ -62,7 +62,7 @@
 
     async def begin(self, head: ResponseHead) -> None:
         """Pass on status and headers, without those of the runner's connection."""
-        await self._start(head.status, end_to_end(head.headers))
+        await self._start(head.status, end_to_end_headers(head.headers))
 
     async def _start(self, status: int, headers: Headers) -> None:
         self._has_begun = True
--- a/src/bendshed/gateway/service_protocol.py
+++ b/src/bendshed/gateway/service_protocol.py
@@ -11,7 +11,7 @@
 from bendshed.configuration.document import ConfigurationDocument
 from bendshed.errors import ErrorKind, Refusal
 from bendshed.ports.caller_protocol import CallerProtocol, ReceivedRequest, RefusalAnswer
-from bendshed.ports.http_messages import ClientRequest, Headers, ResponseHead, end_to_end
+from bendshed.ports.http_messages import ClientRequest, Headers, ResponseHead, end_to_end_headers
 from bendshed.ports.runner import ResponseClass, RunnerDispatch, RunnerProtocol, ServiceRequest
 
 REQUEST = b"x-bendshed-request"
@@ -113,4 +113,4 @@
 
 
 def _passed_on(received: Headers) -> Headers:
-    return [(name, value) for name, value in end_to_end(received) if name not in _REPLACED]
+    return [(name, value) for name, value in end_to_end_headers(received) if name not in _REPLACED]
--- a/src/bendshed/platform/caller_protocol.py
+++ b/src/bendshed/platform/caller_protocol.py
@@ -5,7 +5,7 @@
 from bendshed.model.prompt import PromptPart
 from bendshed.platform import names
 from bendshed.ports.caller_protocol import CallerProtocol, ReceivedRequest, RefusalAnswer
-from bendshed.ports.http_messages import Headers, end_to_end
+from bendshed.ports.http_messages import Headers, end_to_end_headers
 from bendshed.ports.runner import ServiceRequest, TurnDetails
 
 RETRY_AFTER_S = {
@@ -106,7 +106,7 @@
 
 def _passed_on(received: Headers) -> Headers:
     """The client's headers for the runner; length, deadline and ours are replaced."""
-    return [(name, value) for name, value in end_to_end(received) if name not in _OWN]
+    return [(name, value) for name, value in end_to_end_headers(received) if name not in _OWN]
 
 
 def _read_turn(fields: dict[bytes, bytes]) -> TurnDetails | None:
--- a/src/bendshed/ports/http_messages.py
+++ b/src/bendshed/ports/http_messages.py
@@ -21,7 +21,7 @@
 """Headers that apply to a single connection (RFC 9110, 7.6.1)."""
 
 
-def end_to_end(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """Return the headers without the hop-by-hop ones, including those named by ``Connection``."""
     named = [value for name, value in headers if name.lower() == b"connection"]
     listed = {token.strip().lower() for value in named for token in value.split(b",")}
