--- a/src/bendshed/platform/registry.py
+++ b/src/bendshed/platform/registry.py
@@ -13,12 +13,12 @@
     def __init__(self, api: ObjectApi) -> None:
         self._api = api
 
-    async def announce(self, me: ReplicaNode) -> None:
+    async def announce(self, node: ReplicaNode) -> None:
         """Write or replace this machine's announcement."""
-        spec = write_replica(me)
+        spec = write_replica(node)
         try:
-            while not await self._api.replace(names.REPLICA_KIND, me.name, spec):
-                if await self._create_announcement(me.name, spec):
+            while not await self._api.replace(names.REPLICA_KIND, node.name, spec):
+                if await self._create_announcement(node.name, spec):
                     return
         except StoreUnavailable as error:
             raise RegistryUnavailable(str(error)) from error
--- a/src/bendshed/ports/registry.py
+++ b/src/bendshed/ports/registry.py
@@ -38,7 +38,7 @@
     """Announcements, bootstrap voters and retirements. All writes are idempotent."""
 
     @abstractmethod
-    async def announce(self, me: ReplicaNode) -> None:
+    async def announce(self, node: ReplicaNode) -> None:
         """Write or replace this machine's announcement; raise ``RegistryUnavailable``."""
 
     @abstractmethod
--- a/src/bendshed/rehearsal/site/sim_registry.py
+++ b/src/bendshed/rehearsal/site/sim_registry.py
@@ -28,10 +28,10 @@
         if self.rng.random() < self.answer_loss:
             raise RegistryUnavailable("the answer was lost")
 
-    async def announce(self, me: ReplicaNode) -> None:
+    async def announce(self, node: ReplicaNode) -> None:
         """Store an announcement."""
         await self._reach()
-        self.announced[me.name] = me
+        self.announced[node.name] = node
         self._maybe_lose()
 
     @property
