--- a/src/bendshed/adapters/connection_pool.py
+++ b/src/bendshed/adapters/connection_pool.py
@@ -49,7 +49,7 @@
         self._round_trips.record(address, now_s - began_s, now_s)
         # If one connection to a peer is silent, the idle ones probably are too, and each of them
         # would lose another request.
-        opened.on_silent = partial(self.forget, address)
+        opened.on_silent = partial(self.close_idle, address)
         return opened
 
     def _take_idle(self, address: Address) -> HttpConnection | None:
@@ -82,7 +82,7 @@
         else:
             connection.abort()
 
-    def forget(self, address: Address) -> None:
+    def close_idle(self, address: Address) -> None:
         """Close the idle connections to a peer that is no longer in use."""
         for connection in self._idle.pop(address, []):
             connection.abort()
@@ -90,4 +90,4 @@
     def close(self) -> None:
         """Close all idle connections."""
         for address in list(self._idle):
-            self.forget(address)
+            self.close_idle(address)
--- a/src/bendshed/gateway/services.py
+++ b/src/bendshed/gateway/services.py
@@ -120,4 +120,4 @@
     def _forget(self, runner_id: str) -> None:
         address = self.table.by_id[runner_id].listed.address
         self.table.remove(runner_id, now_s=0.0, is_trusted=True)
-        self._connections.forget(address)
+        self._connections.close_idle(address)
--- a/src/bendshed/platform/objects.py
+++ b/src/bendshed/platform/objects.py
@@ -120,7 +120,7 @@
                 status, answer = await self._exchange(request)
         except TimeoutError as error:
             # Kept connections fall silent together; each would cost one more call its whole time.
-            self._pool.forget(self._address)
+            self._pool.close_idle(self._address)
             raise StoreUnavailable(f"{method.decode()} {target}: {error!r}") from error
         except (ConnectFailed, ResponseBroken) as error:
             raise StoreUnavailable(f"{method.decode()} {target}: {error!r}") from error
--- a/src/bendshed/ports/runner_connections.py
+++ b/src/bendshed/ports/runner_connections.py
@@ -43,7 +43,7 @@
         """Return a connection to the pool after ``finish`` or ``abort``."""
 
     @abstractmethod
-    def forget(self, address: Address) -> None:
+    def close_idle(self, address: Address) -> None:
         """Close the idle connections to a peer that is no longer in use."""
 
     @abstractmethod
--- a/src/bendshed/rehearsal/site/sim_runners.py
+++ b/src/bendshed/rehearsal/site/sim_runners.py
@@ -216,7 +216,7 @@
     def release(self, address: Address, connection: RunnerConnection) -> None:
         """No connection stays open without a request."""
 
-    def forget(self, address: Address) -> None:
+    def close_idle(self, address: Address) -> None:
         """No connection stays open without a request."""
 
     def close(self) -> None:
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -308,7 +308,7 @@
         record = self._table.by_id.get(runner_id)
         self._table.remove(runner_id, asyncio.get_running_loop().time(), is_trusted)
         if record is not None and is_trusted:
-            self._pool.forget(record.listed.address)
+            self._pool.close_idle(record.listed.address)
 
     def apply_zones(self, update: ZoneUpdate) -> None:
         """Apply an update of the closed zones; an older update changes nothing.
--- a/tests/test_cold_runner_dispatch.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -357,7 +357,7 @@
     def release(self, address: Address, connection: RunnerConnection) -> None:
         """Do nothing: the fake keeps no connections."""
 
-    def forget(self, address: Address) -> None:
+    def close_idle(self, address: Address) -> None:
         """Do nothing: the fake keeps no connections."""
 
     def close(self) -> None:
--- a/tests/test_dispatch_restrictions.py
+++ b/tests/test_dispatch_restrictions.py
@@ -128,7 +128,7 @@
     def release(self, address: Address, connection: RunnerConnection) -> None:
         pass
 
-    def forget(self, address: Address) -> None:
+    def close_idle(self, address: Address) -> None:
         pass
 
     def close(self) -> None:
