--- a/src/bendshed/policy.py
+++ b/src/bendshed/policy.py
@@ -27,7 +27,7 @@
         programs_first: over quota, new programs are refused before turns of running programs.
         thing_affinity: plain requests with the same affinity key go to the same runner.
         regional_groups: the turn log has a group with its home in each region.
-        kept_connections: a request prefers a runner with an idle connection unless that is slower.
+        kept_connections: an idle connection lowers the cost of its runner when one is chosen.
 
     """
 
