--- a/src/bendshed/adapters/http_connection.py
+++ b/src/bendshed/adapters/http_connection.py
@@ -154,7 +154,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, ValueError) as error:
             if not self._complete:
-                self._fail(f"invalid HTTP response: {error}")
+                self._fail(f"no HTTP answer: {error}")
             self.abort()
 
     def eof_received(self) -> bool | None:
--- a/src/bendshed/adapters/http_store.py
+++ b/src/bendshed/adapters/http_store.py
@@ -103,5 +103,5 @@
 def _version(answer: HttpAnswer) -> int:
     tag = answer.headers.get("ETag")
     if tag is None:
-        raise StoreUnavailable("response without an ETag header")
+        raise StoreUnavailable("an answer without ETag")
     return int(tag.strip('"'))
