--- a/src/bendshed/adapters/durable_file.py
+++ b/src/bendshed/adapters/durable_file.py
@@ -1,4 +1,4 @@
-"""Small files that are always whole: written beside the old one, synced, renamed, with a digest."""
+"""Atomic replacement of small files: temporary file, fsync, rename; a digest detects damage."""
 
 import os
 from pathlib import Path
@@ -9,31 +9,31 @@
 
 
 class FileDamaged(Exception):
-    """The file's digest does not fit its content."""
+    """The file's digest does not match its content."""
 
 
 def write_durable(path: Path, content: bytes) -> None:
     """Replace a file durably; raise ``OSError``."""
-    beside = path.with_suffix(".new")
-    with beside.open("wb") as file:
+    temporary_path = path.with_suffix(".new")
+    with temporary_path.open("wb") as file:
         file.write(xxhash.xxh3_64_digest(content) + content)
         file.flush()
         os.fsync(file.fileno())
-    beside.replace(path)
+    temporary_path.replace(path)
     _sync_folder(path.parent)
 
 
 def read_durable(path: Path) -> bytes:
     """Read a file; raise ``OSError`` or ``FileDamaged``."""
-    whole = path.read_bytes()
-    digest, content = whole[:DIGEST_BYTES], whole[DIGEST_BYTES:]
+    stored = path.read_bytes()
+    digest, content = stored[:DIGEST_BYTES], stored[DIGEST_BYTES:]
     if digest != xxhash.xxh3_64_digest(content):
         raise FileDamaged(str(path))
     return content
 
 
 def _sync_folder(folder: Path) -> None:
-    """A renamed name lasts once its folder is synced."""
+    """Sync a folder, which makes a rename in it durable."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
--- a/src/bendshed/platform/caller_protocol.py
+++ b/src/bendshed/platform/caller_protocol.py
@@ -5,7 +5,7 @@
 from bendshed.model.prompt import PromptPart
 from bendshed.platform import names
 from bendshed.ports.caller_protocol import CallerProtocol, ReceivedRequest, RefusalAnswer
-from bendshed.ports.http_messages import Headers, end_to_end
+from bendshed.ports.http_messages import Headers, end_to_end_headers
 from bendshed.ports.runner import ServiceRequest, TurnDetails
 
 RETRY_AFTER_S = {
@@ -72,7 +72,7 @@
             affinity_key=_text(fields, names.AFFINITY),
         )
 
-    def answer_of(self, refusal: Refusal) -> RefusalAnswer:
+    def response_for(self, refusal: Refusal) -> RefusalAnswer:
         """A 503 promises that nothing was run; 502 and 504 promise nothing."""
         retry_after_s = refusal.retry_after_s
         if retry_after_s is None:
@@ -106,7 +106,7 @@
 
 def _passed_on(received: Headers) -> Headers:
     """The client's headers for the runner; length, deadline and ours are replaced."""
-    return [(name, value) for name, value in end_to_end(received) if name not in _OWN]
+    return [(name, value) for name, value in end_to_end_headers(received) if name not in _OWN]
 
 
 def _read_turn(fields: dict[bytes, bytes]) -> TurnDetails | None:
--- a/src/bendshed/process.py
+++ b/src/bendshed/process.py
@@ -1,4 +1,4 @@
-"""Runs one node as a process: HTTP server, signals, orderly stop."""
+"""Runs one node as a process: HTTP server, signals, graceful shutdown."""
 
 import asyncio
 import random
@@ -27,18 +27,18 @@
 from bendshed.settings.model import Settings
 
 RUNNER_CONNECT_TIMEOUT_S = 2.0
-LEAVING_SPREAD_S = 0.5
-"""Time for the others to hear that this node leaves, before it closes."""
+LEAVE_PROPAGATION_S = 0.5
+"""Delay before closing, in which the other nodes learn that this node is leaving."""
 
 log = PartLog("process")
 
 
 class NodeFailed(Exception):
-    """A part of the node failed; the process ends so that it is restarted."""
+    """A component of the node failed; the process exits so that it is restarted."""
 
 
 def open_storage(settings: Settings) -> LogStorage | None:
-    """Open the data folder's log, if the node has one."""
+    """Open the log in the data folder, if the node has one."""
     folder = settings.node.data_folder
     return open_or_replace(folder) if folder is not None else None
 
@@ -47,12 +47,12 @@
     """Run until SIGTERM or SIGINT, then drain and return."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     failed: list[str] = []
 
     def on_failure(_loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        log.say("an error reached the loop", context=repr(context))
+        log.say("unhandled error in the event loop", context=repr(context))
         if "task" in context and isinstance(context.get("exception"), Exception):
             failed.append(str(context["message"]))
             stopping.set()
@@ -89,8 +89,10 @@
     server.config.app = services
     node.start()
     serving = loop.create_task(server.serve(sockets=[listener]))
-    me = node.membership.swim.local_member
-    announce(node_id=node.node_id, peer_port=me.peer_port, http_port=me.http_port)
+    own_member = node.membership.swim.local_member
+    print_addresses(
+        node_id=node.node_id, peer_port=own_member.peer_port, http_port=own_member.http_port
+    )
     await stopping.wait()
     await _stop(settings, node, server, serving)
     services.close()
@@ -102,19 +104,19 @@
 async def _stop(
     settings: Settings, node: Node, server: HttpServer, serving: "asyncio.Task[None]"
 ) -> None:
-    """Finish every stream, then close. A second signal changes nothing."""
+    """Finish all streams, then close. A second signal has no effect."""
     try:
         async with asyncio.timeout(settings.node.drain_timeout_s):
             await node.drain()
-            await asyncio.sleep(LEAVING_SPREAD_S)
+            await asyncio.sleep(LEAVE_PROPAGATION_S)
             server.should_exit = True
             await serving
     except TimeoutError:
-        log.say("drain timed out: streams cut")
+        log.say("drain timed out: open streams closed")
     await node.stop()
 
 
-def announce(**fields: object) -> None:
-    """Print one JSON line on standard output: the addresses in use, for the parent process."""
+def print_addresses(**fields: object) -> None:
+    """Print the addresses in use as one JSON line on standard output, for the parent process."""
     sys.stdout.write(orjson.dumps(fields).decode() + "\n")
     sys.stdout.flush()
--- a/tests/stalling_proxy.py
+++ b/tests/stalling_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy of one TCP address whose open connections can fall silent without being closed."""
+"""A TCP proxy whose open connections can be stalled without being closed."""
 
 import asyncio
 import enum
@@ -9,8 +9,8 @@
 CHUNK_BYTES = 65_536
 
 
-class Silence(enum.Enum):
-    """Which bytes of the open connections are lost."""
+class StalledDirection(enum.Enum):
+    """Direction in which the bytes of the open connections are lost."""
 
     BOTH = "both"
     TO_TARGET = "to the target"
@@ -18,13 +18,13 @@
 
 
 class StallingProxy:
-    """Passes bytes on. After ``fall_silent`` the connections of that moment lose theirs.
+    """Forwards bytes; ``stall`` makes the connections that are open at that time lose their bytes.
 
-    They stay open: what is written to them is read and acknowledged, and goes nowhere. Connections
-    opened later work.
+    Stalled connections stay open: bytes written to them are read and acknowledged, but discarded.
+    Connections opened later work.
 
     Attributes:
-        num_opened: connections that were accepted.
+        num_opened: number of accepted connections.
 
     """
 
@@ -32,7 +32,7 @@
         self.num_opened = 0
         self._target = target
         self._server: asyncio.Server | None = None
-        self._silenced: set[tuple[int, Silence]] = set()
+        self._stalled: set[tuple[int, StalledDirection]] = set()
         self._writers: list[asyncio.StreamWriter] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -41,10 +41,10 @@
         self._server = await asyncio.start_server(self._accept, LOCAL, 0)
         return Address(*self._server.sockets[0].getsockname()[:2])
 
-    def fall_silent(self, silence: Silence = Silence.BOTH) -> None:
-        """Lose all further bytes of the connections that are open."""
+    def stall(self, direction: StalledDirection = StalledDirection.BOTH) -> None:
+        """Discard all further bytes of the connections that are open."""
         for number in range(1, self.num_opened + 1):
-            self._silenced.add((number, silence))
+            self._stalled.add((number, direction))
 
     async def stop(self) -> None:
         """Close everything."""
@@ -62,32 +62,32 @@
         self._writers.append(writer)
         to_reader, to_writer = await asyncio.open_connection(self._target.host, self._target.port)
         self._writers.append(to_writer)
-        for source, sink, silence in (
-            (reader, to_writer, Silence.TO_TARGET),
-            (to_reader, writer, Silence.FROM_TARGET),
+        for source, sink, direction in (
+            (reader, to_writer, StalledDirection.TO_TARGET),
+            (to_reader, writer, StalledDirection.FROM_TARGET),
         ):
             task = asyncio.get_running_loop().create_task(
-                self._pass_on(source, sink, number, silence)
+                self._forward(source, sink, number, direction)
             )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _pass_on(
+    async def _forward(
         self,
         source: asyncio.StreamReader,
         sink: asyncio.StreamWriter,
         number: int,
-        silence: Silence,
+        direction: StalledDirection,
     ) -> None:
         try:
             while content := await source.read(CHUNK_BYTES):
-                if not self._is_silent(number, silence):
+                if not self._is_stalled(number, direction):
                     sink.write(content)
                     await sink.drain()
         except ConnectionError:
-            pass  # one side is gone; the other learns it below unless it is silent
-        if not self._is_silent(number, silence):
+            pass  # one side has closed; the other is closed below unless it is stalled
+        if not self._is_stalled(number, direction):
             sink.close()
 
-    def _is_silent(self, number: int, silence: Silence) -> bool:
-        return not self._silenced.isdisjoint({(number, silence), (number, Silence.BOTH)})
+    def _is_stalled(self, number: int, direction: StalledDirection) -> bool:
+        return not self._stalled.isdisjoint({(number, direction), (number, StalledDirection.BOTH)})
