--- a/src/bendshed/adapters/tcp_transport.py
+++ b/src/bendshed/adapters/tcp_transport.py
@@ -1,9 +1,9 @@
 """Transport over TCP (requests, one-way messages) and UDP (datagrams), on one port number.
 
-A frame on TCP is a protobuf ``Frame`` behind its length in four bytes. A connection carries
-requests and their replies in any order; messages written in one turn of the loop leave in one
-segment. Lost connections are opened again on the next message, and so are those that fell silent
-without being closed (``silence.py``).
+A frame on TCP is a protobuf ``Frame`` preceded by its length in four bytes. A connection carries
+requests and their replies in any order; messages written in one iteration of the event loop are
+sent in one segment. Lost connections are reopened for the next message, as are connections that
+no longer deliver data without having been closed (``silence.py``).
 """
 
 import asyncio
@@ -14,8 +14,8 @@
 
 from google.protobuf.message import DecodeError
 
-from bendshed.adapters.silence import SilenceWatch
-from bendshed.adapters.traffic import Traffic
+from bendshed.adapters.silence import SilenceDetector
+from bendshed.adapters.traffic import TrafficCounter
 from bendshed.logs import PartLog
 from bendshed.model.address import Address
 from bendshed.ports.transport import ECHO_METHOD, PeerUnreachable, Transport
@@ -24,13 +24,15 @@
 LENGTH = struct.Struct("!I")
 MAX_FRAME_BYTES = 256 * 1024 * 1024
 CONNECT_TIMEOUT_S = 0.5
-"""Shorter than TCP's first retransmission: a machine that has just come up answers the next try."""
-CONNECT_TRIPS = 4.0
-"""Least connect timeout for a far machine, in its round trips."""
+"""Shorter than TCP's first retransmission: a machine that has just started answers the next
+attempt sooner than the retransmitted segment."""
+CONNECT_TIMEOUT_ROUND_TRIPS = 4.0
+"""Minimum connect timeout as a multiple of the peer's round trip, for distant peers."""
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
-"""One-way messages to a peer that does not read are dropped beyond this."""
+"""Further one-way messages are dropped while this much is buffered for a peer."""
 MAX_SERVED_US = 2**32 - 1
-"""Most that a reply's field holds, 71 minutes; the rest of a longer wait counts as round trip."""
+"""Maximum value of the field in a reply, 71 minutes; the excess of a longer processing time counts
+as round trip."""
 HANDLER_FAILED = "handler_failed"
 
 log = PartLog("transport")
@@ -45,7 +47,7 @@
         self.transport: asyncio.Transport | None = None
         self._peer_host = ""
         self.waiting: dict[int, asyncio.Future[Frame]] = {}
-        self.silence = SilenceWatch()
+        self.silence = SilenceDetector()
         self._is_retired = False
         self._next_request_id = 1
 
@@ -55,7 +57,7 @@
         peer = transport.get_extra_info("peername")
         self._peer_host = peer[0] if peer else ""
         self._owner.connections.add(self)
-        self.silence.note_heard(asyncio.get_running_loop().time())
+        self.silence.record_receipt(asyncio.get_running_loop().time())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._owner.connections.discard(self)
@@ -66,14 +68,14 @@
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        self.silence.note_heard(asyncio.get_running_loop().time())
+        self.silence.record_receipt(asyncio.get_running_loop().time())
         self._buffer += data
         position = 0
         while len(self._buffer) - position >= LENGTH.size:
             (size,) = LENGTH.unpack_from(self._buffer, position)
             end = position + LENGTH.size + size
             if size > MAX_FRAME_BYTES:
-                self.abort("a frame is too long")
+                self.abort("frame is too long")
                 return
             if len(self._buffer) < end:
                 break
@@ -82,7 +84,7 @@
             try:
                 frame = Frame.FromString(content)
             except DecodeError:
-                self.abort("a frame cannot be read")
+                self.abort("frame cannot be decoded")
                 return
             self._owner.on_frame(self, frame)
         del self._buffer[:position]
@@ -96,7 +98,7 @@
         if self.transport is None:
             return
         content = frame.SerializeToString()
-        self._owner.traffic.note(method, self._peer_host, len(content) + LENGTH.size)
+        self._owner.traffic.record(method, self._peer_host, len(content) + LENGTH.size)
         self.transport.write(LENGTH.pack(len(content)) + content)
 
     @property
@@ -110,7 +112,7 @@
         request_id = self._next_id()
         future: asyncio.Future[Frame] = asyncio.get_running_loop().create_future()
         self.waiting[request_id] = future
-        self.silence.note_request(timeout_s, asyncio.get_running_loop().time())
+        self.silence.record_request(timeout_s, asyncio.get_running_loop().time())
         return request_id, future
 
     def end_request(self, request_id: int) -> None:
@@ -118,17 +120,17 @@
         self._abort_if_unused()
 
     def write_one_way(self, frame: Frame) -> None:
-        """Write a message, and a request beside it where nothing else would bring an answer."""
+        """Write a message, and an additional request if no other answer is expected soon."""
         if self.is_full:
             return
         self.write(frame, frame.method)
         now_s = asyncio.get_running_loop().time()
-        if self.silence.must_probe(now_s):
-            self.silence.note_request(0.0, now_s)
+        if self.silence.should_probe(now_s):
+            self.silence.record_request(0.0, now_s)
             self.write(Frame(request_id=self._next_id(), method=ECHO_METHOD), ECHO_METHOD)
 
     def retire(self) -> None:
-        """Send nothing here any more; an answer that comes after all is still taken."""
+        """Stop sending on this connection; late answers are still accepted."""
         self._is_retired = True
         self._abort_if_unused()
 
@@ -142,7 +144,7 @@
         return request_id
 
 
-class _Datagrams(asyncio.DatagramProtocol):
+class _DatagramProtocol(asyncio.DatagramProtocol):
     """UDP socket of a node."""
 
     def __init__(self, owner: "TcpTransport") -> None:
@@ -151,23 +153,23 @@
     def datagram_received(self, data: bytes, addr: Any) -> None:
         if self._owner.datagram_handler is None:
             return
-        # Anybody may send bytes that are no message of ours; a line for each would flood the log.
+        # Datagrams can come from any sender; logging each invalid one would flood the log.
         with contextlib.suppress(DecodeError):
             self._owner.datagram_handler(data)
 
 
 class TcpTransport(Transport):
-    """The real network.
+    """Transport over the operating system's network.
 
     Attributes:
-        traffic: what was sent by kind of message and distance, datagrams left out.
+        traffic: bytes sent by kind of message and distance, excluding datagrams.
 
     """
 
     def __init__(self, host: str, port: int) -> None:
         super().__init__()
         self.connections: set[_Connection] = set()
-        self.traffic = Traffic(
+        self.traffic = TrafficCounter(
             "bendshed_peer_bytes_sent", "Bytes to other nodes by kind of message and distance"
         )
         self._host = host
@@ -183,7 +185,7 @@
         self._server = await loop.create_server(lambda: _Connection(self), self._host, self._port)
         port = self._server.sockets[0].getsockname()[1]
         self._datagrams, _ = await loop.create_datagram_endpoint(
-            lambda: _Datagrams(self), local_addr=(self._host, port)
+            lambda: _DatagramProtocol(self), local_addr=(self._host, port)
         )
         return Address(self._host, port)
 
@@ -202,7 +204,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def round_trip_s(self, peer: Address) -> float | None:
-        """Seconds to a peer and back, the least that was measured lately; ``None``: never."""
+        """Return the recent minimum round trip to a peer in seconds; ``None`` if not measured."""
         return self.round_trips.min_s(peer, asyncio.get_running_loop().time())
 
     async def request(self, peer: Address, method: str, payload: bytes, timeout_s: float) -> bytes:
@@ -219,14 +221,14 @@
                 finally:
                     connection.end_request(request_id)
                 now_s = asyncio.get_running_loop().time()
-                expected_round_trip_s = now_s - sent_s - reply.served_us / 1_000_000
-                self.round_trips.record(peer, expected_round_trip_s, now_s)
+                round_trip_s = now_s - sent_s - reply.served_us / 1_000_000
+                self.round_trips.record(peer, round_trip_s, now_s)
                 return reply.payload
         except TimeoutError as error:
             raise PeerUnreachable(f"{peer} did not answer {method} in time") from error
 
     def send(self, peer: Address, method: str, payload: bytes) -> None:
-        """Send a one-way message; connect first if need be."""
+        """Send a one-way message; connect first if necessary."""
         frame = Frame(method=method, payload=payload)
         connection = self._open_connection(peer)
         if connection is not None:
@@ -261,15 +263,15 @@
             raise PeerUnreachable(f"cannot connect to {peer}", not was_refused) from error
 
     def _open_connection(self, peer: Address) -> _Connection | None:
-        """Connection to a peer if one is open now."""
+        """Return the connection to a peer if one is open and not silent."""
         task = self._outgoing.get(peer)
         if task is None or not task.done() or task.cancelled() or task.exception() is not None:
             return None
         connection = task.result()
         if connection.transport is None:
             return None
-        # Neither a reset nor the kernel ends a connection whose bytes are lost or acknowledged
-        # midway; each further message would be lost in it.
+        # A connection whose bytes are lost, or acknowledged by an intermediary, is closed neither
+        # by a reset nor by the kernel; every further message on it would be lost.
         if connection.silence.is_silent(asyncio.get_running_loop().time()):
             log.say("connection replaced: silent", peer=str(peer))
             del self._outgoing[peer]
@@ -280,8 +282,8 @@
     async def _open(self, peer: Address) -> _Connection:
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        far_s = CONNECT_TRIPS * (self.round_trip_s(peer) or 0.0)
-        async with asyncio.timeout(max(CONNECT_TIMEOUT_S, far_s)):
+        min_timeout_s = CONNECT_TIMEOUT_ROUND_TRIPS * (self.round_trip_s(peer) or 0.0)
+        async with asyncio.timeout(max(CONNECT_TIMEOUT_S, min_timeout_s)):
             _, connection = await loop.create_connection(
                 lambda: _Connection(self), peer.host, peer.port
             )
@@ -289,7 +291,7 @@
         return connection
 
     def on_frame(self, connection: _Connection, frame: Frame) -> None:
-        """Route one incoming frame."""
+        """Dispatch one incoming frame."""
         if frame.is_reply:
             future = connection.waiting.pop(frame.request_id, None)
             if future is None or future.done():
--- a/src/bendshed/platform/caller_protocol.py
+++ b/src/bendshed/platform/caller_protocol.py
@@ -5,7 +5,7 @@
 from bendshed.model.prompt import PromptPart
 from bendshed.platform import names
 from bendshed.ports.caller_protocol import CallerProtocol, ReceivedRequest, RefusalAnswer
-from bendshed.ports.http_messages import Headers, end_to_end
+from bendshed.ports.http_messages import Headers, end_to_end_headers
 from bendshed.ports.runner import ServiceRequest, TurnDetails
 
 RETRY_AFTER_S = {
@@ -26,7 +26,7 @@
     ErrorKind.OUTCOME_UNKNOWN: 504,
 }
 _NOT_RUN_STATUS, _MAY_HAVE_RUN_STATUS = 503, 502
-_NOT_FORWARDED = names.SYSTEM_HEADERS | {
+_EXCLUDED = names.SYSTEM_HEADERS | {
     names.DEADLINE_MS,
     names.AUTHORIZATION,
     b"content-length",
@@ -72,7 +72,7 @@
             affinity_key=_header_text(fields, names.AFFINITY),
         )
 
-    def answer_of(self, refusal: Refusal) -> RefusalAnswer:
+    def response_for(self, refusal: Refusal) -> RefusalAnswer:
         """Return status and Retry-After; 503 guarantees nothing was run, 502 and 504 do not."""
         retry_after_s = refusal.retry_after_s
         if retry_after_s is None:
@@ -106,7 +106,7 @@
 
 def _forwarded_headers(received: Headers) -> Headers:
     """Return the client's end-to-end headers without those that are dropped or replaced."""
-    return [(name, value) for name, value in end_to_end(received) if name not in _NOT_FORWARDED]
+    return [(name, value) for name, value in end_to_end_headers(received) if name not in _EXCLUDED]
 
 
 def _read_turn(fields: dict[bytes, bytes]) -> TurnDetails | None:
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -25,7 +25,7 @@
 from bendshed.placement.allowed_regions import unknown_regions
 from bendshed.placement.groups import ONE_GROUP, TurnGroups
 from bendshed.placement.zones import ZoneUpdate
-from bendshed.policy import EVERYTHING, Policy
+from bendshed.policy import ALL_ENABLED, Policy
 from bendshed.ports.runner import RunnerProtocol
 from bendshed.ports.runner_connections import RunnerConnections
 from bendshed.ports.transport import Transport
@@ -93,7 +93,7 @@
         times: CatalogTimes,
         rng: random.Random,
         metrics: ServiceMetrics,
-        policy: Policy = EVERYTHING,
+        policy: Policy = ALL_ENABLED,
         groups: TurnGroups = ONE_GROUP,
     ) -> None:
         self.directory = ReplicaDirectory()
@@ -308,7 +308,7 @@
         record = self._table.by_id.get(runner_id)
         self._table.remove(runner_id, asyncio.get_running_loop().time(), is_trusted)
         if record is not None and is_trusted:
-            self._pool.forget(record.listed.address)
+            self._pool.close_idle(record.listed.address)
 
     def apply_zones(self, update: ZoneUpdate) -> None:
         """Apply an update of the closed zones; an older update changes nothing.
--- a/src/bendshed/settings/load.py
+++ b/src/bendshed/settings/load.py
@@ -1,4 +1,4 @@
-"""Reads settings. Order: flags over environment over file over defaults.
+"""Loads settings. Precedence: command line flags, environment, file, defaults.
 
 The environment variable of ``[section] key`` is ``BENDSHED_SECTION__KEY``.
 """
@@ -21,19 +21,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsProblem:
-    """One thing that is wrong: where, what was found, and the cure."""
+    """One invalid setting: where it is, its value, and how to correct it."""
 
     file: str
     field: str
     value: str
-    cure: str
+    hint: str
 
     def __str__(self) -> str:
-        return f"{self.file}: {self.field}: {self.value}: {self.cure}"
+        return f"{self.file}: {self.field}: {self.value}: {self.hint}"
 
 
 class SettingsInvalid(Exception):
-    """All problems of a settings file at once."""
+    """All problems of a settings file, reported together."""
 
     def __init__(self, problems: list[SettingsProblem]) -> None:
         super().__init__("\n".join(str(problem) for problem in problems))
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveValue:
-    """One setting as it is in force, and where it comes from."""
+    """The effective value of one setting, and its source."""
 
     field: str
     value: str
@@ -51,13 +51,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedSettings:
-    """Settings and the source of each value."""
+    """Settings, and the source of each value that is not a default."""
 
     settings: Settings
     sources: dict[str, str]
 
     def effective(self) -> list[EffectiveValue]:
-        """All values, secrets hidden."""
+        """Return all values; secrets are hidden."""
         rows = []
         for section, fields in self.settings.model_dump(mode="json").items():
             for name, value in fields.items():
@@ -71,11 +71,11 @@
 def load_settings(
     path: Path, flags: Mapping[str, str], environment: Mapping[str, str] = os.environ
 ) -> LoadedSettings:
-    """Read, merge and check; raise ``SettingsInvalid``.
+    """Read, merge and validate settings; raise ``SettingsInvalid``.
 
     Args:
         path: TOML file.
-        flags: ``section.key`` to text, from the command line.
+        flags: values from the command line by ``section.key``.
         environment: process environment.
 
     """
@@ -126,13 +126,13 @@
         field = ".".join(str(part) for part in row["loc"])
         missing = row["type"] == "missing"
         value = "(missing)" if missing else repr(row["input"])
-        cure = _cure(row["loc"], row["msg"])
-        problems.append(SettingsProblem(str(path), field, value, cure))
+        hint = _hint(row["loc"], row["msg"])
+        problems.append(SettingsProblem(str(path), field, value, hint))
     return problems
 
 
-def _cure(location: tuple[int | str, ...], message: str) -> str:
-    """The library's message, and for an unknown key the keys that exist."""
+def _hint(location: tuple[int | str, ...], message: str) -> str:
+    """Return pydantic's message, or for an unknown key the keys that exist."""
     if "Extra inputs" not in message:
         return message
     section: type[BaseModel] = Settings
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -193,7 +193,7 @@
         self.model.put("kind", "a", {})
         await asyncio.gather(*(self.api.get("kind", "a") for _ in range(self.NUM_POOLED)))
         self.assertEqual(self.proxy.num_opened, self.NUM_POOLED)
-        self.proxy.fall_silent()
+        self.proxy.stall()
         with self.assertRaises(StoreUnavailable):
             await self.api.get("kind", "a")
         self.assertIsNotNone(await self.api.get("kind", "a"))
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,31 +1,30 @@
-"""Connections between nodes that fall silent without being closed, while new ones work.
-
-Seen: twelve seconds after the return of power nothing was served at a site; no log was kept. How it
-may come about: the connections of all nodes fall silent. Cause: a request that timed out said
-nothing of its connection, so each further one went into the same dead connection; nobody waits for
-an answer to a one-way message, so consensus went on sending heartbeats and votes into nothing.
-Proof: a proxy that goes on reading and passes nothing on; new connections through it work. That the
-site's connections were silent is not proven.
+"""Connections between nodes that become silent without being closed, while new connections work.
+
+Observed: a site served nothing twelve seconds after power was restored; no log was kept. Possible
+cause: the connections of all nodes were silent, which is not proven. A request's timeout did not
+affect its connection, so each further request used the same dead connection; one-way messages have
+no answer, so consensus kept sending heartbeats and votes that were lost. The tests use a proxy that
+keeps reading but forwards nothing; new connections through it work.
 """
 
 import asyncio
 import unittest
 
-from bendshed.adapters.silence import ANSWER_DUE_S, PROBE_AFTER_S, SilenceWatch
+from bendshed.adapters.silence import MIN_ANSWER_TIMEOUT_S, PROBE_AFTER_S, SilenceDetector
 from bendshed.adapters.tcp_transport import TcpTransport
 from bendshed.model.address import Address
 from bendshed.ports.transport import ECHO_METHOD, PeerUnreachable
-from tests.stalling_proxy import LOCAL, Silence, StallingProxy
+from tests.stalling_proxy import LOCAL, StalledDirection, StallingProxy
 
 METHOD, SLOW_METHOD, ONE_WAY_METHOD = "say", "wait", "tell"
-TRY_S = 0.3
-NUM_TRIES = 10
-"""Tries of a request, one after the other: 3 s, the time within which a node has to be in touch."""
-GUARD_S = 30.0
-"""Ends a request that hangs; a busy machine may take its time for one that is answered."""
+ATTEMPT_TIMEOUT_S = 0.3
+NUM_ATTEMPTS = 10
+"""Consecutive attempts of a request: 3 s in total, within which a node must restore contact."""
+TEST_TIMEOUT_S = 30.0
+"""Ends a request that hangs; it is long because answers may be slow on a busy machine."""
 HEARTBEAT_S = 0.025
 NUM_HEARTBEATS = 120
-"""One-way messages at the pace of consensus for as long."""
+"""One-way messages at the interval of consensus heartbeats, also for 3 s."""
 
 
 class NodeBehindProxy(unittest.IsolatedAsyncioTestCase):
@@ -38,8 +37,8 @@
         self.address: Address = await self.proxy.start()
         self.peer.handlers[METHOD] = self.answer
         self.peer.handlers[SLOW_METHOD] = self.answer_late
-        self.peer.one_way_handlers[ONE_WAY_METHOD] = self.take
-        self.taken = asyncio.Event()
+        self.peer.one_way_handlers[ONE_WAY_METHOD] = self.receive
+        self.received = asyncio.Event()
         self.arrived, self.may_answer = asyncio.Event(), asyncio.Event()
 
     async def asyncTearDown(self) -> None:
@@ -55,21 +54,21 @@
         await self.may_answer.wait()
         return payload
 
-    def take(self, _payload: bytes) -> None:
-        self.taken.set()
+    def receive(self, _payload: bytes) -> None:
+        self.received.set()
 
     async def request(self) -> bytes:
-        """Request once, as long as one try of a turn's begin takes."""
-        return await self.node.request(self.address, METHOD, b"x", TRY_S)
+        """Send one request with the timeout of one attempt to begin a turn."""
+        return await self.node.request(self.address, METHOD, b"x", ATTEMPT_TIMEOUT_S)
 
-    async def is_told(self) -> bool:
-        """Whether one of many one-way messages arrives."""
-        self.taken.clear()
+    async def one_way_message_arrives(self) -> bool:
+        """Return whether one of ``NUM_HEARTBEATS`` one-way messages arrives."""
+        self.received.clear()
         for _ in range(NUM_HEARTBEATS):
             self.node.send(self.address, ONE_WAY_METHOD, b"x")
             try:
                 async with asyncio.timeout(HEARTBEAT_S):
-                    await self.taken.wait()
+                    await self.received.wait()
             except TimeoutError:
                 continue
             return True
@@ -78,7 +77,7 @@
 
 class SilentConnectionTest(NodeBehindProxy):
     async def is_answered_again(self) -> bool:
-        for _ in range(NUM_TRIES):
+        for _ in range(NUM_ATTEMPTS):
             try:
                 await self.request()
             except PeerUnreachable:
@@ -86,29 +85,29 @@
             return True
         return False
 
-    async def test_requests_are_answered_again_whichever_way_is_silent(self) -> None:
-        for silence in Silence:
+    async def test_requests_are_answered_again_for_each_stalled_direction(self) -> None:
+        for direction in StalledDirection:
             await self.request()
-            self.proxy.fall_silent(silence)
-            self.assertTrue(await self.is_answered_again(), silence)
+            self.proxy.stall(direction)
+            self.assertTrue(await self.is_answered_again(), direction)
 
-    async def test_one_way_messages_arrive_again(self) -> None:
-        for silence in (Silence.BOTH, Silence.TO_TARGET):
-            self.assertTrue(await self.is_told())
-            self.proxy.fall_silent(silence)
-            self.assertTrue(await self.is_told(), silence)
+    async def test_one_way_messages_arrive_again_after_a_stall(self) -> None:
+        for direction in (StalledDirection.BOTH, StalledDirection.TO_TARGET):
+            self.assertTrue(await self.one_way_message_arrives())
+            self.proxy.stall(direction)
+            self.assertTrue(await self.one_way_message_arrives(), direction)
 
-    async def test_requests_that_are_given_up_early_show_it_too(self) -> None:
-        """A relay's answer ends the direct request before its own time is over."""
+    async def test_silence_is_detected_by_requests_cancelled_early(self) -> None:
+        """A relay's answer cancels the direct request before its own timeout."""
         await self.request()
-        self.proxy.fall_silent()
-        self.assertTrue(await self.is_answered_by_cancelled_tries())
+        self.proxy.stall()
+        self.assertTrue(await self.is_answered_by_cancelled_attempts())
 
-    async def is_answered_by_cancelled_tries(self) -> bool:
-        for _ in range(NUM_TRIES):
+    async def is_answered_by_cancelled_attempts(self) -> bool:
+        for _ in range(NUM_ATTEMPTS):
             try:
-                async with asyncio.timeout(TRY_S):
-                    await self.node.request(self.address, METHOD, b"x", 2 * TRY_S)
+                async with asyncio.timeout(ATTEMPT_TIMEOUT_S):
+                    await self.node.request(self.address, METHOD, b"x", 2 * ATTEMPT_TIMEOUT_S)
             except (TimeoutError, PeerUnreachable):
                 continue
             return True
@@ -116,9 +115,9 @@
 
 
 class LiveConnectionTest(NodeBehindProxy):
-    """What is no silence opens no further connection and loses no answer."""
+    """Without silence no further connection is opened and no answer is lost."""
 
-    async def test_a_request_that_waits_there_is_no_silence(self) -> None:
+    async def test_slow_request_is_not_counted_as_silence(self) -> None:
         loop = asyncio.get_running_loop()
         real_time, ahead_s = loop.time, 0.0
         loop.time = lambda: real_time() + ahead_s  # type: ignore[method-assign]
@@ -130,49 +129,49 @@
         self.assertEqual(await waiting, b"late")
         self.assertEqual(self.proxy.num_opened, 1)
 
-    async def test_one_way_messages_that_arrive_open_no_connection(self) -> None:
+    async def test_delivered_one_way_messages_open_no_further_connection(self) -> None:
         for _ in range(NUM_HEARTBEATS):
-            self.assertTrue(await self.is_told())
+            self.assertTrue(await self.one_way_message_arrives())
         self.assertEqual(self.proxy.num_opened, 1)
 
-    async def test_a_peer_that_knows_no_echo_answers_it_all_the_same(self) -> None:
-        """Builds run side by side; any reply shows that the connection works."""
+    async def test_peer_without_the_echo_method_still_replies(self) -> None:
+        """Nodes of different versions run together; any reply shows that the connection works."""
         del self.peer.handlers[ECHO_METHOD]
         with self.assertRaises(PeerUnreachable) as caught:
-            await self.node.request(self.address, ECHO_METHOD, b"", GUARD_S)
+            await self.node.request(self.address, ECHO_METHOD, b"", TEST_TIMEOUT_S)
         self.assertFalse(caught.exception.is_silent)
 
 
-class SilenceWatchTest(unittest.TestCase):
+class SilenceDetectorTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.watch = SilenceWatch()
-        self.watch.note_heard(10.0)
+        self.detector = SilenceDetector()
+        self.detector.record_receipt(10.0)
 
-    def test_nothing_requested_is_no_silence(self) -> None:
-        self.assertFalse(self.watch.is_silent(1e9))
+    def test_not_silent_without_requests(self) -> None:
+        self.assertFalse(self.detector.is_silent(1e9))
 
-    def test_the_first_overdue_answer_counts_not_the_last(self) -> None:
+    def test_earliest_due_answer_counts(self) -> None:
         for number in range(5):
-            self.watch.note_request(0.06, 10.0 + number)
-        self.assertFalse(self.watch.is_silent(10.0 + ANSWER_DUE_S))
-        self.assertTrue(self.watch.is_silent(10.1 + ANSWER_DUE_S))
+            self.detector.record_request(0.06, 10.0 + number)
+        self.assertFalse(self.detector.is_silent(10.0 + MIN_ANSWER_TIMEOUT_S))
+        self.assertTrue(self.detector.is_silent(10.1 + MIN_ANSWER_TIMEOUT_S))
 
-    def test_a_long_wait_is_not_cut_short(self) -> None:
-        self.watch.note_request(8.0, 10.0)
-        self.assertFalse(self.watch.is_silent(18.0))
-        self.assertTrue(self.watch.is_silent(18.1))
+    def test_longer_request_timeout_is_respected(self) -> None:
+        self.detector.record_request(8.0, 10.0)
+        self.assertFalse(self.detector.is_silent(18.0))
+        self.assertTrue(self.detector.is_silent(18.1))
 
-    def test_any_byte_ends_the_doubt(self) -> None:
-        self.watch.note_request(0.06, 10.0)
-        self.watch.note_heard(10.5)
-        self.assertFalse(self.watch.is_silent(1e9))
+    def test_any_received_byte_resets_the_detector(self) -> None:
+        self.detector.record_request(0.06, 10.0)
+        self.detector.record_receipt(10.5)
+        self.assertFalse(self.detector.is_silent(1e9))
 
     def test_one_way_messages_probe_once_until_the_answer_is_due(self) -> None:
-        self.assertFalse(self.watch.must_probe(10.0 + PROBE_AFTER_S))
-        self.assertTrue(self.watch.must_probe(10.1 + PROBE_AFTER_S))
-        self.watch.note_request(0.0, 10.1 + PROBE_AFTER_S)
-        self.assertFalse(self.watch.must_probe(10.2 + PROBE_AFTER_S))
-
-    def test_a_request_that_waits_long_does_not_replace_the_probe(self) -> None:
-        self.watch.note_request(100.0, 10.0)
-        self.assertTrue(self.watch.must_probe(10.1 + PROBE_AFTER_S))
+        self.assertFalse(self.detector.should_probe(10.0 + PROBE_AFTER_S))
+        self.assertTrue(self.detector.should_probe(10.1 + PROBE_AFTER_S))
+        self.detector.record_request(0.0, 10.1 + PROBE_AFTER_S)
+        self.assertFalse(self.detector.should_probe(10.2 + PROBE_AFTER_S))
+
+    def test_long_request_does_not_replace_the_probe(self) -> None:
+        self.detector.record_request(100.0, 10.0)
+        self.assertTrue(self.detector.should_probe(10.1 + PROBE_AFTER_S))
