--- a/src/bendshed/catalog/codec.py
+++ b/src/bendshed/catalog/codec.py
@@ -15,53 +15,53 @@
 from bendshed.ports.registry import ReplicaNode
 from bendshed.wire import catalog_pb2 as wire
 
-PLAIN_START = b"{"
+JSON_PREFIX = b"{"
 """A document that an earlier version of the program saved."""
 
 
-class DocumentUnreadable(Exception):
+class DocumentDecodeError(Exception):
     """The bytes are no document of this version of the program."""
 
 
-def write_address(address: Address, zone: str = "") -> wire.PeerAddress:
+def address_to_wire(address: Address, zone: str = "") -> wire.PeerAddress:
     """Translate an address for the wire."""
     return wire.PeerAddress(host=address.host, port=address.port, zone=zone)
 
 
-def read_peer(address: wire.PeerAddress) -> Address:
+def address_from_wire(address: wire.PeerAddress) -> Address:
     """Translate an address from the wire."""
     return Address(address.host, address.port)
 
 
-def write_document(document: ServiceDocument) -> bytes:
+def encode_document(document: ServiceDocument) -> bytes:
     """Write a document; routes and tenants are much alike, so it shrinks to a fraction."""
     return zlib.compress(msgspec.json.encode(document))
 
 
-def read_document(content: bytes) -> ServiceDocument:
-    """Read a document, also one that was saved as plain JSON; raise ``DocumentUnreadable``."""
+def decode_document(content: bytes) -> ServiceDocument:
+    """Read a document, also one that was saved as plain JSON; raise ``DocumentDecodeError``."""
     try:
-        plain = content if content.startswith(PLAIN_START) else zlib.decompress(content)
+        plain = content if content.startswith(JSON_PREFIX) else zlib.decompress(content)
         return msgspec.json.decode(plain, type=ServiceDocument)
     except (zlib.error, msgspec.DecodeError) as error:
-        raise DocumentUnreadable(str(error)) from error
+        raise DocumentDecodeError(str(error)) from error
 
 
-def write_reply(catalog: Catalog, since: int, known_version: int) -> wire.CatalogReply:
+def make_reply(catalog: Catalog, since: int, known_version: int) -> wire.CatalogReply:
     """Write what a node lacks that knows a revision and a version."""
     reply = wire.CatalogReply(document_version=catalog.version)
     if catalog.document is not None and catalog.version > known_version:
-        reply.document = catalog.written(write_document)
+        reply.document = catalog.written(encode_document)
     if catalog.runners_at:
         changes = catalog.changes_since(since)
         reply.has_runners = True
         reply.since = changes.since
         reply.runners_at = changes.at
         reply.runners.extend(
-            _write_runner(known, catalog.cold.left_ms(known.runner.runner_id))
+            _runner_to_wire(known, catalog.cold.left_ms(known.runner.runner_id))
             for known in changes.runners
         )
-        reply.removed.extend(_write_removal(gone) for gone in changes.removed)
+        reply.removed.extend(_removal_to_wire(removal) for removal in changes.removed)
     return reply
 
 
@@ -85,13 +85,13 @@
 
 def encode_stored(stored: StoredCatalog) -> bytes:
     """Write what is saved."""
-    everything = write_reply(stored.catalog, since=0, known_version=0)
-    everything.replicas.extend(to_wire(node) for node in stored.replicas)
-    everything.fronts.extend(write_address(front) for front in stored.fronts)
-    add_zones(everything, stored.zones, known_at=0)
-    everything.lost.extend(stored.lost)
-    everything.proven_lost.extend(stored.proven_lost)
-    return everything.SerializeToString()
+    reply = make_reply(stored.catalog, since=0, known_version=0)
+    reply.replicas.extend(to_wire(node) for node in stored.replicas)
+    reply.fronts.extend(address_to_wire(front) for front in stored.fronts)
+    add_zones(reply, stored.zones, known_at=0)
+    reply.lost.extend(stored.lost)
+    reply.proven_lost.extend(stored.proven_lost)
+    return reply.SerializeToString()
 
 
 def decode_stored(content: bytes | None) -> StoredCatalog:
@@ -99,25 +99,25 @@
     if content is None:
         return StoredCatalog()
     try:
-        everything = wire.CatalogReply.FromString(content)
+        reply = wire.CatalogReply.FromString(content)
         return StoredCatalog(
-            _read_catalog(everything),
-            tuple(from_wire(hello) for hello in everything.replicas),
-            tuple(read_peer(front) for front in everything.fronts),
-            read_zones(everything),
-            tuple(everything.lost),
-            tuple(everything.proven_lost),
+            _catalog_from_wire(reply),
+            tuple(from_wire(replica) for replica in reply.replicas),
+            tuple(address_from_wire(front) for front in reply.fronts),
+            zones_from_wire(reply),
+            tuple(reply.lost),
+            tuple(reply.proven_lost),
         )
-    except (DecodeError, DocumentUnreadable):
+    except (DecodeError, DocumentDecodeError):
         return StoredCatalog()
 
 
-def _read_catalog(reply: wire.CatalogReply) -> Catalog:
+def _catalog_from_wire(reply: wire.CatalogReply) -> Catalog:
     catalog = Catalog()
     if reply.document:
-        catalog.take_document(read_document(reply.document))
+        catalog.take_document(decode_document(reply.document))
     if reply.has_runners:
-        runners = [read_runner(row) for row in reply.runners]
+        runners = [runner_from_wire(row) for row in reply.runners]
         catalog.list_runners(runners, reply.runners_at, is_trusted=False)
     return catalog
 
@@ -132,18 +132,18 @@
         reply.reopened.add(zone=zone, ago_ms=int(ago_s * 1000))
 
 
-def read_zones(reply: wire.CatalogReply) -> ZoneUpdate:
+def zones_from_wire(reply: wire.CatalogReply) -> ZoneUpdate:
     """Read closed zones of a reply whose revision is above the requesting node's."""
     zones = ClosedZones(reply.zones_at, frozenset(reply.closed_zones))
     return ZoneUpdate(zones, {row.zone: row.ago_ms / 1000 for row in reply.reopened})
 
 
-def _write_runner(known: KnownRunner, cold_left_ms: int) -> wire.CatalogRunner:
+def _runner_to_wire(known: KnownRunner, cold_left_ms: int) -> wire.CatalogRunner:
     runner = known.runner
     return wire.CatalogRunner(
         runner_id=runner.runner_id,
         service=runner.service,
-        address=write_address(runner.address),
+        address=address_to_wire(runner.address),
         zone=runner.zone,
         slots=runner.slots,
         is_draining=runner.state is RunnerState.DRAINING,
@@ -152,13 +152,13 @@
     )
 
 
-def read_runner(row: wire.CatalogRunner) -> KnownRunner:
+def runner_from_wire(row: wire.CatalogRunner) -> KnownRunner:
     """Translate a runner from the wire."""
     state = RunnerState.DRAINING if row.is_draining else RunnerState.READY
     runner = ServiceRunner(
         row.runner_id,
         row.service,
-        read_peer(row.address),
+        address_from_wire(row.address),
         row.zone,
         row.slots,
         state,
@@ -167,7 +167,7 @@
     return KnownRunner(runner, row.revision)
 
 
-def _write_removal(gone: Removal) -> wire.RemovedRunner:
+def _removal_to_wire(removal: Removal) -> wire.RemovedRunner:
     return wire.RemovedRunner(
-        runner_id=gone.runner_id, revision=gone.revision, is_trusted=gone.is_trusted
+        runner_id=removal.runner_id, revision=removal.revision, is_trusted=removal.is_trusted
     )
--- a/src/bendshed/catalog/messages.py
+++ b/src/bendshed/catalog/messages.py
@@ -6,7 +6,12 @@
 
 from dataclasses import dataclass
 
-from bendshed.catalog.codec import read_peer, read_runner, read_zones, write_address
+from bendshed.catalog.codec import (
+    address_from_wire,
+    address_to_wire,
+    runner_from_wire,
+    zones_from_wire,
+)
 from bendshed.catalog.state import KnownRunner, Removal
 from bendshed.consensus.directory import from_wire
 from bendshed.model.address import Address
@@ -54,7 +59,7 @@
         runners_at=request.runners_at,
         document_version=request.document_version,
         wait_ms=int(request.wait_s * 1000),
-        asker=write_address(request.requester, request.requester_zone),
+        asker=address_to_wire(request.requester, request.requester_zone),
         directory_digest=request.directory_digest,
         is_replica=request.is_replica,
         zones_at=request.zones_at,
@@ -67,7 +72,7 @@
     """Decode a request; raise ``DecodeError``."""
     request = wire.CatalogRequest.FromString(content)
     return ReadRequest(
-        read_peer(request.asker),
+        address_from_wire(request.asker),
         request.asker.zone,
         request.runners_at,
         request.document_version,
@@ -166,7 +171,7 @@
         reply.document_version,
         reply.document,
         _read_runners(reply) if reply.has_runners else None,
-        read_zones(reply),
+        zones_from_wire(reply),
         _read_directory(reply) if reply.has_directory else None,
         reply.directory_digest,
         read_fronts(reply),
@@ -175,7 +180,7 @@
 
 def _read_runners(reply: wire.CatalogReply) -> RunnerUpdate:
     removed = (Removal(gone.runner_id, gone.revision, gone.is_trusted) for gone in reply.removed)
-    runners = tuple(read_runner(row) for row in reply.runners)
+    runners = tuple(runner_from_wire(row) for row in reply.runners)
     return RunnerUpdate(reply.since, reply.runners_at, runners, tuple(removed))
 
 
@@ -186,4 +191,4 @@
 
 def read_fronts(reply: wire.CatalogReply) -> tuple[FrontPlace, ...]:
     """Decode the fronts that a machine names."""
-    return tuple(FrontPlace(read_peer(front), front.zone) for front in reply.fronts)
+    return tuple(FrontPlace(address_from_wire(front), front.zone) for front in reply.fronts)
--- a/src/bendshed/catalog/relay_list.py
+++ b/src/bendshed/catalog/relay_list.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Iterable, Mapping
 
-from bendshed.catalog.codec import write_address
+from bendshed.catalog.codec import address_to_wire
 from bendshed.catalog.messages import FrontPlace
 from bendshed.model.address import Address
 from bendshed.paths.host_locations import HostLocations
@@ -112,4 +112,4 @@
         return self._rng.sample(fronts, min(most, len(fronts)))
 
     def _write(self, front: Address) -> wire.PeerAddress:
-        return write_address(front, self._host_locations.zone_of(front.host))
+        return address_to_wire(front, self._host_locations.zone_of(front.host))
--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from bendshed.catalog.codec import add_zones, write_reply
+from bendshed.catalog.codec import add_zones, make_reply
 from bendshed.catalog.demand import Demand
 from bendshed.catalog.messages import ReadRequest, read_request
 from bendshed.catalog.relay_list import RelayList
@@ -73,7 +73,7 @@
         return self._directory.digest() != request.directory_digest
 
     def _reply(self, request: ReadRequest) -> wire.CatalogReply:
-        reply = write_reply(self._catalog.catalog, request.runners_at, request.document_version)
+        reply = make_reply(self._catalog.catalog, request.runners_at, request.document_version)
         now_s = asyncio.get_running_loop().time()
         add_zones(reply, self._catalog.zones.record.make_update(now_s), request.zones_at)
         reply.age_ms = self._catalog.confirmations.age_ms()
--- a/src/bendshed/catalog/update_intake.py
+++ b/src/bendshed/catalog/update_intake.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from bendshed.catalog.codec import DocumentUnreadable, read_document
+from bendshed.catalog.codec import DocumentDecodeError, decode_document
 from bendshed.catalog.messages import CatalogUpdate, RunnerUpdate
 from bendshed.catalog.state import KnownRunner
 from bendshed.catalog.times import CatalogTimes
@@ -70,8 +70,8 @@
         if not update.document or update.document_version <= self.version:
             return
         try:
-            document = read_document(update.document)
-        except DocumentUnreadable as error:
+            document = decode_document(update.document)
+        except DocumentDecodeError as error:
             log.say("configuration ignored: unreadable", reason=str(error))
             return
         if self._taker.take_document(document):
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -6,7 +6,7 @@
 import orjson
 
 from bendshed.admission.access import AccessIndex
-from bendshed.catalog.codec import StoredCatalog, decode_stored, encode_stored, read_document
+from bendshed.catalog.codec import StoredCatalog, decode_document, decode_stored, encode_stored
 from bendshed.catalog.state import Catalog
 from bendshed.errors import Refusal
 from bendshed.identifiers import credential_digest
@@ -165,7 +165,7 @@
 
     def test_a_document_kept_as_plain_json_opens(self) -> None:
         known = document()
-        self.assertEqual(read_document(_plain(known)), known)
+        self.assertEqual(decode_document(_plain(known)), known)
 
 
 def _plain(known: ServiceDocument) -> bytes:
--- a/tests/test_cold_runner_dispatch.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -12,8 +12,8 @@
     StoredCatalog,
     decode_stored,
     encode_stored,
-    read_runner,
-    write_reply,
+    make_reply,
+    runner_from_wire,
 )
 from bendshed.catalog.cold_runner_tracker import ColdRunnerTracker
 from bendshed.catalog.state import Catalog, KnownRunner
@@ -75,8 +75,8 @@
         self.catalog.take_document(DOCUMENT)
 
     def reported_cold_ms(self, catalog: Catalog) -> dict[str, int]:
-        rows = write_reply(catalog, since=0, known_version=0).runners
-        return {row.runner_id: read_runner(row).runner.cold_left_ms for row in rows}
+        rows = make_reply(catalog, since=0, known_version=0).runners
+        return {row.runner_id: runner_from_wire(row).runner.cold_left_ms for row in rows}
 
     def test_reply_subtracts_the_elapsed_time(self) -> None:
         runners = [KnownRunner(runner("a", 5_000), 1), KnownRunner(runner("b"), 2)]
@@ -89,12 +89,12 @@
     def test_receiver_counts_from_the_receipt(self) -> None:
         self.catalog.list_runners([KnownRunner(runner("a", 5_000), 1)], 1, is_trusted=True)
         self.clock.now_s += 3.0
-        rows = write_reply(self.catalog, since=0, known_version=0).runners
+        rows = make_reply(self.catalog, since=0, known_version=0).runners
         other_clock = Clock(7.0)
         receiver = Catalog()
         receiver.begin_incarnation(other_clock)
         receiver.take_document(DOCUMENT)
-        receiver.list_runners([read_runner(row) for row in rows], 1, is_trusted=True)
+        receiver.list_runners([runner_from_wire(row) for row in rows], 1, is_trusted=True)
         other_clock.now_s += 1.9
         self.assertTrue(receiver.cold.is_cold("a"))
         other_clock.now_s += 0.2
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -7,7 +7,7 @@
     add_zones,
     decode_stored,
     encode_stored,
-    read_zones,
+    zones_from_wire,
 )
 from bendshed.catalog.follower import REPLY_MARGIN_S
 from bendshed.catalog.state import Catalog, KnownRunner
@@ -179,7 +179,7 @@
     def test_closed_zones_go_to_who_knows_an_older_revision(self) -> None:
         reply = wire.CatalogReply()
         add_zones(reply, update(9, "b", a=2.5), known_at=5)
-        self.assertEqual(read_zones(reply), update(9, "b", a=2.5))
+        self.assertEqual(zones_from_wire(reply), update(9, "b", a=2.5))
         reply = wire.CatalogReply()
         add_zones(reply, update(9, "b", a=2.5), known_at=9)
         self.assertEqual((reply.zones_at, list(reply.closed_zones)), (9, []))
