--- a/src/bendshed/catalog/demand.py
+++ b/src/bendshed/catalog/demand.py
@@ -45,7 +45,7 @@
         self.on_pace: list[Callable[[ReadingPace], None]] = []
         self._times = times
         self._replicas_at_s: dict[Address, float] = {}
-        self._num_behind: dict[Address, int] = {}
+        self._num_dependent_fronts: dict[Address, int] = {}
 
     def note(self, request: ReadRequest) -> bool:
         """Count a requesting node; ``True``: it is new here."""
@@ -53,15 +53,17 @@
         is_new = request.requester not in at_s
         at_s[request.requester] = asyncio.get_running_loop().time()
         if request.is_replica:
-            self._num_behind[request.requester] = request.num_behind
+            self._num_dependent_fronts[request.requester] = request.num_dependent_fronts
         return is_new
 
     @property
     def num_relying(self) -> int:
         """Fronts and replica machines that rely on this one, with those that rely on these."""
         replicas = self._lately(self._replicas_at_s)
-        num_behind = sum(self._num_behind.get(replica, 0) for replica in replicas)
-        return self.num_fronts + len(replicas) + num_behind
+        num_dependent_fronts = sum(
+            self._num_dependent_fronts.get(replica, 0) for replica in replicas
+        )
+        return self.num_fronts + len(replicas) + num_dependent_fronts
 
     @property
     def num_fronts(self) -> int:
@@ -92,8 +94,10 @@
         ):
             for node in [node for node, at_s in known.items() if now_s - at_s > memory_s]:
                 del known[node]
-        for replica in [name for name in self._num_behind if name not in self._replicas_at_s]:
-            del self._num_behind[replica]
+        for replica in [
+            name for name in self._num_dependent_fronts if name not in self._replicas_at_s
+        ]:
+            del self._num_dependent_fronts[replica]
 
     def follow(self) -> None:
         """Read the registry often while enough nodes rely on this machine, rarely else."""
--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -15,7 +15,7 @@
 from bendshed.catalog.demand import is_shared
 from bendshed.catalog.freshness import Freshness
 from bendshed.catalog.known_fronts import KnownFronts
-from bendshed.catalog.messages import CatalogUpdate, ReadRequest, read_update, write_request
+from bendshed.catalog.messages import CatalogUpdate, ReadRequest, decode_update, encode_request
 from bendshed.catalog.reader_choice import ReaderChoice, RequestingNode
 from bendshed.catalog.server import CATALOG_METHOD
 from bendshed.catalog.times import CatalogTimes
@@ -78,7 +78,7 @@
         times: how often, and how old an update may be.
         rng: spreads retries.
         may_share: whether one machine may read the registry for all.
-        num_behind: fronts that rely on this node, if it is a replica machine.
+        num_dependent_fronts: fronts that rely on this node, if it is a replica machine.
         is_replica: whether it is one.
 
     Attributes:
@@ -96,7 +96,7 @@
         times: CatalogTimes,
         rng: random.Random,
         may_share: bool = True,
-        num_behind: Callable[[], int] = lambda: 0,
+        num_dependent_fronts: Callable[[], int] = lambda: 0,
         is_replica: bool = False,
     ) -> None:
         self._paths = paths
@@ -105,7 +105,7 @@
         self._times = times
         self._rng = rng
         self._may_share = may_share
-        self._num_behind = num_behind
+        self._num_dependent_fronts = num_dependent_fronts
         self._is_replica = is_replica
         near = paths.host_locations
         self._choice = ReaderChoice(RequestingNode(me, near.zone, near.places, is_replica))
@@ -241,7 +241,7 @@
         waits says nothing of its path meanwhile.
         """
         wait_s = self._wait_s(machine) if waits_there else 0.0
-        request = write_request(self._request_for(machine, wait_s))
+        request = encode_request(self._request_for(machine, wait_s))
         paths = self._paths.direct if waits_there else self._paths.relayed
         round_trip_s = self._paths.host_locations.expected_round_trip_s(
             machine.host, self._paths.direct.round_trip_s(machine)
@@ -251,7 +251,7 @@
             content = await paths.request(machine, CATALOG_METHOD, request, timeout_s)
         except PeerUnreachable:
             return None
-        return read_update(content)
+        return decode_update(content)
 
     def _request_for(self, machine: Address, wait_s: float) -> ReadRequest:
         """What this node knows; a replica machine's zone is known from its announcement."""
@@ -266,7 +266,7 @@
             directory_digest=self.upstream.directory_digest if knows_directory else 0,
             is_replica=self._is_replica,
             is_cut_off=self._is_relayed(machine),
-            num_behind=self._num_behind(),
+            num_dependent_fronts=self._num_dependent_fronts(),
         )
 
     def _wait_s(self, machine: Address) -> float:
--- a/src/bendshed/catalog/front_exchange.py
+++ b/src/bendshed/catalog/front_exchange.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from bendshed.catalog.demand import GREETED_S, Demand
-from bendshed.catalog.messages import read_fronts
+from bendshed.catalog.messages import fronts_from_wire
 from bendshed.catalog.persistence import CatalogPersistence
 from bendshed.catalog.relay_list import RelayList
 from bendshed.consensus.directory import HELLO_METHOD, ReplicaDirectory, to_wire
@@ -58,7 +58,7 @@
         That machine may lose its disk with its power while the registry is away: then nobody else
         tells the fronts of any machine.
         """
-        named = read_fronts(wire.CatalogReply.FromString(payload))
+        named = fronts_from_wire(wire.CatalogReply.FromString(payload))
         self._relay_list.take_named(named)
         now_s = asyncio.get_running_loop().time()
         self._named_at_s.update((front.address, now_s) for front in named)
--- a/src/bendshed/catalog/messages.py
+++ b/src/bendshed/catalog/messages.py
@@ -37,7 +37,7 @@
         directory_digest: of the directory that the same machine sent last; 0: none.
         is_replica: it holds replicas itself and relays nothing.
         is_cut_off: only relays reach the machine from it: it is no relay for others.
-        num_behind: fronts that rely on it, if it holds replicas.
+        num_dependent_fronts: fronts that rely on it, if it holds replicas.
 
     """
 
@@ -50,10 +50,10 @@
     directory_digest: int
     is_replica: bool
     is_cut_off: bool
-    num_behind: int
+    num_dependent_fronts: int
 
 
-def write_request(request: ReadRequest) -> bytes:
+def encode_request(request: ReadRequest) -> bytes:
     """Encode a request."""
     return wire.CatalogRequest(
         runners_at=request.runners_at,
@@ -64,11 +64,11 @@
         is_replica=request.is_replica,
         zones_at=request.zones_at,
         is_cut_off=request.is_cut_off,
-        num_behind=request.num_behind,
+        num_behind=request.num_dependent_fronts,
     ).SerializeToString()
 
 
-def read_request(content: bytes) -> ReadRequest:
+def decode_request(content: bytes) -> ReadRequest:
     """Decode a request; raise ``DecodeError``."""
     request = wire.CatalogRequest.FromString(content)
     return ReadRequest(
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FrontPlace:
+class FrontLocation:
     """A front that may relay requests, and its zone (empty: not said)."""
 
     address: Address
@@ -148,7 +148,7 @@
     zones: ZoneUpdate
     directory: DirectoryUpdate | None
     directory_digest: int
-    fronts: tuple[FrontPlace, ...]
+    fronts: tuple[FrontLocation, ...]
 
     @property
     def age_s(self) -> float:
@@ -161,7 +161,7 @@
         return self.age_ms if self.age_ms < NEVER_CONFIRMED_MS else None
 
 
-def read_update(content: bytes) -> CatalogUpdate:
+def decode_update(content: bytes) -> CatalogUpdate:
     """Decode a reply; raise ``DecodeError``."""
     reply = wire.CatalogReply.FromString(content)
     return CatalogUpdate(
@@ -170,25 +170,28 @@
         reply.is_lost,
         reply.document_version,
         reply.document,
-        _read_runners(reply) if reply.has_runners else None,
+        _runners_from_wire(reply) if reply.has_runners else None,
         zones_from_wire(reply),
-        _read_directory(reply) if reply.has_directory else None,
+        _directory_from_wire(reply) if reply.has_directory else None,
         reply.directory_digest,
-        read_fronts(reply),
+        fronts_from_wire(reply),
     )
 
 
-def _read_runners(reply: wire.CatalogReply) -> RunnerUpdate:
-    removed = (Removal(gone.runner_id, gone.revision, gone.is_trusted) for gone in reply.removed)
+def _runners_from_wire(reply: wire.CatalogReply) -> RunnerUpdate:
+    removed = (
+        Removal(removal.runner_id, removal.revision, removal.is_trusted)
+        for removal in reply.removed
+    )
     runners = tuple(runner_from_wire(row) for row in reply.runners)
     return RunnerUpdate(reply.since, reply.runners_at, runners, tuple(removed))
 
 
-def _read_directory(reply: wire.CatalogReply) -> DirectoryUpdate:
-    replicas = tuple(from_wire(hello) for hello in reply.replicas)
+def _directory_from_wire(reply: wire.CatalogReply) -> DirectoryUpdate:
+    replicas = tuple(from_wire(replica) for replica in reply.replicas)
     return DirectoryUpdate(replicas, tuple(reply.retiring) if reply.knows_retiring else None)
 
 
-def read_fronts(reply: wire.CatalogReply) -> tuple[FrontPlace, ...]:
+def fronts_from_wire(reply: wire.CatalogReply) -> tuple[FrontLocation, ...]:
     """Decode the fronts that a machine names."""
-    return tuple(FrontPlace(address_from_wire(front), front.zone) for front in reply.fronts)
+    return tuple(FrontLocation(address_from_wire(front), front.zone) for front in reply.fronts)
--- a/src/bendshed/catalog/relay_list.py
+++ b/src/bendshed/catalog/relay_list.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 
 from bendshed.catalog.codec import address_to_wire
-from bendshed.catalog.messages import FrontPlace
+from bendshed.catalog.messages import FrontLocation
 from bendshed.model.address import Address
 from bendshed.paths.host_locations import HostLocations
 from bendshed.wire import catalog_pb2 as wire
@@ -44,7 +44,7 @@
         else:
             self._cut_off.discard(front)
 
-    def take_named(self, fronts: Iterable[FrontPlace]) -> None:
+    def take_named(self, fronts: Iterable[FrontLocation]) -> None:
         """Another replica machine named fronts that send it requests."""
         now_s = asyncio.get_running_loop().time()
         for front in fronts:
--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -82,7 +82,7 @@
             times,
             rng,
             may_share=policy.shared_reading and policy.replicas_follow,
-            num_behind=lambda: self.demand.num_fronts,
+            num_dependent_fronts=lambda: self.demand.num_fronts,
             is_replica=True,
         )
         self.server = CatalogServer(
--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -4,7 +4,7 @@
 
 from bendshed.catalog.codec import add_zones, make_reply
 from bendshed.catalog.demand import Demand
-from bendshed.catalog.messages import ReadRequest, read_request
+from bendshed.catalog.messages import ReadRequest, decode_request
 from bendshed.catalog.relay_list import RelayList
 from bendshed.catalog.replica_catalog import ReplicaCatalog
 from bendshed.catalog.upstream import Upstream
@@ -42,7 +42,7 @@
 
     async def answer(self, payload: bytes) -> bytes:
         """Reply to a request as it came; one that brings no news waits as long as it may."""
-        request = read_request(payload)
+        request = decode_request(payload)
         self._note(request)
         if not self._has_news(request):
             await self._catalog.wait_for_change(request.wait_s)
