--- a/src/bendshed/catalog/demand.py
+++ b/src/bendshed/catalog/demand.py
@@ -22,9 +22,9 @@
 log = PartLog("catalog")
 
 
-def is_shared(num_relying: int) -> bool:
+def is_shared(num_dependents: int) -> bool:
     """Whether one machine on which so many nodes rely reads the registry for all of them."""
-    return num_relying >= MIN_SHARED_REQUESTERS
+    return num_dependents >= MIN_SHARED_REQUESTERS
 
 
 class Demand:
@@ -57,7 +57,7 @@
         return is_new
 
     @property
-    def num_relying(self) -> int:
+    def num_dependents(self) -> int:
         """Fronts and replica machines that rely on this one, with those that rely on these."""
         replicas = self._lately(self._replicas_at_s)
         num_dependent_fronts = sum(
@@ -101,8 +101,8 @@
 
     def follow(self) -> None:
         """Read the registry often while enough nodes rely on this machine, rarely else."""
-        num_relying = self.num_relying
-        is_in_demand = is_shared(num_relying)
+        num_dependents = self.num_dependents
+        is_in_demand = is_shared(num_dependents)
         pace = self._times.pace(is_in_demand)
         if pace == self.pace:
             return
@@ -110,7 +110,7 @@
         log.say(
             "registry reading pace changed: demand of other nodes",
             is_in_demand=is_in_demand,
-            askers=num_relying,
+            askers=num_dependents,
             every_s=pace.wait_s,
         )
         for on_pace in self.on_pace:
--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -221,7 +221,7 @@
         If it cannot, it avoids itself as others do, and follows the next.
         """
         self._is_shared = False
-        self.upstream.machine, self.upstream.num_relying = None, 0
+        self.upstream.machine, self.upstream.num_dependents = None, 0
         if self._is_lost_here:
             self._avoid(self._me, "the registry is lost here")
         if self._directory.own_node is not None:
@@ -286,8 +286,8 @@
         self.upstream.directory_digest = update.directory_digest
         self.first_update.set()
         self._take_fronts(update)
-        self.upstream.num_relying = update.num_relying
-        self._is_shared = self._may_share and is_shared(update.num_relying)
+        self.upstream.num_dependents = update.num_dependents
+        self._is_shared = self._may_share and is_shared(update.num_dependents)
         if self._is_shared and is_current and update.age_s < self._times.max_age_s:
             self._intake.confirm(update.age_s)
             self._freshness.renew(self._times.max_age_s - update.age_s)
--- a/src/bendshed/catalog/messages.py
+++ b/src/bendshed/catalog/messages.py
@@ -128,7 +128,7 @@
 
     Attributes:
         age_ms: since the registry last confirmed all of it.
-        num_relying: fronts and replica machines that rely on the machine.
+        num_dependents: fronts and replica machines that rely on the machine.
         is_lost: the registry does not answer the machine, so it must not be relied on.
         document_version: of the configuration that the machine knows.
         document: that configuration, encoded; empty: it is not newer than the requesting node's.
@@ -140,7 +140,7 @@
     """
 
     age_ms: int
-    num_relying: int
+    num_dependents: int
     is_lost: bool
     document_version: int
     document: bytes
--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -77,7 +77,9 @@
         now_s = asyncio.get_running_loop().time()
         add_zones(reply, self._catalog.zones.record.make_update(now_s), request.zones_at)
         reply.age_ms = self._catalog.confirmations.age_ms()
-        reply.num_askers = max(self._demand.num_relying, self._upstream.num_relying_across_regions)
+        reply.num_askers = max(
+            self._demand.num_dependents, self._upstream.num_dependents_across_regions
+        )
         reply.is_lost = self._is_lost_for(request)
         self._add_directory(reply, request)
         if not request.is_replica:
--- a/src/bendshed/catalog/upstream.py
+++ b/src/bendshed/catalog/upstream.py
@@ -15,7 +15,7 @@
         is_replica: this node is a replica machine.
         machine: ``None``: this node reads the registry itself, or was sent nothing yet.
         directory_digest: of the directory that the machine sent.
-        num_relying: nodes that rely on the machine, with those that rely on these.
+        num_dependents: nodes that rely on the machine, with those that rely on these.
         is_fresh: the registry confirmed the catalog lately enough that this node need not read it.
 
     """
@@ -24,7 +24,7 @@
     is_replica: bool
     machine: Address | None = None
     directory_digest: int = 0
-    num_relying: int = 0
+    num_dependents: int = 0
     is_fresh: bool = False
 
     @property
@@ -39,6 +39,6 @@
         return self.is_regional_reader and self.is_fresh
 
     @property
-    def num_relying_across_regions(self) -> int:
+    def num_dependents_across_regions(self) -> int:
         """Nodes that rely on the machine of another region; 0: this is no regional reader."""
-        return self.num_relying if self.is_regional_reader else 0
+        return self.num_dependents if self.is_regional_reader else 0
