--- a/src/bendshed/catalog/demand.py
+++ b/src/bendshed/catalog/demand.py
@@ -9,20 +9,20 @@
 from bendshed.logs import PartLog
 from bendshed.model.address import Address
 
-REQUESTER_MEMORY_S = 3.0
+REQUESTER_EXPIRY_S = 3.0
 """A node whose last request is older than this does not rely on the machine any more."""
 MIN_SHARED_REQUESTERS = 8
 """From this many nodes on it costs the registry less to be read by one machine for all of them,
 several times a second, than by each of them (docs/design/0004)."""
 SILENT_REQUESTER_S = 1.2
 """A front without a request for this long may have started again and know no replica machine."""
-GREETED_S = 30.0
+SILENT_FRONT_EXPIRY_S = 30.0
 """A front that has been silent for this long is forgotten, unless the registry is away."""
 
 log = PartLog("catalog")
 
 
-def is_shared(num_dependents: int) -> bool:
+def is_reading_shared(num_dependents: int) -> bool:
     """Whether one machine on which so many nodes rely reads the registry for all of them."""
     return num_dependents >= MIN_SHARED_REQUESTERS
 
@@ -33,23 +33,23 @@
     All times are of the loop's clock.
 
     Attributes:
-        fronts_at_s: when each front requested it last.
+        front_requested_at_s: when each front requested it last.
         pace: how this machine reads the registry now.
-        on_pace: called when that has changed.
+        on_pace_change: called when that has changed.
 
     """
 
     def __init__(self, times: CatalogTimes) -> None:
-        self.fronts_at_s: dict[Address, float] = {}
+        self.front_requested_at_s: dict[Address, float] = {}
         self.pace = times.pace(in_demand=False)
-        self.on_pace: list[Callable[[ReadingPace], None]] = []
+        self.on_pace_change: list[Callable[[ReadingPace], None]] = []
         self._times = times
-        self._replicas_at_s: dict[Address, float] = {}
+        self._replica_requested_at_s: dict[Address, float] = {}
         self._num_dependent_fronts: dict[Address, int] = {}
 
-    def note(self, request: ReadRequest) -> bool:
+    def record_request(self, request: ReadRequest) -> bool:
         """Count a requesting node; ``True``: it is new here."""
-        at_s = self._replicas_at_s if request.is_replica else self.fronts_at_s
+        at_s = self._replica_requested_at_s if request.is_replica else self.front_requested_at_s
         is_new = request.requester not in at_s
         at_s[request.requester] = asyncio.get_running_loop().time()
         if request.is_replica:
@@ -59,7 +59,7 @@
     @property
     def num_dependents(self) -> int:
         """Fronts and replica machines that rely on this one, with those that rely on these."""
-        replicas = self._lately(self._replicas_at_s)
+        replicas = self._recent(self._replica_requested_at_s)
         num_dependent_fronts = sum(
             self._num_dependent_fronts.get(replica, 0) for replica in replicas
         )
@@ -68,41 +68,43 @@
     @property
     def num_fronts(self) -> int:
         """Fronts that requested the catalog of this machine lately."""
-        return len(self._lately(self.fronts_at_s))
+        return len(self._recent(self.front_requested_at_s))
 
-    def _lately(self, requested_at_s: dict[Address, float]) -> list[Address]:
-        oldest_s = asyncio.get_running_loop().time() - REQUESTER_MEMORY_S
+    def _recent(self, requested_at_s: dict[Address, float]) -> list[Address]:
+        oldest_s = asyncio.get_running_loop().time() - REQUESTER_EXPIRY_S
         return [node for node, at_s in requested_at_s.items() if at_s >= oldest_s]
 
     def silent_fronts(self) -> list[Address]:
         """Fronts that requested the catalog of this machine and do not any more."""
         now_s = asyncio.get_running_loop().time()
         return [
-            front for front, at_s in self.fronts_at_s.items() if now_s - at_s > SILENT_REQUESTER_S
+            front
+            for front, at_s in self.front_requested_at_s.items()
+            if now_s - at_s > SILENT_REQUESTER_S
         ]
 
-    def forget_silent(self, keeps_fronts: bool) -> None:
+    def expire_silent(self, keep_fronts: bool) -> None:
         """Forget nodes that have been silent for long.
 
-        ``keeps_fronts``: the registry does not answer, so a front that starts again learns of no
+        ``keep_fronts``: the registry does not answer, so a front that starts again learns of no
         machine elsewhere.
         """
         now_s = asyncio.get_running_loop().time()
-        for known, memory_s in (
-            (self.fronts_at_s, math.inf if keeps_fronts else GREETED_S),
-            (self._replicas_at_s, REQUESTER_MEMORY_S),
+        for known, expiry_s in (
+            (self.front_requested_at_s, math.inf if keep_fronts else SILENT_FRONT_EXPIRY_S),
+            (self._replica_requested_at_s, REQUESTER_EXPIRY_S),
         ):
-            for node in [node for node, at_s in known.items() if now_s - at_s > memory_s]:
+            for node in [node for node, at_s in known.items() if now_s - at_s > expiry_s]:
                 del known[node]
         for replica in [
-            name for name in self._num_dependent_fronts if name not in self._replicas_at_s
+            name for name in self._num_dependent_fronts if name not in self._replica_requested_at_s
         ]:
             del self._num_dependent_fronts[replica]
 
-    def follow(self) -> None:
+    def update_pace(self) -> None:
         """Read the registry often while enough nodes rely on this machine, rarely else."""
         num_dependents = self.num_dependents
-        is_in_demand = is_shared(num_dependents)
+        is_in_demand = is_reading_shared(num_dependents)
         pace = self._times.pace(is_in_demand)
         if pace == self.pace:
             return
@@ -113,5 +115,5 @@
             askers=num_dependents,
             every_s=pace.wait_s,
         )
-        for on_pace in self.on_pace:
-            on_pace(pace)
+        for on_pace_change in self.on_pace_change:
+            on_pace_change(pace)
--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from bendshed.catalog.demand import is_shared
+from bendshed.catalog.demand import is_reading_shared
 from bendshed.catalog.freshness import Freshness
 from bendshed.catalog.known_fronts import KnownFronts
 from bendshed.catalog.messages import CatalogUpdate, ReadRequest, decode_update, encode_request
@@ -287,7 +287,7 @@
         self.first_update.set()
         self._take_fronts(update)
         self.upstream.num_dependents = update.num_dependents
-        self._is_shared = self._may_share and is_shared(update.num_dependents)
+        self._is_shared = self._may_share and is_reading_shared(update.num_dependents)
         if self._is_shared and is_current and update.age_s < self._times.max_age_s:
             self._intake.confirm(update.age_s)
             self._freshness.renew(self._times.max_age_s - update.age_s)
--- a/src/bendshed/catalog/front_exchange.py
+++ b/src/bendshed/catalog/front_exchange.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Callable
 
-from bendshed.catalog.demand import GREETED_S, Demand
+from bendshed.catalog.demand import SILENT_FRONT_EXPIRY_S, Demand
 from bendshed.catalog.messages import fronts_from_wire
 from bendshed.catalog.persistence import CatalogPersistence
 from bendshed.catalog.relay_list import RelayList
@@ -20,8 +20,8 @@
 """Shortest pause between two saves for fronts alone. Some are named at a time, drawn anew, so where
 there are many it takes several rounds until all are known."""
 LATE_GREETING_ROUNDS = 7
-"""A front that has been greeted for ``GREETED_S`` is greeted in one round of so many, each 2.1 s:
-within the 3 s in which a machine has to be in touch, at a seventh of the messages."""
+"""A front that has been greeted for ``SILENT_FRONT_EXPIRY_S`` is greeted in one round of so many,
+each 2.1 s: within the 3 s in which a machine has to be in touch, at a seventh of the messages."""
 
 
 class FrontExchange:
@@ -89,7 +89,7 @@
         return [
             front
             for front, since_s in self._greeted_since_s.items()
-            if is_late_round or now_s - since_s < GREETED_S
+            if is_late_round or now_s - since_s < SILENT_FRONT_EXPIRY_S
         ]
 
     def _silent_fronts(self) -> list[Address]:
@@ -100,7 +100,7 @@
         others = list(self._persistence.previous_fronts())
         if self._is_registry_lost():
             others += self._relay_list.unnamed_lately()
-        here = self._demand.fronts_at_s
+        here = self._demand.front_requested_at_s
         unheard = [front for front in dict.fromkeys(others) if front not in here]
         return self._demand.silent_fronts() + unheard
 
@@ -109,10 +109,10 @@
 
         Forget those that none has named for long.
         """
-        oldest_s = asyncio.get_running_loop().time() - GREETED_S
+        oldest_s = asyncio.get_running_loop().time() - SILENT_FRONT_EXPIRY_S
         for front in [front for front, at_s in self._named_at_s.items() if at_s < oldest_s]:
             del self._named_at_s[front]
-        fronts = self._relay_list.to_share(self._demand.fronts_at_s)
+        fronts = self._relay_list.to_share(self._demand.front_requested_at_s)
         if not fronts:
             return
         named = wire.CatalogReply(fronts=fronts)
@@ -122,6 +122,6 @@
 
     def all_fronts(self) -> tuple[Address, ...]:
         """Fronts to save: of this machine, of the others, of the previous incarnation; sorted."""
-        fronts = {*self._demand.fronts_at_s, *self._named_at_s}
+        fronts = {*self._demand.front_requested_at_s, *self._named_at_s}
         fronts.update(self._persistence.previous_fronts())
         return tuple(sorted(fronts, key=str))
--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from bendshed.catalog.codec import StoredCatalog
-from bendshed.catalog.demand import GREETED_S, Demand
+from bendshed.catalog.demand import SILENT_FRONT_EXPIRY_S, Demand
 from bendshed.catalog.follower import CatalogFollower, FollowerPaths
 from bendshed.catalog.front_exchange import FrontExchange
 from bendshed.catalog.persistence import CatalogPersistence
@@ -132,13 +132,13 @@
         while True:
             await asyncio.sleep(SHARE_INTERVAL_S)
             is_lost = self.catalog.is_lost
-            self.demand.forget_silent(keeps_fronts=is_lost)
+            self.demand.expire_silent(keep_fronts=is_lost)
             # While the registry is away the fronts are lost with the last machine that knows them.
-            self._relay_list.forget_silent(math.inf if is_lost else GREETED_S)
-            self._relay_list.retain_only(self.demand.fronts_at_s)
+            self._relay_list.forget_silent(math.inf if is_lost else SILENT_FRONT_EXPIRY_S)
+            self._relay_list.retain_only(self.demand.front_requested_at_s)
             if zones.forget_old(asyncio.get_running_loop().time()):
                 self.catalog.note_unsaved()
-            self.demand.follow()
+            self.demand.update_pace()
             self._exchange.share()
 
     def _snapshot(self) -> StoredCatalog:
--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -50,12 +50,12 @@
 
     def _note(self, request: ReadRequest) -> None:
         """Remember the requesting node, its zone, and whether it is cut off."""
-        if self._demand.note(request):
+        if self._demand.record_request(request):
             self._catalog.note_unsaved()
         self._host_locations.put(request.requester.host, request.requester_zone)
         if not request.is_replica:
             self._relay_list.note_requester(request.requester, request.is_cut_off)
-        self._demand.follow()
+        self._demand.update_pace()
 
     def _has_news(self, request: ReadRequest) -> bool:
         """Whether a node must not wait for its reply."""
@@ -87,7 +87,7 @@
         return reply
 
     def _relays_for(self, requester: Address) -> list[wire.PeerAddress]:
-        return self._relay_list.some_for(requester, self._demand.fronts_at_s)
+        return self._relay_list.some_for(requester, self._demand.front_requested_at_s)
 
     def _is_lost_for(self, request: ReadRequest) -> bool:
         """Whether a node must request the catalog elsewhere.
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -101,7 +101,7 @@
         self._reading = RegistryReading(
             self._node.follower, self._runners, others, self._node.set_registry_lost
         )
-        self._node.demand.on_pace.append(self._set_pace)
+        self._node.demand.on_pace_change.append(self._set_pace)
 
     async def run(self, stopping: asyncio.Event) -> None:
         """Serve until ``stopping`` is set."""
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -211,4 +211,4 @@
 
 def _fronts_of(machine: SimMachine) -> int:
     """Number of fronts that follow a store."""
-    return len(machine.replica.demand.fronts_at_s) if machine.replica is not None else 0
+    return len(machine.replica.demand.front_requested_at_s) if machine.replica is not None else 0
