--- a/src/bendshed/catalog/front_exchange.py
+++ b/src/bendshed/catalog/front_exchange.py
@@ -59,7 +59,7 @@
         tells the fronts of any machine.
         """
         named = fronts_from_wire(wire.CatalogReply.FromString(payload))
-        self._relay_list.take_named(named)
+        self._relay_list.note_named(named)
         now_s = asyncio.get_running_loop().time()
         self._named_at_s.update((front.address, now_s) for front in named)
         saved = self._persistence.saved_fronts
@@ -99,7 +99,7 @@
         """
         others = list(self._persistence.previous_fronts())
         if self._is_registry_lost():
-            others += self._relay_list.unnamed_lately()
+            others += self._relay_list.no_longer_named()
         here = self._demand.front_requested_at_s
         unheard = [front for front in dict.fromkeys(others) if front not in here]
         return self._demand.silent_fronts() + unheard
@@ -112,7 +112,7 @@
         oldest_s = asyncio.get_running_loop().time() - SILENT_FRONT_EXPIRY_S
         for front in [front for front, at_s in self._named_at_s.items() if at_s < oldest_s]:
             del self._named_at_s[front]
-        fronts = self._relay_list.to_share(self._demand.front_requested_at_s)
+        fronts = self._relay_list.choose_shared(self._demand.front_requested_at_s)
         if not fronts:
             return
         named = wire.CatalogReply(fronts=fronts)
--- a/src/bendshed/catalog/relay_list.py
+++ b/src/bendshed/catalog/relay_list.py
@@ -10,7 +10,7 @@
 from bendshed.paths.host_locations import HostLocations
 from bendshed.wire import catalog_pb2 as wire
 
-LATELY_S, LATELY_INTERVALS = 1.5, 1.5
+RECENT_S, RECENT_INTERVALS = 1.5, 1.5
 """A front without a request for this long, or so many intervals, may be cut off: no relay. With 3 s
 here and 3 s at the other machines a cut front was named for up to 7 s (docs/design/0011)."""
 MAX_FRONTS_NAMED = 6
@@ -24,17 +24,17 @@
     """Fronts that may pass requests on.
 
     Attributes:
-        elsewhere: fronts that other replica machines named, and when (loop time).
+        named_at_s: fronts that other replica machines named, and when (loop time).
 
     """
 
     def __init__(
         self, host_locations: HostLocations, rng: random.Random, interval_s: float
     ) -> None:
-        self.elsewhere: dict[Address, float] = {}
+        self.named_at_s: dict[Address, float] = {}
         self._host_locations = host_locations
         self._rng = rng
-        self._lately_s = max(LATELY_S, LATELY_INTERVALS * interval_s)
+        self._recent_s = max(RECENT_S, RECENT_INTERVALS * interval_s)
         self._cut_off: set[Address] = set()
 
     def note_requester(self, front: Address, is_cut_off: bool) -> None:
@@ -44,29 +44,29 @@
         else:
             self._cut_off.discard(front)
 
-    def take_named(self, fronts: Iterable[FrontLocation]) -> None:
+    def note_named(self, fronts: Iterable[FrontLocation]) -> None:
         """Another replica machine named fronts that send it requests."""
         now_s = asyncio.get_running_loop().time()
         for front in fronts:
             self._host_locations.put(front.address.host, front.zone)
-            self.elsewhere[front.address] = now_s
+            self.named_at_s[front.address] = now_s
 
-    def forget_silent(self, memory_s: float) -> None:
+    def forget_unnamed(self, expiry_s: float) -> None:
         """Forget fronts that no other machine has named for so long."""
         now_s = asyncio.get_running_loop().time()
-        for front in [front for front, at_s in self.elsewhere.items() if now_s - at_s > memory_s]:
-            del self.elsewhere[front]
+        for front in [front for front, at_s in self.named_at_s.items() if now_s - at_s > expiry_s]:
+            del self.named_at_s[front]
 
-    def unnamed_lately(self) -> list[Address]:
+    def no_longer_named(self) -> list[Address]:
         """Fronts that other machines do not name any more: they or those machines may be gone."""
-        oldest_s = asyncio.get_running_loop().time() - self._lately_s
-        return [front for front, at_s in self.elsewhere.items() if at_s < oldest_s]
+        oldest_s = asyncio.get_running_loop().time() - self._recent_s
+        return [front for front, at_s in self.named_at_s.items() if at_s < oldest_s]
 
     def retain_only(self, known: Iterable[Address]) -> None:
         """Forget what was noted of fronts that are not known any more."""
         self._cut_off.intersection_update(known)
 
-    def some_for(
+    def choose_for(
         self, requester: Address, requested_at_s: Mapping[Address, float]
     ) -> list[wire.PeerAddress]:
         """Fronts that may relay a node's requests.
@@ -78,24 +78,26 @@
             requested_at_s: when each front sent this machine a request (loop time).
 
         """
-        here = [front for front in self._lately(requested_at_s) if front != requester]
-        named = [front for front in self._lately(self.elsewhere) if front not in requested_at_s]
-        near_here, far_here = self._by_region(here, requester)
+        own = [front for front in self._recent_direct(requested_at_s) if front != requester]
+        named = [
+            front for front in self._recent_direct(self.named_at_s) if front not in requested_at_s
+        ]
+        near_own, far_own = self._by_region(own, requester)
         near_named, far_named = self._by_region(named, requester)
-        far = self._sample([*far_here, *far_named], MAX_FAR_FRONTS_NAMED)
-        most = MAX_FRONTS_NAMED - len(far)
-        chosen = self._sample(near_named, most // 2)
-        chosen += self._sample(near_here, most - len(chosen))
-        return [self._write(front) for front in [*chosen, *far]]
+        far = self._sample([*far_own, *far_named], MAX_FAR_FRONTS_NAMED)
+        limit = MAX_FRONTS_NAMED - len(far)
+        chosen = self._sample(near_named, limit // 2)
+        chosen += self._sample(near_own, limit - len(chosen))
+        return [self._to_wire(front) for front in [*chosen, *far]]
 
-    def to_share(self, requested_at_s: Mapping[Address, float]) -> list[wire.PeerAddress]:
+    def choose_shared(self, requested_at_s: Mapping[Address, float]) -> list[wire.PeerAddress]:
         """Fronts that this machine names to the others."""
-        chosen = self._sample(self._lately(requested_at_s), MAX_FRONTS_SHARED)
-        return [self._write(front) for front in chosen]
+        chosen = self._sample(self._recent_direct(requested_at_s), MAX_FRONTS_SHARED)
+        return [self._to_wire(front) for front in chosen]
 
-    def _lately(self, at_s_of: Mapping[Address, float]) -> list[Address]:
+    def _recent_direct(self, at_s_of: Mapping[Address, float]) -> list[Address]:
         """Fronts that sent requests lately and reach this machine directly."""
-        oldest_s = asyncio.get_running_loop().time() - self._lately_s
+        oldest_s = asyncio.get_running_loop().time() - self._recent_s
         recent = [front for front, at_s in at_s_of.items() if at_s >= oldest_s]
         return [front for front in recent if front not in self._cut_off]
 
@@ -108,8 +110,8 @@
         far = [f for f in fronts if zone and region(zone_of(f.host) or zone) != region(zone)]
         return [front for front in fronts if front not in far], far
 
-    def _sample(self, fronts: list[Address], most: int) -> list[Address]:
-        return self._rng.sample(fronts, min(most, len(fronts)))
+    def _sample(self, fronts: list[Address], limit: int) -> list[Address]:
+        return self._rng.sample(fronts, min(limit, len(fronts)))
 
-    def _write(self, front: Address) -> wire.PeerAddress:
+    def _to_wire(self, front: Address) -> wire.PeerAddress:
         return address_to_wire(front, self._host_locations.zone_of(front.host))
--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -134,7 +134,7 @@
             is_lost = self.catalog.is_lost
             self.demand.expire_silent(keep_fronts=is_lost)
             # While the registry is away the fronts are lost with the last machine that knows them.
-            self._relay_list.forget_silent(math.inf if is_lost else SILENT_FRONT_EXPIRY_S)
+            self._relay_list.forget_unnamed(math.inf if is_lost else SILENT_FRONT_EXPIRY_S)
             self._relay_list.retain_only(self.demand.front_requested_at_s)
             if zones.forget_old(asyncio.get_running_loop().time()):
                 self.catalog.note_unsaved()
--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -87,7 +87,7 @@
         return reply
 
     def _relays_for(self, requester: Address) -> list[wire.PeerAddress]:
-        return self._relay_list.some_for(requester, self._demand.front_requested_at_s)
+        return self._relay_list.choose_for(requester, self._demand.front_requested_at_s)
 
     def _is_lost_for(self, request: ReadRequest) -> bool:
         """Whether a node must request the catalog elsewhere.
