--- a/src/bendshed/catalog/front_exchange.py
+++ b/src/bendshed/catalog/front_exchange.py
@@ -15,11 +15,11 @@
 from bendshed.wire import catalog_pb2 as wire
 
 FRONTS_METHOD = "catalog.fronts"
-GREETING_INTERVAL_S = 0.3
-SAVE_FRONTS_S = 5.0
+HELLO_INTERVAL_S = 0.3
+MIN_FRONTS_SAVE_INTERVAL_S = 5.0
 """Shortest pause between two saves for fronts alone. Some are named at a time, drawn anew, so where
 there are many it takes several rounds until all are known."""
-LATE_GREETING_ROUNDS = 7
+SLOW_HELLO_ROUNDS = 7
 """A front that has been greeted for ``SILENT_FRONT_EXPIRY_S`` is greeted in one round of so many,
 each 2.1 s: within the 3 s in which a machine has to be in touch, at a seventh of the messages."""
 
@@ -31,7 +31,7 @@
         self,
         transport: Transport,
         directory: ReplicaDirectory,
-        me: Address,
+        own_address: Address,
         demand: Demand,
         relay_list: RelayList,
         persistence: CatalogPersistence,
@@ -39,12 +39,12 @@
     ) -> None:
         self._transport = transport
         self._directory = directory
-        self._me = me
+        self._own_address = own_address
         self._demand = demand
         self._relay_list = relay_list
         self._persistence = persistence
         self._is_registry_lost = is_registry_lost
-        self._greeted_since_s: dict[Address, float] = {}
+        self._silent_since_s: dict[Address, float] = {}
         self._named_at_s: dict[Address, float] = {}
         self._fronts_saved_s = -math.inf
 
@@ -63,33 +63,35 @@
         now_s = asyncio.get_running_loop().time()
         self._named_at_s.update((front.address, now_s) for front in named)
         saved = self._persistence.saved_fronts
-        is_news = any(front.address not in saved for front in named)
-        if is_news and now_s >= self._fronts_saved_s + SAVE_FRONTS_S:
+        has_unsaved = any(front.address not in saved for front in named)
+        if has_unsaved and now_s >= self._fronts_saved_s + MIN_FRONTS_SAVE_INTERVAL_S:
             self._fronts_saved_s = now_s
             self._persistence.note_change()
 
-    async def greet(self) -> None:
+    async def send_hellos(self) -> None:
         """Send silent fronts this machine's address: they may have no other source."""
         for number in itertools.count():
             if self._is_registry_lost():
                 self._persistence.keep_fronts()
-            own = self._directory.own_node
-            if own is not None:
-                hello = to_wire(own).SerializeToString()
-                for front in self._due_fronts(is_late_round=number % LATE_GREETING_ROUNDS == 0):
+            own_node = self._directory.own_node
+            if own_node is not None:
+                hello = to_wire(own_node).SerializeToString()
+                for front in self._fronts_due_for_hello(
+                    is_slow_round=number % SLOW_HELLO_ROUNDS == 0
+                ):
                     self._transport.send(front, HELLO_METHOD, hello)
-            await asyncio.sleep(GREETING_INTERVAL_S)
+            await asyncio.sleep(HELLO_INTERVAL_S)
 
-    def _due_fronts(self, is_late_round: bool) -> list[Address]:
+    def _fronts_due_for_hello(self, is_slow_round: bool) -> list[Address]:
         """Silent fronts that are greeted in this round."""
         now_s = asyncio.get_running_loop().time()
         silent = self._silent_fronts()
-        known_s = self._greeted_since_s
-        self._greeted_since_s = {front: known_s.get(front, now_s) for front in silent}
+        previous_s = self._silent_since_s
+        self._silent_since_s = {front: previous_s.get(front, now_s) for front in silent}
         return [
             front
-            for front, since_s in self._greeted_since_s.items()
-            if is_late_round or now_s - since_s < SILENT_FRONT_EXPIRY_S
+            for front, since_s in self._silent_since_s.items()
+            if is_slow_round or now_s - since_s < SILENT_FRONT_EXPIRY_S
         ]
 
     def _silent_fronts(self) -> list[Address]:
@@ -100,11 +102,11 @@
         others = list(self._persistence.previous_fronts())
         if self._is_registry_lost():
             others += self._relay_list.no_longer_named()
-        here = self._demand.front_requested_at_s
-        unheard = [front for front in dict.fromkeys(others) if front not in here]
+        requested_at_s = self._demand.front_requested_at_s
+        unheard = [front for front in dict.fromkeys(others) if front not in requested_at_s]
         return self._demand.silent_fronts() + unheard
 
-    def share(self) -> None:
+    def share_fronts(self) -> None:
         """Name some fronts to the other replica machines, which name them as relays and save them.
 
         Forget those that none has named for long.
@@ -117,7 +119,7 @@
             return
         named = wire.CatalogReply(fronts=fronts)
         for node in self._directory.by_name.values():
-            if node.address != self._me:
+            if node.address != self._own_address:
                 self._transport.send(node.address, FRONTS_METHOD, named.SerializeToString())
 
     def all_fronts(self) -> tuple[Address, ...]:
--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -120,7 +120,7 @@
     def loops(self) -> list[Coroutine[Any, Any, None]]:
         """What runs in the background until cancelled."""
         return [
-            self._exchange.greet(),
+            self._exchange.send_hellos(),
             self._tend(),
             self._persistence.run(self._snapshot),
             self.follower.run(),
@@ -139,7 +139,7 @@
             if zones.forget_old(asyncio.get_running_loop().time()):
                 self.catalog.note_unsaved()
             self.demand.update_pace()
-            self._exchange.share()
+            self._exchange.share_fronts()
 
     def _snapshot(self) -> StoredCatalog:
         """What the disk is to hold now."""
