--- a/src/bendshed/catalog/front_exchange.py
+++ b/src/bendshed/catalog/front_exchange.py
@@ -72,7 +72,7 @@
         """Send silent fronts this machine's address: they may have no other source."""
         for number in itertools.count():
             if self._is_registry_lost():
-                self._persistence.keep_fronts()
+                self._persistence.retain_previous_fronts()
             own_node = self._directory.own_node
             if own_node is not None:
                 hello = to_wire(own_node).SerializeToString()
--- a/src/bendshed/catalog/persistence.py
+++ b/src/bendshed/catalog/persistence.py
@@ -7,9 +7,9 @@
 from bendshed.model.address import Address
 from bendshed.ports.catalog_storage import CatalogStorage
 
-SAVE_PACE_S = 1.0
+MIN_SAVE_INTERVAL_S = 1.0
 """Shortest pause between two saves: a burst of changes is written once a second."""
-PREVIOUS_FRONTS_S = 10.0
+PREVIOUS_FRONTS_EXPIRY_S = 10.0
 """Fronts that the disk names and that have sent no request are forgotten once the registry has
 answered this machine for so long: with it a front finds replica machines by itself."""
 
@@ -23,24 +23,28 @@
 
     """
 
-    def __init__(self, storage: CatalogStorage, reads_stored: bool) -> None:
-        self.stored = decode_stored(storage.load() if reads_stored else None)
+    def __init__(self, storage: CatalogStorage, loads_stored: bool) -> None:
+        self.stored = decode_stored(storage.load() if loads_stored else None)
         self.saved_fronts = frozenset(self.stored.fronts)
         self._storage = storage
-        self._forgets_fronts_at_s = 0.0
+        self._previous_fronts_expire_s = 0.0
         self._unsaved = asyncio.Event()
 
     def start(self) -> None:
         """From now on count the time until fronts of the previous incarnation are forgotten."""
-        self._forgets_fronts_at_s = asyncio.get_running_loop().time() + PREVIOUS_FRONTS_S
+        self._previous_fronts_expire_s = (
+            asyncio.get_running_loop().time() + PREVIOUS_FRONTS_EXPIRY_S
+        )
 
-    def keep_fronts(self) -> None:
+    def retain_previous_fronts(self) -> None:
         """The registry does not answer: a front that starts now learns of no machine elsewhere."""
-        self._forgets_fronts_at_s = asyncio.get_running_loop().time() + PREVIOUS_FRONTS_S
+        self._previous_fronts_expire_s = (
+            asyncio.get_running_loop().time() + PREVIOUS_FRONTS_EXPIRY_S
+        )
 
     def previous_fronts(self) -> tuple[Address, ...]:
         """Fronts of the previous incarnation; empty once they are forgotten."""
-        is_recent = asyncio.get_running_loop().time() < self._forgets_fronts_at_s
+        is_recent = asyncio.get_running_loop().time() < self._previous_fronts_expire_s
         return self.stored.fronts if is_recent else ()
 
     def note_change(self) -> None:
@@ -55,4 +59,4 @@
             content = snapshot()
             await self._storage.save(encode_stored(content))
             self.saved_fronts = frozenset(content.fronts)
-            await asyncio.sleep(SAVE_PACE_S)
+            await asyncio.sleep(MIN_SAVE_INTERVAL_S)
