--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -303,4 +303,4 @@
     def _take_fronts(self, update: CatalogUpdate) -> None:
         for front in update.fronts:
             self._paths.host_locations.put(front.address.host, front.zone)
-        self._fronts.take([front.address for front in update.fronts])
+        self._fronts.update([front.address for front in update.fronts])
--- a/src/bendshed/catalog/known_fronts.py
+++ b/src/bendshed/catalog/known_fronts.py
@@ -4,10 +4,10 @@
 
 from bendshed.model.address import Address
 
-ENOUGH_FRONTS = 3
+MIN_REPLACING_FRONTS = 3
 """An update that names so many fronts replaces those known before: what is named sent requests
 lately, and a front that is cut off itself is no relay. A shorter one adds to them."""
-MAX_FRONTS_KNOWN = 6
+MAX_KNOWN_FRONTS = 6
 """As many as a replica machine names (`MAX_FRONTS_NAMED` of ``relay_list.py``)."""
 
 
@@ -22,10 +22,10 @@
     def __init__(self) -> None:
         self.addresses: list[Address] = []
 
-    def take(self, named: Sequence[Address]) -> None:
+    def update(self, named: Sequence[Address]) -> None:
         """Take an update; those known stay when it names few: its machine may just have started."""
-        if len(named) >= ENOUGH_FRONTS:
+        if len(named) >= MIN_REPLACING_FRONTS:
             self.addresses = list(named)
             return
         known = [front for front in self.addresses if front not in named]
-        self.addresses = [*named, *known][:MAX_FRONTS_KNOWN]
+        self.addresses = [*named, *known][:MAX_KNOWN_FRONTS]
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -116,19 +116,19 @@
 class FrontsForRelayingTest(unittest.TestCase):
     def setUp(self) -> None:
         self.fronts = KnownFronts()
-        self.told = [Address(f"10.0.9.{number}", 7000) for number in range(20)]
+        self.named = [Address(f"10.0.9.{number}", 7000) for number in range(20)]
 
     def test_a_machine_that_knows_few_fronts_takes_none_away(self) -> None:
-        self.fronts.take(self.told[:6])
-        self.fronts.take([])
-        self.assertEqual(self.fronts.addresses, self.told[:6])
-        self.fronts.take(self.told[6:8])
-        self.assertEqual(self.fronts.addresses, [*self.told[6:8], *self.told[:4]])
+        self.fronts.update(self.named[:6])
+        self.fronts.update([])
+        self.assertEqual(self.fronts.addresses, self.named[:6])
+        self.fronts.update(self.named[6:8])
+        self.assertEqual(self.fronts.addresses, [*self.named[6:8], *self.named[:4]])
 
     def test_a_machine_that_knows_many_replaces_those_that_may_be_cut_off_meanwhile(self) -> None:
-        self.fronts.take(self.told[:6])
-        self.fronts.take(self.told[6:12])
-        self.assertEqual(self.fronts.addresses, self.told[6:12])
+        self.fronts.update(self.named[:6])
+        self.fronts.update(self.named[6:12])
+        self.assertEqual(self.fronts.addresses, self.named[6:12])
 
 
 class SharedReadingTest(unittest.TestCase):
