--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -160,7 +160,7 @@
         """Whether the registry answers this replica machine itself."""
         self._is_lost_here = is_lost
         if not is_lost and not self.is_fresh:
-            self._choice.forgive(self._me)
+            self._choice.readmit(self._me)
 
     def _take_hello(self, payload: bytes) -> None:
         """A replica machine that has just started says where it is."""
@@ -279,7 +279,7 @@
     def _take(self, machine: Address, update: CatalogUpdate) -> None:
         if not update.is_lost:
             self._num_failed = 0
-            self._choice.forgive(machine)
+            self._choice.readmit(machine)
         is_current = self._intake.take(update)
         self._take_directory(update)
         self.upstream.machine = machine
--- a/src/bendshed/catalog/reader_choice.py
+++ b/src/bendshed/catalog/reader_choice.py
@@ -28,18 +28,18 @@
     """A node that requests the catalog.
 
     Attributes:
-        me: its address.
+        address: its own.
         zone: where it is located.
         is_replica: it is one of those that others may request it of.
 
     """
 
-    me: Address
+    address: Address
     zone: str
     places: Places
     is_replica: bool
 
-    def is_near(self, node: ReplicaNode) -> bool:
+    def is_in_same_region(self, node: ReplicaNode) -> bool:
         """Whether a replica machine is located in the node's region."""
         return self.places.region(node.zone) == self.places.region(self.zone)
 
@@ -59,13 +59,13 @@
     if not eligible:
         return None
     reader = eligible[0]
-    near = [node for node in eligible if requester.is_near(node)]
-    regional_reader = near[0] if near else reader
+    in_region = [node for node in eligible if requester.is_in_same_region(node)]
+    regional_reader = in_region[0] if in_region else reader
     if not requester.is_replica:
         return regional_reader.address
-    if reader.address == requester.me:
+    if reader.address == requester.address:
         return None
-    crosses_link = regional_reader.address == requester.me
+    crosses_link = regional_reader.address == requester.address
     return reader.address if crosses_link else regional_reader.address
 
 
@@ -93,16 +93,18 @@
         if any(node.address not in avoided for node in ranked):
             return choose_catalog_source(self._requester, ranked, avoided)
         addresses = [node.address for node in ranked]
-        soonest = min(addresses, key=lambda address: self._avoided[address].until_s, default=None)
-        return soonest if soonest != self._requester.me else None
+        first_to_expire = min(
+            addresses, key=lambda address: self._avoided[address].until_s, default=None
+        )
+        return first_to_expire if first_to_expire != self._requester.address else None
 
     def avoid(self, machine: Address, now_s: float) -> float:
         """Avoid a machine from now on; return for how long."""
-        before = self._avoided.get(machine)
-        for_s = AVOIDED_MIN_S if before is None else min(AVOIDED_MAX_S, 2 * before.for_s)
+        previous = self._avoided.get(machine)
+        for_s = AVOIDED_MIN_S if previous is None else min(AVOIDED_MAX_S, 2 * previous.for_s)
         self._avoided[machine] = _Avoidance(now_s + for_s, for_s)
         return for_s
 
-    def forgive(self, machine: Address) -> None:
+    def readmit(self, machine: Address) -> None:
         """A machine is well: use it, and begin with the shortest time at its next failure."""
         self._avoided.pop(machine, None)
