--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -32,7 +32,7 @@
 
 REPLY_MARGIN_S = 0.2
 """A neighbour may take this much longer to reply than its wait."""
-MARGIN_TRIPS = 3.0
+MARGIN_ROUND_TRIPS = 3.0
 """A far machine has so many of its round trips more: one may open a connection, one may be lost."""
 REGIONAL_READER_SHARE = 0.25
 """The reader of another region repeats its request after this share of the usual interval: its
@@ -55,14 +55,14 @@
         direct: for requests that a machine may let wait: relays give up what waits.
         relayed: for the others; may be the same.
         host_locations: where machines are located.
-        is_cut: whether only relays reach a machine.
+        is_relay_only: whether only relays reach a machine.
 
     """
 
     direct: Transport
     relayed: Requests
     host_locations: HostLocations
-    is_cut: Callable[[Address], bool] = lambda _machine: False
+    is_relay_only: Callable[[Address], bool] = lambda _machine: False
 
 
 class CatalogFollower:
@@ -74,7 +74,7 @@
         paths: how replica machines are reached.
         directory: which replica machines there are.
         taker: gets what is newer.
-        me: this node's address.
+        own_address: this node's address.
         times: how often, and how old an update may be.
         rng: spreads retries.
         may_share: whether one machine may read the registry for all.
@@ -92,7 +92,7 @@
         paths: FollowerPaths,
         directory: ReplicaDirectory,
         taker: CatalogTaker,
-        me: Address,
+        own_address: Address,
         times: CatalogTimes,
         rng: random.Random,
         may_share: bool = True,
@@ -101,25 +101,27 @@
     ) -> None:
         self._paths = paths
         self._directory = directory
-        self._me = me
+        self._own_address = own_address
         self._times = times
         self._rng = rng
         self._may_share = may_share
         self._num_dependent_fronts = num_dependent_fronts
         self._is_replica = is_replica
-        near = paths.host_locations
-        self._choice = ReaderChoice(RequestingNode(me, near.zone, near.places, is_replica))
+        host_locations = paths.host_locations
+        self._choice = ReaderChoice(
+            RequestingNode(own_address, host_locations.zone, host_locations.places, is_replica)
+        )
         self._intake = UpdateIntake(taker, times)
         self._fronts = KnownFronts()
-        self.upstream = Upstream(near, is_replica)
+        self.upstream = Upstream(host_locations, is_replica)
         self._freshness = Freshness(self.upstream)
         self.first_update = asyncio.Event()
-        self._is_lost_here = False
-        self._is_shared = False
+        self._is_registry_lost = False
+        self._is_reading_shared = False
         self._num_failed = 0
-        self._knows_more = asyncio.Event()
-        directory.on_change.append(self._knows_more.set)
-        paths.direct.one_way_handlers[HELLO_METHOD] = self._take_hello
+        self._directory_changed = asyncio.Event()
+        directory.on_change.append(self._directory_changed.set)
+        paths.direct.one_way_handlers[HELLO_METHOD] = self._handle_hello
 
     @property
     def is_fresh(self) -> bool:
@@ -127,7 +129,7 @@
         return self.upstream.is_fresh
 
     @property
-    def on_freshness(self) -> list[Callable[[], None]]:
+    def on_freshness_change(self) -> list[Callable[[], None]]:
         """Called after each change of ``is_fresh``."""
         return self._freshness.on_change
 
@@ -143,26 +145,26 @@
 
     # --- what the node knows from elsewhere --------------------------------------------------
 
-    def note_registry(self, at: int) -> None:
+    def note_registry_revision(self, at: int) -> None:
         """The node has read the runners from the registry itself, up to a revision."""
-        self.note_known(0, at)
+        self.note_revisions(0, at)
 
-    def note_zones(self, at: int) -> None:
+    def note_zones_revision(self, at: int) -> None:
         """The node knows the closed zones from its disk or from the registry itself."""
         self._intake.zones_at = max(self._intake.zones_at, at)
 
-    def note_known(self, version: int, runners_at: int) -> None:
+    def note_revisions(self, version: int, runners_at: int) -> None:
         """The node knows a configuration and runners from its disk or from the registry."""
         self._intake.version = max(self._intake.version, version)
         self._intake.runners_at = max(self._intake.runners_at, runners_at)
 
-    def note_own_reading(self, is_lost: bool) -> None:
+    def note_registry_lost(self, is_lost: bool) -> None:
         """Whether the registry answers this replica machine itself."""
-        self._is_lost_here = is_lost
+        self._is_registry_lost = is_lost
         if not is_lost and not self.is_fresh:
-            self._choice.readmit(self._me)
+            self._choice.readmit(self._own_address)
 
-    def _take_hello(self, payload: bytes) -> None:
+    def _handle_hello(self, payload: bytes) -> None:
         """A replica machine that has just started says where it is."""
         self._directory.put(from_wire(wire_turns.ReplicaHello.FromString(payload)))
 
@@ -173,34 +175,34 @@
         while True:
             machine = self._target()
             if machine is None:
-                self._read_registry()
-                await self._wait_for_nodes()
+                self._become_reader()
+                await self._wait_for_replicas()
                 continue
-            waits_there = self._is_shared and not self._is_relayed(machine)
-            update = await self._request(machine, waits_there)
+            is_long_poll = self._is_reading_shared and not self._needs_relay(machine)
+            update = await self._request(machine, is_long_poll)
             if update is None:
                 self._avoid(machine, "silent")
                 await asyncio.sleep(self._retry_s())
                 continue
-            self._take(machine, update)
+            self._apply(machine, update)
             if update.is_lost:
                 self._avoid(machine, "the registry is lost there")
                 await asyncio.sleep(self._retry_s())
-            elif not self._is_shared and self._target() == machine:
+            elif not self._is_reading_shared and self._target() == machine:
                 await asyncio.sleep(IDLE_INTERVAL_S)
-            elif self._is_shared and not waits_there:
+            elif self._is_reading_shared and not is_long_poll:
                 await asyncio.sleep(self._times.interval_s)
 
-    async def _wait_for_nodes(self) -> None:
+    async def _wait_for_replicas(self) -> None:
         """There is no machine to request it of: look again later, or once one is known."""
-        self._knows_more.clear()
+        self._directory_changed.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._retry_s()):
-                await self._knows_more.wait()
+                await self._directory_changed.wait()
 
-    def _is_relayed(self, machine: Address) -> bool:
+    def _needs_relay(self, machine: Address) -> bool:
         """Whether the next reply comes through a relay, whose timeout is short."""
-        return self._num_failed > 0 or self._paths.is_cut(machine)
+        return self._num_failed > 0 or self._paths.is_relay_only(machine)
 
     def _retry_s(self) -> float:
         if self._num_failed > MAX_QUICK_FAILURES:
@@ -208,22 +210,22 @@
         return self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S)
 
     def _target(self) -> Address | None:
-        return self._choice.target(self._ranked(), asyncio.get_running_loop().time())
+        return self._choice.target(self._ranked_replicas(), asyncio.get_running_loop().time())
 
-    def _ranked(self) -> list[ReplicaNode]:
+    def _ranked_replicas(self) -> list[ReplicaNode]:
         """The replica machines in the rank that all nodes share."""
         by_name = self._directory.by_name
         return [by_name[name] for name in rendezvous_rank(CATALOG_METHOD, by_name)]
 
-    def _read_registry(self) -> None:
+    def _become_reader(self) -> None:
         """This machine is the first by rank that is not avoided: it reads the registry itself.
 
         If it cannot, it avoids itself as others do, and follows the next.
         """
-        self._is_shared = False
+        self._is_reading_shared = False
         self.upstream.machine, self.upstream.num_dependents = None, 0
-        if self._is_lost_here:
-            self._avoid(self._me, "the registry is lost here")
+        if self._is_registry_lost:
+            self._avoid(self._own_address, "the registry is lost here")
         if self._directory.own_node is not None:
             self._num_failed = 0
         self._freshness.end()
@@ -234,19 +236,19 @@
         for_s = self._choice.avoid(machine, asyncio.get_running_loop().time())
         log.say("machine avoided", instead_of=str(machine), reason=reason, for_s=for_s)
 
-    async def _request(self, machine: Address, waits_there: bool) -> CatalogUpdate | None:
+    async def _request(self, machine: Address, is_long_poll: bool) -> CatalogUpdate | None:
         """Request the catalog once; ``None``: no reply in time.
 
         A machine lets only a direct request wait: relays give up what waits, and a request that
         waits says nothing of its path meanwhile.
         """
-        wait_s = self._wait_s(machine) if waits_there else 0.0
+        wait_s = self._wait_s(machine) if is_long_poll else 0.0
         request = encode_request(self._request_for(machine, wait_s))
-        paths = self._paths.direct if waits_there else self._paths.relayed
+        paths = self._paths.direct if is_long_poll else self._paths.relayed
         round_trip_s = self._paths.host_locations.expected_round_trip_s(
             machine.host, self._paths.direct.round_trip_s(machine)
         )
-        timeout_s = wait_s + REPLY_MARGIN_S + MARGIN_TRIPS * round_trip_s
+        timeout_s = wait_s + REPLY_MARGIN_S + MARGIN_ROUND_TRIPS * round_trip_s
         try:
             content = await paths.request(machine, CATALOG_METHOD, request, timeout_s)
         except PeerUnreachable:
@@ -257,7 +259,7 @@
         """What this node knows; a replica machine's zone is known from its announcement."""
         knows_directory = machine == self.upstream.machine
         return ReadRequest(
-            requester=self._me,
+            requester=self._own_address,
             requester_zone="" if self._is_replica else self._paths.host_locations.zone,
             runners_at=self._intake.runners_at,
             document_version=self._intake.version,
@@ -265,7 +267,7 @@
             wait_s=wait_s,
             directory_digest=self.upstream.directory_digest if knows_directory else 0,
             is_replica=self._is_replica,
-            is_cut_off=self._is_relayed(machine),
+            is_cut_off=self._needs_relay(machine),
             num_dependent_fronts=self._num_dependent_fronts(),
         )
 
@@ -276,23 +278,23 @@
 
     # --- updates -----------------------------------------------------------------------------
 
-    def _take(self, machine: Address, update: CatalogUpdate) -> None:
+    def _apply(self, machine: Address, update: CatalogUpdate) -> None:
         if not update.is_lost:
             self._num_failed = 0
             self._choice.readmit(machine)
         is_current = self._intake.take(update)
-        self._take_directory(update)
+        self._apply_directory(update)
         self.upstream.machine = machine
         self.upstream.directory_digest = update.directory_digest
         self.first_update.set()
-        self._take_fronts(update)
+        self._apply_fronts(update)
         self.upstream.num_dependents = update.num_dependents
-        self._is_shared = self._may_share and is_reading_shared(update.num_dependents)
-        if self._is_shared and is_current and update.age_s < self._times.max_age_s:
+        self._is_reading_shared = self._may_share and is_reading_shared(update.num_dependents)
+        if self._is_reading_shared and is_current and update.age_s < self._times.max_age_s:
             self._intake.confirm(update.age_s)
             self._freshness.renew(self._times.max_age_s - update.age_s)
 
-    def _take_directory(self, update: CatalogUpdate) -> None:
+    def _apply_directory(self, update: CatalogUpdate) -> None:
         if update.directory is None:
             return
         for node in update.directory.replicas:
@@ -300,7 +302,7 @@
         if update.directory.retiring is not None:
             self._directory.set_retiring(update.directory.retiring)
 
-    def _take_fronts(self, update: CatalogUpdate) -> None:
+    def _apply_fronts(self, update: CatalogUpdate) -> None:
         for front in update.fronts:
             self._paths.host_locations.put(front.address.host, front.zone)
         self._fronts.update([front.address for front in update.fronts])
--- a/src/bendshed/catalog/reading.py
+++ b/src/bendshed/catalog/reading.py
@@ -41,7 +41,7 @@
         self._others = others
         self._may_read = True
         leading.on_trouble.append(self._follow_trouble)
-        follower.on_freshness.append(self._follow_freshness)
+        follower.on_freshness_change.append(self._follow_freshness)
 
     @property
     def is_lost(self) -> bool:
--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -114,8 +114,8 @@
             runners_at=catalog.runners_at,
             zones_at=zones_at,
         )
-        self.follower.note_known(catalog.version, catalog.runners_at)
-        self.follower.note_zones(zones_at)
+        self.follower.note_revisions(catalog.version, catalog.runners_at)
+        self.follower.note_zones_revision(zones_at)
 
     def loops(self) -> list[Coroutine[Any, Any, None]]:
         """What runs in the background until cancelled."""
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -79,7 +79,9 @@
         self._server = make_server(self._application)
         self._runners = self._watcher(
             names.RUNNER_KIND,
-            KindHandler(self._list_runners, self._on_runner, self._node.catalog.note_registry),
+            KindHandler(
+                self._list_runners, self._on_runner, self._node.catalog.note_registry_revision
+            ),
             self._short_watch_s(),
         )
         long_watch_s = times.idle_wait_s
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -127,7 +127,7 @@
 
     def _confirm_runners(self, at: int) -> None:
         self._node.catalog.confirm(CatalogPart.RUNNERS, at)
-        self._node.follower.note_registry(at)
+        self._node.follower.note_registry_revision(at)
 
     def _set_pace(self, pace: ReadingPace) -> None:
         for watcher in (self._runners, self._configuration):
@@ -154,7 +154,7 @@
         if item.name == names.CONFIGURATION_NAME:
             document = read_document(item.spec)
             self._node.catalog.take_document(document)
-            self._node.follower.note_known(document.version, 0)
+            self._node.follower.note_revisions(document.version, 0)
 
     # --- replicas and retirements ----------------------------------------------------------
 
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -294,7 +294,7 @@
         machine.front.apply_zones(self._zone_update(machine.front.zones.record.zones.revision))
         machine.front.replace_runners(list(self.listed.values()), is_trusted=True)
         self._note_runners()
-        machine.front.catalog.note_registry(self._revision)
+        machine.front.catalog.note_registry_revision(self._revision)
         for node in self.registry.announced.values():
             machine.front.directory.put(node)
 
@@ -335,7 +335,7 @@
         machine.replica.take_zones(
             self.zones.update_since(catalog.zones.record.zones.revision, self._revision)
         )
-        machine.replica.follower.note_known(self.document.version, self._revision)
+        machine.replica.follower.note_revisions(self.document.version, self._revision)
         for node in self.registry.announced.values():
             machine.replica.directory.put(node)
         machine.replica.directory.set_retiring(list(self.registry.retirements))
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -273,7 +273,7 @@
             return False
         self.forwarder.index = RouteIndex(document)
         self._table.cold.take_document(document)
-        self.catalog.note_known(document.version, 0)
+        self.catalog.note_revisions(document.version, 0)
         log.say(
             "configuration in force",
             version=document.version,
@@ -317,7 +317,7 @@
         """
         self.zones.take(update)
         self._table.filter = self.zones.filter
-        self.catalog.note_zones(update.zones.revision)
+        self.catalog.note_zones_revision(update.zones.revision)
 
     def confirm_zones(self, age_s: float) -> None:
         """Record the age of the registry's last confirmation; closed zones may lag behind it."""
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -249,13 +249,13 @@
     def set_registry_lost(self, is_lost: bool) -> None:
         """Record whether this machine has lost the registry; if so, nodes use other replicas."""
         self.catalog.set_lost(is_lost)
-        self.follower.note_own_reading(is_lost)
+        self.follower.note_registry_lost(is_lost)
 
     def take_zones(self, update: ZoneUpdate) -> None:
         """Apply the closed zones as read from the registry itself."""
         self.catalog.take_zones(update)
         self.catalog.confirm(CatalogPart.ZONES, update.zones.revision)
-        self.follower.note_zones(update.zones.revision)
+        self.follower.note_zones_revision(update.zones.revision)
 
     def start(self) -> None:
         """Start all parts."""
--- a/tests/test_follower_ways.py
+++ b/tests/test_follower_ways.py
@@ -80,14 +80,14 @@
         directory.put(ReplicaNode("store", "n1", STORE, "a"))
         self.taker = taker = Taker()
         follower = CatalogFollower(
-            FollowerPaths(transport, relays, HostLocations(), is_cut=lambda _peer: True),
+            FollowerPaths(transport, relays, HostLocations(), is_relay_only=lambda _peer: True),
             directory,
             taker,
             Address("front", 7000),
             times,
             random.Random(2),
         )
-        follower.note_zones(knows_zones_at)
+        follower.note_zones_revision(knows_zones_at)
         asking = loop.create_task(follower.run())
         loop.run_until_complete(asyncio.sleep(PLAYED_S))
         asking.cancel()
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -37,7 +37,7 @@
         asyncio.set_event_loop(self.loop)
         self.addCleanup(self.loop.close)
         self.follower = mock.Mock(
-            first_update=asyncio.Event(), is_fresh=False, runners_at=0, on_freshness=[]
+            first_update=asyncio.Event(), is_fresh=False, runners_at=0, on_freshness_change=[]
         )
         self.leading, self.other = StubWatch(), StubWatch()
         self.lost: list[bool] = []
@@ -53,8 +53,8 @@
 
     def set_fresh(self, is_fresh: bool) -> None:
         self.follower.is_fresh = is_fresh
-        for on_freshness in self.follower.on_freshness:
-            on_freshness()
+        for on_freshness_change in self.follower.on_freshness_change:
+            on_freshness_change()
 
     def notify_trouble(self) -> None:
         for on_trouble in self.leading.on_trouble:
