--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -19,7 +19,7 @@
 from bendshed.catalog.reader_choice import ReaderChoice, RequestingNode
 from bendshed.catalog.server import CATALOG_METHOD
 from bendshed.catalog.times import CatalogTimes
-from bendshed.catalog.update_intake import CatalogTaker, UpdateIntake
+from bendshed.catalog.update_intake import CatalogSink, UpdateIntake
 from bendshed.catalog.upstream import Upstream
 from bendshed.consensus.directory import HELLO_METHOD, ReplicaDirectory, from_wire
 from bendshed.identifiers import rendezvous_rank
@@ -73,7 +73,7 @@
     Args:
         paths: how replica machines are reached.
         directory: which replica machines there are.
-        taker: gets what is newer.
+        sink: gets what is newer.
         own_address: this node's address.
         times: how often, and how old an update may be.
         rng: spreads retries.
@@ -91,7 +91,7 @@
         self,
         paths: FollowerPaths,
         directory: ReplicaDirectory,
-        taker: CatalogTaker,
+        sink: CatalogSink,
         own_address: Address,
         times: CatalogTimes,
         rng: random.Random,
@@ -111,7 +111,7 @@
         self._choice = ReaderChoice(
             RequestingNode(own_address, host_locations.zone, host_locations.places, is_replica)
         )
-        self._intake = UpdateIntake(taker, times)
+        self._intake = UpdateIntake(sink, times)
         self._fronts = KnownFronts()
         self.upstream = Upstream(host_locations, is_replica)
         self._freshness = Freshness(self.upstream)
--- a/src/bendshed/catalog/update_intake.py
+++ b/src/bendshed/catalog/update_intake.py
@@ -13,7 +13,7 @@
 log = PartLog("catalog")
 
 
-class CatalogTaker(Protocol):
+class CatalogSink(Protocol):
     """Where a node's configuration and runners are stored in memory."""
 
     def take_document(self, document: ServiceDocument) -> bool:
@@ -45,11 +45,11 @@
 
     """
 
-    def __init__(self, taker: CatalogTaker, times: CatalogTimes) -> None:
+    def __init__(self, sink: CatalogSink, times: CatalogTimes) -> None:
         self.version = 0
         self.runners_at = 0
         self.zones_at = 0
-        self._taker = taker
+        self._sink = sink
         self._times = times
 
     def take(self, update: CatalogUpdate) -> bool:
@@ -64,7 +64,7 @@
 
     def confirm(self, age_s: float) -> None:
         """The registry confirmed all that the node knows so long ago."""
-        self._taker.confirm_all(age_s, self.runners_at)
+        self._sink.confirm_all(age_s, self.runners_at)
 
     def _take_document(self, update: CatalogUpdate) -> None:
         if not update.document or update.document_version <= self.version:
@@ -74,7 +74,7 @@
         except DocumentDecodeError as error:
             log.say("configuration ignored: unreadable", reason=str(error))
             return
-        if self._taker.take_document(document):
+        if self._sink.take_document(document):
             log.say(
                 "configuration received", version=document.version, age_ms=update.confirmed_age_ms
             )
@@ -88,7 +88,7 @@
         """
         zones_at = update.zones.zones.revision
         if zones_at > self.zones_at:
-            self._taker.take_zones(update.zones)
+            self._sink.take_zones(update.zones)
             self.zones_at = zones_at
         return zones_at > 0 or not self._times.follows_zones
 
@@ -101,9 +101,9 @@
             self._list_runners(changes, update)
         elif changes.since == self.runners_at:
             for known in changes.runners:
-                self._taker.put_runner(known)
+                self._sink.put_runner(known)
             for gone in changes.removed:
-                self._taker.remove_runner(gone.runner_id, gone.revision, gone.is_trusted)
+                self._sink.remove_runner(gone.runner_id, gone.revision, gone.is_trusted)
         else:
             return False
         self.runners_at = changes.at
@@ -112,6 +112,6 @@
     def _list_runners(self, changes: RunnerUpdate, update: CatalogUpdate) -> None:
         is_first = self.runners_at == 0
         is_trusted = update.age_s < self._times.max_age_s
-        self._taker.list_runners(list(changes.runners), changes.at, is_trusted)
+        self._sink.list_runners(list(changes.runners), changes.at, is_trusted)
         if is_first:
             log.say("first runner list received", at=changes.at, age_ms=update.confirmed_age_ms)
--- a/tests/test_follower_ways.py
+++ b/tests/test_follower_ways.py
@@ -23,7 +23,7 @@
 PLAYED_S = 6.0
 
 
-class Taker:
+class RecordingSink:
     """Takes what it is told."""
 
     def __init__(self) -> None:
@@ -78,11 +78,11 @@
         transport = SimTransport(network, SimProcess("front"), Address("front", 7000))
         directory = ReplicaDirectory()
         directory.put(ReplicaNode("store", "n1", STORE, "a"))
-        self.taker = taker = Taker()
+        self.sink = sink = RecordingSink()
         follower = CatalogFollower(
             FollowerPaths(transport, relays, HostLocations(), is_relay_only=lambda _peer: True),
             directory,
-            taker,
+            sink,
             Address("front", 7000),
             times,
             random.Random(2),
@@ -109,6 +109,6 @@
     def test_who_heard_newer_closed_zones_elsewhere_keeps_them_and_is_informed(self) -> None:
         times = CatalogTimes.within(3.0, 20.0, 5.0)
         self.assertTrue(self.follow(Relays(zones_at=8), times, knows_zones_at=9))
-        self.assertEqual(self.taker.zones_taken, [])
+        self.assertEqual(self.sink.zones_taken, [])
         self.assertTrue(self.follow(Relays(zones_at=10), times, knows_zones_at=9))
-        self.assertEqual(self.taker.zones_taken, [10])
+        self.assertEqual(self.sink.zones_taken, [10])
