--- a/src/bendshed/catalog/reading.py
+++ b/src/bendshed/catalog/reading.py
@@ -8,9 +8,9 @@
 from bendshed.catalog.watcher import KindWatcher
 from bendshed.logs import PartLog
 
-LOOK_INTERVAL_S = 0.25
+DISCOVERY_INTERVAL_S = 0.25
 """A node that has just started looks this often for replica machines."""
-NO_UPDATE_S = 0.5
+FIRST_UPDATE_TIMEOUT_S = 0.5
 """A node without any update this long after its start reads the registry itself: updates usually
 come within some round trips, and when all nodes start at once each own reading costs a call."""
 
@@ -22,7 +22,7 @@
 
     Args:
         follower: gets updates of other machines.
-        leading: the watch that looks for a lost registry.
+        primary: the watch that looks for a lost registry.
         others: begin again once the registry is back.
         on_change: gets ``is_lost`` after it or the follower's freshness may have changed.
 
@@ -31,17 +31,17 @@
     def __init__(
         self,
         follower: CatalogFollower,
-        leading: KindWatcher,
+        primary: KindWatcher,
         others: Sequence[KindWatcher],
         on_change: Callable[[bool], None] = lambda _is_lost: None,
     ) -> None:
         self._on_change = on_change
         self._follower = follower
-        self._leading = leading
+        self._primary = primary
         self._others = others
         self._may_read = True
-        leading.on_trouble.append(self._follow_trouble)
-        follower.on_freshness_change.append(self._follow_freshness)
+        primary.on_trouble.append(self._handle_loss_change)
+        follower.on_freshness_change.append(self._handle_freshness_change)
 
     @property
     def is_lost(self) -> bool:
@@ -49,50 +49,52 @@
 
         That stays while others update this node: the machines that do must not rely on it.
         """
-        return self._leading.is_lost
+        return self._primary.is_lost
 
-    async def wait_for_update(self, look: Callable[[], Awaitable[bool]], settle_s: float) -> None:
+    async def wait_for_update(
+        self, discover: Callable[[], Awaitable[bool]], settle_s: float
+    ) -> None:
         """Read nothing until others had time to send updates: all nodes may start at once.
 
         Args:
-            look: looks for replica machines once; ``False``: found none.
+            discover: looks for replica machines once; ``False``: found none.
             settle_s: after the first update, how long to wait for a fresh one.
 
         """
         self._may_read = False
-        for watcher in (self._leading, *self._others):
+        for watcher in (self._primary, *self._others):
             watcher.pause()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(NO_UPDATE_S):
-                is_found = await look()
+            async with asyncio.timeout(FIRST_UPDATE_TIMEOUT_S):
+                is_found = await discover()
                 while not is_found:
-                    await asyncio.sleep(LOOK_INTERVAL_S)
-                    is_found = await look()
+                    await asyncio.sleep(DISCOVERY_INTERVAL_S)
+                    is_found = await discover()
                 await self._follower.first_update.wait()
         if self._follower.first_update.is_set():
             await asyncio.sleep(settle_s)
         self._may_read = True
         log.say("startup wait over: registry may be read", is_told=self._follower.is_fresh)
-        self._follow_freshness()
+        self._handle_freshness_change()
 
-    def _follow_freshness(self) -> None:
+    def _handle_freshness_change(self) -> None:
         """Read only while no fresh updates come."""
         if not self._may_read:
             return
-        for watcher in (self._leading, *self._others):
+        for watcher in (self._primary, *self._others):
             watcher.is_known = self._follower.first_update.is_set()
         if self._follower.is_fresh:
-            for watcher in (self._leading, *self._others):
+            for watcher in (self._primary, *self._others):
                 watcher.pause()
         else:
-            self._leading.resume(self._follower.runners_at)
-            self._follow_trouble()
+            self._primary.resume(self._follower.runners_at)
+            self._handle_loss_change()
         self._on_change(self.is_lost)
 
-    def _follow_trouble(self) -> None:
+    def _handle_loss_change(self) -> None:
         """One watch looks for a lost registry; the others begin afresh once it is back."""
         for watcher in self._others:
-            if self._leading.is_lost:
+            if self._primary.is_lost:
                 watcher.pause()
             elif self._may_read and not self._follower.is_fresh:
                 watcher.restart()
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -5,27 +5,27 @@
 from collections.abc import Callable
 from unittest import mock
 
-from bendshed.catalog.reading import NO_UPDATE_S, RegistryReading
+from bendshed.catalog.reading import FIRST_UPDATE_TIMEOUT_S, RegistryReading
 from bendshed.rehearsal.simulator.loop import VirtualTimeLoop
 
 SETTLE_S = 1.0
 
 
-class StubWatch:
-    """A watch that remembers whether it is wanted."""
+class FakeWatcher:
+    """A watch that remembers whether it is active."""
 
     def __init__(self) -> None:
-        self.is_wanted = True
+        self.is_active = True
         self.is_lost = False
         self.is_known = False
         self.num_restarts = 0
         self.on_trouble: list[Callable[[], None]] = []
 
     def pause(self) -> None:
-        self.is_wanted = False
+        self.is_active = False
 
     def resume(self, _at: int = 0) -> None:
-        self.is_wanted = True
+        self.is_active = True
 
     def restart(self) -> None:
         self.num_restarts += 1
@@ -39,17 +39,17 @@
         self.follower = mock.Mock(
             first_update=asyncio.Event(), is_fresh=False, runners_at=0, on_freshness_change=[]
         )
-        self.leading, self.other = StubWatch(), StubWatch()
+        self.primary, self.other = FakeWatcher(), FakeWatcher()
         self.lost: list[bool] = []
         self.reading = RegistryReading(
             self.follower,
-            self.leading,  # type: ignore[arg-type]
+            self.primary,  # type: ignore[arg-type]
             [self.other],  # type: ignore[list-item]
             self.lost.append,
         )
 
-    def wanted(self) -> tuple[bool, bool]:
-        return self.leading.is_wanted, self.other.is_wanted
+    def active(self) -> tuple[bool, bool]:
+        return self.primary.is_active, self.other.is_active
 
     def set_fresh(self, is_fresh: bool) -> None:
         self.follower.is_fresh = is_fresh
@@ -57,34 +57,34 @@
             on_freshness_change()
 
     def notify_trouble(self) -> None:
-        for on_trouble in self.leading.on_trouble:
+        for on_trouble in self.primary.on_trouble:
             on_trouble()
 
     def wait_for_update(self, finds: bool) -> float:
-        async def look() -> bool:
+        async def discover() -> bool:
             return finds
 
         began_s = self.loop.time()
-        self.loop.run_until_complete(self.reading.wait_for_update(look, SETTLE_S))
+        self.loop.run_until_complete(self.reading.wait_for_update(discover, SETTLE_S))
         return self.loop.time() - began_s
 
     def test_a_node_reads_only_while_nobody_tells(self) -> None:
         self.set_fresh(True)
-        self.assertEqual(self.wanted(), (False, False))
+        self.assertEqual(self.active(), (False, False))
         self.set_fresh(False)
-        self.assertEqual(self.wanted(), (True, True))
+        self.assertEqual(self.active(), (True, True))
 
     def test_one_watch_looks_for_a_lost_registry_and_the_others_begin_afresh(self) -> None:
-        self.leading.is_lost = True
+        self.primary.is_lost = True
         self.notify_trouble()
-        self.assertEqual(self.wanted(), (True, False))
-        self.leading.is_lost = False
+        self.assertEqual(self.active(), (True, False))
+        self.primary.is_lost = False
         self.notify_trouble()
-        self.assertEqual((self.wanted(), self.other.num_restarts), ((True, True), 1))
+        self.assertEqual((self.active(), self.other.num_restarts), ((True, True), 1))
         self.assertEqual(self.lost, [True, False])
 
     def test_a_node_that_is_told_by_others_must_not_be_relied_on_by_them(self) -> None:
-        self.leading.is_lost = True
+        self.primary.is_lost = True
         self.set_fresh(True)
         self.assertTrue(self.reading.is_lost)
 
@@ -92,23 +92,23 @@
         self.follower.first_update.set()
         self.follower.is_fresh = True
         self.assertAlmostEqual(self.wait_for_update(finds=True), SETTLE_S, places=2)
-        self.assertEqual(self.wanted(), (False, False))
+        self.assertEqual(self.active(), (False, False))
 
     def test_a_node_that_finds_nobody_reads_soon(self) -> None:
-        self.assertAlmostEqual(self.wait_for_update(finds=False), NO_UPDATE_S, places=2)
-        self.assertEqual(self.wanted(), (True, True))
+        self.assertAlmostEqual(self.wait_for_update(finds=False), FIRST_UPDATE_TIMEOUT_S, places=2)
+        self.assertEqual(self.active(), (True, True))
 
     def test_who_is_told_asks_a_lost_registry_less_often(self) -> None:
         self.set_fresh(False)
-        self.assertFalse(self.leading.is_known)
+        self.assertFalse(self.primary.is_known)
         self.follower.first_update.set()
         self.set_fresh(False)
-        self.assertTrue(self.leading.is_known)
+        self.assertTrue(self.primary.is_known)
 
     def test_a_node_that_is_told_old_words_reads_a_little_later(self) -> None:
         self.follower.first_update.set()
         self.wait_for_update(finds=True)
-        self.assertEqual(self.wanted(), (True, True))
+        self.assertEqual(self.active(), (True, True))
 
 
 if __name__ == "__main__":
