--- a/src/bendshed/catalog/reading.py
+++ b/src/bendshed/catalog/reading.py
@@ -40,7 +40,7 @@
         self._primary = primary
         self._others = others
         self._may_read = True
-        primary.on_trouble.append(self._handle_loss_change)
+        primary.on_loss_change.append(self._handle_loss_change)
         follower.on_freshness_change.append(self._handle_freshness_change)
 
     @property
@@ -82,7 +82,7 @@
         if not self._may_read:
             return
         for watcher in (self._primary, *self._others):
-            watcher.is_known = self._follower.first_update.is_set()
+            watcher.has_peer_updates = self._follower.first_update.is_set()
         if self._follower.is_fresh:
             for watcher in (self._primary, *self._others):
                 watcher.pause()
--- a/src/bendshed/catalog/watcher.py
+++ b/src/bendshed/catalog/watcher.py
@@ -15,20 +15,20 @@
 )
 from bendshed.ports.store import StoreUnavailable
 
-RETRY_MIN_S = 0.15
-RETRY_MAX_S = 0.4
+INITIAL_RETRY_MIN_S = 0.15
+INITIAL_RETRY_MAX_S = 0.4
 """A process that knows nothing yet retries soon."""
-KNOWING_RETRY_MIN_S = 0.5
-KNOWING_RETRY_MAX_S = 0.9
+RETRY_MIN_S = 0.5
+RETRY_MAX_S = 0.9
 """One that knows the kind serves on meanwhile; calls to a store that is away cost like others."""
 MAX_RETRY_GROWTH = 8.0
 """A process that other nodes update retries up to so many times as rarely while the store
 fails."""
 LOST_WAIT_S = 0.1
 """While the store is lost, a watch waits only this long: its failure shows soon."""
-PACE_S = 0.05
+WATCH_PAUSE_S = 0.05
 """Shortest pause between two watches, so that a burst of changes costs few calls."""
-DOUBT_S = 5.0
+RECENT_FAILURE_S = 5.0
 """For this long after a failed call the store's silence or removals prove little."""
 
 log = PartLog("registry")
@@ -42,7 +42,7 @@
 ConfirmedHandler = Callable[[int], None]
 
 
-def _pass_over(_at: int) -> None:
+def _ignore_confirmation(_at: int) -> None:
     """No part needs the confirmation."""
 
 
@@ -59,26 +59,28 @@
 
     on_list: ListHandler
     on_event: EventHandler
-    on_confirmed: ConfirmedHandler = _pass_over
+    on_confirmed: ConfirmedHandler = _ignore_confirmation
 
     @classmethod
-    def of_states(
-        cls, take: Callable[[StoredObject], object], on_confirmed: ConfirmedHandler = _pass_over
+    def for_objects(
+        cls,
+        handle: Callable[[StoredObject], object],
+        on_confirmed: ConfirmedHandler = _ignore_confirmation,
     ) -> "KindHandler":
         """Take each object's newest state; objects that go are passed over."""
 
         def on_list(listed: ObjectList) -> None:
             for item in listed.items:
-                take(item)
+                handle(item)
 
         def on_event(event: ObjectEvent) -> None:
             if not event.is_gone:
-                take(event.object)
+                handle(event.object)
 
         return cls(on_list, on_event, on_confirmed)
 
     @classmethod
-    def of_names(cls, take: NamesHandler) -> "KindHandler":
+    def for_names(cls, handle: NamesHandler) -> "KindHandler":
         """Take the names of all objects after each answer of the store.
 
         They are collected here, answer by answer, so that each call has a whole state of one
@@ -101,7 +103,7 @@
                 present.add(name)
 
         def on_confirmed(at: int) -> None:
-            take(frozenset(present), at, frozenset(gone - present))
+            handle(frozenset(present), at, frozenset(gone - present))
             gone.clear()
 
         return cls(on_list, on_event, on_confirmed)
@@ -113,13 +115,14 @@
     Attributes:
         wait_s: how long a watch may wait for a change.
         pace_s: shortest pause between two watches.
-        is_known: whether updates of other nodes hold the kind.
-        retry_growth: how many times as rarely a lost store is tried in the end; 1: not rarer.
-        is_quick_again: the first watch after a pause or a change of pace waits ``LOST_WAIT_S``, so
-            that what was missed, or a dead connection, shows at once; it costs a call.
+        has_peer_updates: whether updates of other nodes hold the kind.
+        max_retry_growth: how many times as rarely a lost store is tried in the end; 1: not rarer.
+        is_first_watch_short: the first watch after a pause or a change of pace waits
+            ``LOST_WAIT_S``, so that what was missed, or a dead connection, shows at once; it costs
+            a call.
         failed_at_s: loop time of the last failed call.
-        on_trouble: called when the store is lost and again when it is regained: a watch begun in
-            between may hang on a connection that will never speak.
+        on_loss_change: called when the store is lost and again when it is regained: a watch begun
+            in between may hang on a connection that will never speak.
 
     """
 
@@ -130,28 +133,28 @@
         handler: KindHandler,
         wait_s: float,
         rng: random.Random,
-        pace_s: float = PACE_S,
-        retry_growth: float = 1.0,
+        pace_s: float = WATCH_PAUSE_S,
+        max_retry_growth: float = 1.0,
     ) -> None:
         self.failed_at_s = float("-inf")
-        self.on_trouble: list[Callable[[], None]] = []
-        self.is_quick_again = False
-        self._is_again = False
+        self.on_loss_change: list[Callable[[], None]] = []
+        self.is_first_watch_short = False
+        self._is_next_watch_short = False
         self._source = source
         self._kind = kind
         self._handler = handler
-        self.is_known = False
+        self.has_peer_updates = False
         self.wait_s = wait_s
         self._rng = rng
         self.pace_s = pace_s
-        self._retry_growth = retry_growth
+        self._max_retry_growth = max_retry_growth
         self._num_failed = 0
         self._at: int | None = None
         self._listed: dict[str, int] = {}
         self._call: asyncio.Task[None] | None = None
         self._is_lost = False
-        self._is_wanted = asyncio.Event()
-        self._is_wanted.set()
+        self._is_active = asyncio.Event()
+        self._is_active.set()
 
     @property
     def is_lost(self) -> bool:
@@ -159,16 +162,16 @@
         return self._is_lost
 
     @property
-    def is_in_doubt(self) -> bool:
-        """Whether the store failed within ``DOUBT_S``."""
-        return asyncio.get_running_loop().time() - self.failed_at_s < DOUBT_S
+    def failed_recently(self) -> bool:
+        """Whether the store failed within ``RECENT_FAILURE_S``."""
+        return asyncio.get_running_loop().time() - self.failed_at_s < RECENT_FAILURE_S
 
     async def run(self) -> None:
         """Follow the kind until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await self._is_wanted.wait()
-            self._call = loop.create_task(self._step())
+            await self._is_active.wait()
+            self._call = loop.create_task(self._call_store())
             try:
                 await self._call
                 self._note_regained()
@@ -193,29 +196,29 @@
             self.restart()
 
     def _retry_s(self) -> float:
-        if self._at is None and not self.is_known:
-            return self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S)
-        growth = min(self._retry_growth, 2.0 ** (self._num_failed - 1))
-        return growth * self._rng.uniform(KNOWING_RETRY_MIN_S, KNOWING_RETRY_MAX_S)
+        if self._at is None and not self.has_peer_updates:
+            return self._rng.uniform(INITIAL_RETRY_MIN_S, INITIAL_RETRY_MAX_S)
+        growth = min(self._max_retry_growth, 2.0 ** (self._num_failed - 1))
+        return growth * self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S)
 
     def pause(self) -> None:
         """Send nothing until ``resume``: other nodes send updates of this kind."""
-        self._is_wanted.clear()
+        self._is_active.clear()
         self.restart()
 
     def resume(self, at: int = 0) -> None:
         """Watch again; ``at``: everything up to this revision is known from elsewhere."""
         if at:
             self._at = max(self._at or 0, at)
-        self._is_wanted.set()
+        self._is_active.set()
 
     def restart(self) -> None:
         """Give a watch up that may hang on a dead connection, and begin it again."""
-        self._is_again = self.is_quick_again
+        self._is_next_watch_short = self.is_first_watch_short
         if self._call is not None:
             self._call.cancel()
 
-    async def _step(self) -> None:
+    async def _call_store(self) -> None:
         if self._at is None:
             listed = await self._source.list(self._kind)
             self._at = listed.at
@@ -223,16 +226,16 @@
             self._handler.on_list(listed)
             self._handler.on_confirmed(listed.at)
             return
-        wait_s = LOST_WAIT_S if self._is_lost or self._is_again else self.wait_s
+        wait_s = LOST_WAIT_S if self._is_lost or self._is_next_watch_short else self.wait_s
         changes = await self._source.watch(self._kind, self._at, wait_s)
-        self._is_again = False
+        self._is_next_watch_short = False
         self._at = changes.at
         for event in changes.events:
-            if not self._is_old(event):
+            if not self._is_outdated(event):
                 self._handler.on_event(event)
         self._handler.on_confirmed(changes.at)
 
-    def _is_old(self, event: ObjectEvent) -> bool:
+    def _is_outdated(self, event: ObjectEvent) -> bool:
         """A list of several pages holds later states than those at which its watch begins."""
         return event.object.revision < self._listed.get(event.object.name, 0)
 
@@ -242,15 +245,15 @@
         if not self._is_lost:
             log.say("platform store lost: call failed", kind=self._kind, reason=str(error))
             self._is_lost = True
-            self._notify_trouble()
+            self._notify_loss_change()
 
-    def _notify_trouble(self) -> None:
-        for on_trouble in self.on_trouble:
-            on_trouble()
+    def _notify_loss_change(self) -> None:
+        for on_loss_change in self.on_loss_change:
+            on_loss_change()
 
     def _note_regained(self) -> None:
         self._num_failed = 0
         if self._is_lost:
             log.say("platform store answers again", kind=self._kind)
             self._is_lost = False
-            self._notify_trouble()
+            self._notify_loss_change()
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -88,19 +88,19 @@
         self._others = [
             self._watcher(
                 names.CONFIGURATION_KIND,
-                KindHandler.of_states(self._take_configuration),
+                KindHandler.for_objects(self._take_configuration),
                 long_watch_s,
             ),
             self._watcher(
                 names.REPLICA_KIND,
-                KindHandler.of_states(self._take_replica),
+                KindHandler.for_objects(self._take_replica),
                 long_watch_s,
             ),
         ]
         if times.follows_zones:
-            handler = KindHandler.of_names(self._take_zones)
+            handler = KindHandler.for_names(self._take_zones)
             zones = self._watcher(names.ZONE_CLOSURE_KIND, handler, times.zones_wait_s)
-            zones.is_quick_again = True
+            zones.is_first_watch_short = True
             self._others.append(zones)
         self._reading = RegistryReading(self._node.catalog, self._runners, self._others)
         self._node.forwarder.is_current = self._is_current
@@ -190,11 +190,11 @@
 
     def _list_runners(self, listed: ObjectList) -> None:
         runners = [read_runner(item) for item in listed.items]
-        self._node.replace_runners(runners, is_trusted=not self._runners.is_in_doubt)
+        self._node.replace_runners(runners, is_trusted=not self._runners.failed_recently)
 
     def _on_runner(self, event: ObjectEvent) -> None:
         if event.is_gone:
-            trusted = not self._runners.is_in_doubt
+            trusted = not self._runners.failed_recently
             self._node.remove_runner(event.object.name, trusted)
         else:
             self._node.put_runner(read_runner(event.object))
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -74,12 +74,14 @@
         )
         self._configuration = self._watcher(
             names.CONFIGURATION_KIND,
-            KindHandler.of_states(self._take_configuration, partial(confirm, CatalogPart.DOCUMENT)),
+            KindHandler.for_objects(
+                self._take_configuration, partial(confirm, CatalogPart.DOCUMENT)
+            ),
         )
         self._replicas = KindWatcher(
             self._api,
             names.REPLICA_KIND,
-            KindHandler.of_states(self._take_replica),
+            KindHandler.for_objects(self._take_replica),
             WATCH_S,
             self._rng,
             REPLICA_PACE_S,
@@ -92,8 +94,10 @@
             WATCH_S,
             self._rng,
         )
-        self._zones = self._watcher(names.ZONE_CLOSURE_KIND, KindHandler.of_names(self._take_zones))
-        self._zones.is_quick_again = True
+        self._zones = self._watcher(
+            names.ZONE_CLOSURE_KIND, KindHandler.for_names(self._take_zones)
+        )
+        self._zones.is_first_watch_short = True
         others = [self._configuration, self._replicas, self._retirements]
         if settings.catalog_times.follows_zones:
             others.append(self._zones)
@@ -139,13 +143,13 @@
 
     def _list_runners(self, listed: ObjectList) -> None:
         runners = [KnownRunner(read_runner(item), item.revision) for item in listed.items]
-        trusted = not self._runners.is_in_doubt
+        trusted = not self._runners.failed_recently
         self._node.catalog.list_runners(runners, listed.at, trusted)
 
     def _on_runner(self, event: ObjectEvent) -> None:
         item = event.object
         if event.is_gone:
-            trusted = not self._runners.is_in_doubt
+            trusted = not self._runners.failed_recently
             self._node.catalog.remove_runner(item.name, event.at, trusted)
         else:
             self._node.catalog.put_runner(KnownRunner(read_runner(item), item.revision))
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -17,9 +17,9 @@
     def __init__(self) -> None:
         self.is_active = True
         self.is_lost = False
-        self.is_known = False
+        self.has_peer_updates = False
         self.num_restarts = 0
-        self.on_trouble: list[Callable[[], None]] = []
+        self.on_loss_change: list[Callable[[], None]] = []
 
     def pause(self) -> None:
         self.is_active = False
@@ -56,9 +56,9 @@
         for on_freshness_change in self.follower.on_freshness_change:
             on_freshness_change()
 
-    def notify_trouble(self) -> None:
-        for on_trouble in self.primary.on_trouble:
-            on_trouble()
+    def notify_loss_change(self) -> None:
+        for on_loss_change in self.primary.on_loss_change:
+            on_loss_change()
 
     def wait_for_update(self, finds: bool) -> float:
         async def discover() -> bool:
@@ -76,10 +76,10 @@
 
     def test_one_watch_looks_for_a_lost_registry_and_the_others_begin_afresh(self) -> None:
         self.primary.is_lost = True
-        self.notify_trouble()
+        self.notify_loss_change()
         self.assertEqual(self.active(), (True, False))
         self.primary.is_lost = False
-        self.notify_trouble()
+        self.notify_loss_change()
         self.assertEqual((self.active(), self.other.num_restarts), ((True, True), 1))
         self.assertEqual(self.lost, [True, False])
 
@@ -100,10 +100,10 @@
 
     def test_who_is_told_asks_a_lost_registry_less_often(self) -> None:
         self.set_fresh(False)
-        self.assertFalse(self.primary.is_known)
+        self.assertFalse(self.primary.has_peer_updates)
         self.follower.first_update.set()
         self.set_fresh(False)
-        self.assertTrue(self.primary.is_known)
+        self.assertTrue(self.primary.has_peer_updates)
 
     def test_a_node_that_is_told_old_words_reads_a_little_later(self) -> None:
         self.follower.first_update.set()
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -7,8 +7,8 @@
 from unittest import mock
 
 from bendshed.catalog.watcher import (
-    KNOWING_RETRY_MAX_S,
     LOST_WAIT_S,
+    RETRY_MAX_S,
     KindHandler,
     KindWatcher,
 )
@@ -26,7 +26,7 @@
 MARGIN_S = 0.6
 
 
-class SilentStore:
+class FakeStore:
     """A store of one object that can fall silent, with every connection made meanwhile."""
 
     def __init__(self, loop: VirtualTimeLoop) -> None:
@@ -76,11 +76,11 @@
         self.loop = VirtualTimeLoop()
         asyncio.set_event_loop(self.loop)
         self.addCleanup(self.loop.close)
-        self.store = SilentStore(self.loop)
+        self.store = FakeStore(self.loop)
         self.seen: list[int] = []
         self.short = self.watcher([], 2.0)
         self.long = self.watcher(self.seen, WATCH_S)
-        self.short.on_trouble.append(self.long.restart)
+        self.short.on_loss_change.append(self.long.restart)
         self.tasks = [self.loop.create_task(w.run()) for w in (self.short, self.long)]
 
     def tearDown(self) -> None:
@@ -88,7 +88,7 @@
             task.cancel()
         self.loop.run_until_complete(asyncio.gather(*self.tasks, return_exceptions=True))
 
-    def watcher(self, seen: list[int], wait_s: float, retry_growth: float = 1.0) -> KindWatcher:
+    def watcher(self, seen: list[int], wait_s: float, max_retry_growth: float = 1.0) -> KindWatcher:
         handler = KindHandler(
             lambda listed: seen.extend(item.revision for item in listed.items),
             lambda event: seen.append(event.object.revision),
@@ -99,7 +99,7 @@
             handler,
             wait_s,
             random.Random(1),
-            retry_growth=retry_growth,
+            max_retry_growth=max_retry_growth,
         )
 
     def run_for(self, seconds: float) -> None:
@@ -158,8 +158,8 @@
 
     def test_who_is_told_by_others_asks_a_lost_store_ever_less_often(self) -> None:
         self.run_for(1.0)
-        patient = self.watcher([], 2.0, retry_growth=8.0)
-        patient.is_known = True
+        patient = self.watcher([], 2.0, max_retry_growth=8.0)
+        patient.has_peer_updates = True
         with mock.patch.object(self.store, "list", side_effect=StoreUnavailable("away")) as listed:
             self.tasks.append(self.loop.create_task(patient.run()))
             self.run_for(10.0)
@@ -169,7 +169,7 @@
         """What it must know in time it does not wait for on a connection that may be dead."""
         quick_seen: list[int] = []
         quick = self.watcher(quick_seen, WATCH_S)
-        quick.is_quick_again = True
+        quick.is_first_watch_short = True
         self.tasks.append(self.loop.create_task(quick.run()))
         self.run_for(1.0)
         quick.pause()
@@ -179,12 +179,12 @@
         self.run_for(0.3)
         self.store.is_silent = False
         self.store.change(5)
-        self.run_for(LOST_WAIT_S + MARGIN_S + KNOWING_RETRY_MAX_S + 0.1)
+        self.run_for(LOST_WAIT_S + MARGIN_S + RETRY_MAX_S + 0.1)
         self.assertEqual(quick_seen, [1, 5])
 
     def test_a_quick_watch_waits_as_long_as_others_afterwards(self) -> None:
         quick = self.watcher([], WATCH_S)
-        quick.is_quick_again = True
+        quick.is_first_watch_short = True
         self.tasks.append(self.loop.create_task(quick.run()))
         self.run_for(1.0)
         quick.restart()
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,7 +12,7 @@
 from bendshed.catalog.follower import REPLY_MARGIN_S
 from bendshed.catalog.state import Catalog, KnownRunner
 from bendshed.catalog.times import CatalogTimes
-from bendshed.catalog.watcher import KNOWING_RETRY_MAX_S, LOST_WAIT_S, KindHandler
+from bendshed.catalog.watcher import LOST_WAIT_S, RETRY_MAX_S, KindHandler
 from bendshed.catalog.zones import update_of_listing
 from bendshed.model.address import Address
 from bendshed.model.places import Places
@@ -198,7 +198,7 @@
 
     def setUp(self) -> None:
         self.record = ZoneRecord()
-        self.handler = KindHandler.of_names(self.take)
+        self.handler = KindHandler.for_names(self.take)
 
     def take(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
         self.record.apply(update_of_listing(names, at, gone), 30.0)
@@ -265,7 +265,7 @@
 
     def test_the_bound_holds_when_one_connection_is_dead_at_each_step(self) -> None:
         times = CatalogTimes.within(3.0, 20.0, ZONE_CLOSE_S)
-        again_s = KNOWING_RETRY_MAX_S + LOST_WAIT_S
+        again_s = RETRY_MAX_S + LOST_WAIT_S
         hop_s = times.interval_s + REPLY_MARGIN_S
         by_reader_s = times.zones_wait_s + WATCH_MARGIN_S + again_s + hop_s
         self.assertLess(by_reader_s, ZONE_CLOSE_S)
