--- a/src/bendshed/catalog/demand.py
+++ b/src/bendshed/catalog/demand.py
@@ -41,7 +41,7 @@
 
     def __init__(self, times: CatalogTimes) -> None:
         self.front_requested_at_s: dict[Address, float] = {}
-        self.pace = times.pace(in_demand=False)
+        self.pace = times.pace(is_in_demand=False)
         self.on_pace_change: list[Callable[[ReadingPace], None]] = []
         self._times = times
         self._replica_requested_at_s: dict[Address, float] = {}
--- a/src/bendshed/catalog/times.py
+++ b/src/bendshed/catalog/times.py
@@ -10,9 +10,9 @@
 HISTORY_SHARE = 0.75
 """A watch waits this share of the time for which the registry remembers changes: a later one would
 have to list everything again."""
-IDLE_PACE_S = 2.0
+IDLE_PAUSE_S = 2.0
 """A burst of changes costs a machine on which few rely one call in this time."""
-DEMAND_PACE_S = 0.05
+DEMAND_PAUSE_S = 0.05
 """The same for a machine that reads for others: each pause delays all of them."""
 
 
@@ -22,13 +22,13 @@
 
     Attributes:
         wait_s: longest wait for a change.
-        pace_s: changes of this time cost one call together.
+        pause_s: changes of this time cost one call together.
         zones_wait_s: longest wait for a change of closed zones.
 
     """
 
     wait_s: float
-    pace_s: float
+    pause_s: float
     zones_wait_s: float
 
 
@@ -85,8 +85,8 @@
         """
         return self.interval_s + (self.zones_lag_s or 0.0)
 
-    def pace(self, in_demand: bool) -> ReadingPace:
+    def pace(self, is_in_demand: bool) -> ReadingPace:
         """How a replica machine reads; in demand: often enough that its updates are fresh."""
-        if in_demand:
-            return ReadingPace(self.interval_s, DEMAND_PACE_S, self.zones_wait_s)
-        return ReadingPace(self.idle_wait_s, IDLE_PACE_S, self.idle_wait_s)
+        if is_in_demand:
+            return ReadingPace(self.interval_s, DEMAND_PAUSE_S, self.zones_wait_s)
+        return ReadingPace(self.idle_wait_s, IDLE_PAUSE_S, self.idle_wait_s)
--- a/src/bendshed/catalog/watcher.py
+++ b/src/bendshed/catalog/watcher.py
@@ -114,7 +114,7 @@
 
     Attributes:
         wait_s: how long a watch may wait for a change.
-        pace_s: shortest pause between two watches.
+        pause_s: shortest pause between two watches.
         has_peer_updates: whether updates of other nodes hold the kind.
         max_retry_growth: how many times as rarely a lost store is tried in the end; 1: not rarer.
         is_first_watch_short: the first watch after a pause or a change of pace waits
@@ -133,7 +133,7 @@
         handler: KindHandler,
         wait_s: float,
         rng: random.Random,
-        pace_s: float = WATCH_PAUSE_S,
+        pause_s: float = WATCH_PAUSE_S,
         max_retry_growth: float = 1.0,
     ) -> None:
         self.failed_at_s = float("-inf")
@@ -146,7 +146,7 @@
         self.has_peer_updates = False
         self.wait_s = wait_s
         self._rng = rng
-        self.pace_s = pace_s
+        self.pause_s = pause_s
         self._max_retry_growth = max_retry_growth
         self._num_failed = 0
         self._at: int | None = None
@@ -175,7 +175,7 @@
             try:
                 await self._call
                 self._note_regained()
-                await asyncio.sleep(self.pace_s)
+                await asyncio.sleep(self.pause_s)
             except HistoryGone:
                 log.say("listing again: change history expired", kind=self._kind)
                 self._at = None
@@ -188,10 +188,10 @@
                     self._call.cancel()
                     raise
 
-    def set_pace(self, wait_s: float, pace_s: float) -> None:
+    def set_pace(self, wait_s: float, pause_s: float) -> None:
         """From now on watch at another pace; a shorter one begins at once."""
         is_shorter = wait_s < self.wait_s
-        self.wait_s, self.pace_s = wait_s, pace_s
+        self.wait_s, self.pause_s = wait_s, pause_s
         if is_shorter:
             self.restart()
 
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -124,7 +124,7 @@
     def _watcher(self, kind: str, handler: KindHandler) -> KindWatcher:
         pace = self._node.demand.pace
         return KindWatcher(
-            self._api, kind, handler, pace.wait_s, self._rng, pace.pace_s, RETRY_GROWTH
+            self._api, kind, handler, pace.wait_s, self._rng, pace.pause_s, RETRY_GROWTH
         )
 
     # --- what others rely on ---------------------------------------------------------------
@@ -135,8 +135,8 @@
 
     def _set_pace(self, pace: ReadingPace) -> None:
         for watcher in (self._runners, self._configuration):
-            watcher.set_pace(pace.wait_s, pace.pace_s)
-        self._zones.set_pace(pace.zones_wait_s, pace.pace_s)
+            watcher.set_pace(pace.wait_s, pace.pause_s)
+        self._zones.set_pace(pace.zones_wait_s, pace.pause_s)
 
     def _take_zones(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
         self._node.take_zones(update_of_listing(names, at, gone))
