--- a/src/bendshed/catalog/cold_runner_tracker.py
+++ b/src/bendshed/catalog/cold_runner_tracker.py
@@ -12,7 +12,7 @@
 log = PartLog("cold")
 
 
-def _no_clock() -> float:
+def _zero_clock() -> float:
     """Stands in until the process sets its clock; nothing ages before."""
     return 0.0
 
@@ -26,7 +26,7 @@
 
     """
 
-    clock: Callable[[], float] = _no_clock
+    clock: Callable[[], float] = _zero_clock
     _state: ColdRunners = field(default_factory=ColdRunners)
 
     # --- updates ---------------------------------------------------------------------------
@@ -35,19 +35,19 @@
         """Take the bounds and times of cold starts from a configuration that is in force."""
         self._state.services = document.services
 
-    def put(self, runner: ServiceRunner) -> None:
+    def note_listed(self, runner: ServiceRunner) -> None:
         """A runner's entry is new or has changed."""
-        self._note(runner, self._state.note_listed, "its entry")
+        self._update(runner, self._state.note_listed, "its entry")
 
-    def put_stored(self, runner: ServiceRunner) -> None:
+    def note_persisted(self, runner: ServiceRunner) -> None:
         """Take a runner's entry that an earlier incarnation persisted."""
-        self._note(runner, self._state.note_persisted, "kept, and of unknown age")
+        self._update(runner, self._state.note_persisted, "kept, and of unknown age")
 
-    def confirm(self, runner: ServiceRunner) -> None:
+    def note_confirmed(self, runner: ServiceRunner) -> None:
         """A runner's entry was received again, unchanged."""
-        self._note(runner, self._state.note_confirmed, "its entry")
+        self._update(runner, self._state.note_confirmed, "its entry")
 
-    def _note(
+    def _update(
         self,
         runner: ServiceRunner,
         note: Callable[[ServiceRunner, float], float],
@@ -56,19 +56,19 @@
         was_cold = self.is_cold(runner.runner_id)
         left_s = note(runner, self.clock())
         if left_s > 0 and not was_cold:
-            self._say_cold(runner.runner_id, left_s, reason)
+            self._log_cold(runner.runner_id, left_s, reason)
 
-    def vanish(self, runner_id: str) -> None:
+    def note_removed(self, runner_id: str) -> None:
         """A runner is not listed any more."""
         self._state.note_vanished(runner_id)
 
-    def reopen(self, zone: str, at_s: float) -> None:
+    def note_zone_reopened(self, zone: str, at_s: float) -> None:
         """A zone was opened again, at a time of ``clock``."""
         for runner_id in self._state.note_reopened(zone, at_s):
             left_s = self._state.cold_left_ms(runner_id, self.clock()) / 1000
-            self._say_cold(runner_id, left_s, "its zone was opened again")
+            self._log_cold(runner_id, left_s, "its zone was opened again")
 
-    def _say_cold(self, runner_id: str, left_s: float, reason: str) -> None:
+    def _log_cold(self, runner_id: str, left_s: float, reason: str) -> None:
         rate = self._state.rate_of(runner_id)
         if rate > 0:
             log.say("runner is cold", runner=runner_id, for_s=left_s, reason=reason, rate=rate)
@@ -85,12 +85,12 @@
         if not self.has_cold:
             return False
         now_s = self.clock()
-        for warm in self._state.pop_warm(now_s):
-            if self._state.rate_of(warm) > 0:
-                log.say("runner is warm again", runner=warm)
+        for warm_id in self._state.pop_warm(now_s):
+            if self._state.rate_of(warm_id) > 0:
+                log.say("runner is warm again", runner=warm_id)
         return self._state.is_cold(runner_id, now_s)
 
-    def only_warm(self, records: Sequence[RunnerRecord]) -> Sequence[RunnerRecord]:
+    def filter_warm(self, records: Sequence[RunnerRecord]) -> Sequence[RunnerRecord]:
         """The runners that get work without a permit."""
         if not self.has_cold:
             return records
--- a/src/bendshed/catalog/replica_catalog.py
+++ b/src/bendshed/catalog/replica_catalog.py
@@ -38,7 +38,7 @@
     def start(self) -> None:
         """Begin with what the disk held; time passes for it from now on."""
         self.catalog.begin_incarnation(asyncio.get_running_loop().time)
-        self.zones.on_zone_opened.append(self.catalog.cold.reopen)
+        self.zones.on_zone_opened.append(self.catalog.cold.note_zone_reopened)
         self.take_zones(self._persistence.stored.zones)
 
     def take_document(self, document: ServiceDocument) -> bool:
--- a/src/bendshed/catalog/state.py
+++ b/src/bendshed/catalog/state.py
@@ -134,14 +134,14 @@
         held = self._runners.get(runner_id)
         if held is not None and held.revision >= known.revision:
             if held.revision == known.revision:
-                self.cold.confirm(known.runner)
+                self.cold.note_confirmed(known.runner)
             return False
         if held is not None:
             self._set_ready(held.runner, False)
         self._runners[runner_id] = known
         self._set_ready(known.runner, known.runner.state is RunnerState.READY)
         self._removed.pop(runner_id, None)
-        self.cold.put(known.runner)
+        self.cold.note_listed(known.runner)
         return True
 
     def _set_ready(self, runner: ServiceRunner, is_ready: bool) -> None:
@@ -157,7 +157,7 @@
         if held is None:
             return False
         self._set_ready(held.runner, False)
-        self.cold.vanish(runner_id)
+        self.cold.note_removed(runner_id)
         self._removed[runner_id] = Removal(runner_id, at, is_trusted)
         while len(self._removed) > MAX_REMOVED:
             _, dropped = self._removed.popitem(last=False)
@@ -168,7 +168,7 @@
         """What is known so far was saved by an earlier incarnation; time passes from now on."""
         self.cold.clock = clock
         for known in self._runners.values():
-            self.cold.put_stored(known.runner)
+            self.cold.note_persisted(known.runner)
 
     def advance(self, at: int) -> None:
         """All changes up to this revision have been taken."""
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -142,7 +142,7 @@
 
     def _build_table(self) -> RunnerTable:
         table = RunnerTable(filter=self.zones.filter, cold=ColdRunnerTracker(clock=_loop_time))
-        self.zones.on_zone_opened.append(table.cold.reopen)
+        self.zones.on_zone_opened.append(table.cold.note_zone_reopened)
         return table
 
     def _build_turn_ports(
--- a/src/bendshed/services/runner_placement.py
+++ b/src/bendshed/services/runner_placement.py
@@ -120,7 +120,7 @@
         preferred = self._choose_preferred(eligible, tried, now_s)
         if preferred is not None:
             return preferred
-        warm = self.ports.table.cold.only_warm(eligible)
+        warm = self.ports.table.cold.filter_warm(eligible)
         connected: set[str] = set()
         if self.ports.policy.kept_connections:
             connected = {r.listed.runner_id for r in eligible if self.ports.is_connected(r)}
--- a/src/bendshed/services/runners.py
+++ b/src/bendshed/services/runners.py
@@ -69,7 +69,7 @@
             self._by_service(record.listed.service).pop(runner.runner_id, None)
         record.listed = runner
         record.unlisted_at_s = None
-        self.cold.put(runner)
+        self.cold.note_listed(runner)
         self._by_service(runner.service)[runner.runner_id] = record
         log.say(
             "runner is listed",
@@ -93,7 +93,7 @@
         if record is None:
             return
         log.say("runner is not listed any more", runner=runner_id, trusted=is_trusted)
-        self.cold.vanish(runner_id)
+        self.cold.note_removed(runner_id)
         if is_trusted:
             self._drop(record)
         elif record.unlisted_at_s is None:
--- a/tests/test_cold_runner_dispatch.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -262,7 +262,7 @@
         tracker.take_document(DOCUMENT)
         self.pool = [runner(f"r{number}", 60_000) for number in range(self.NUM_RUNNERS)]
         for listed_runner in self.pool:
-            tracker.put(listed_runner)
+            tracker.note_listed(listed_runner)
         self.cold = ColdAdmission(tracker, TERMS, TurnLogMetrics(CollectorRegistry()))
         self.cold.permit_counts.leadership.update(1, True, -10.0)
         self.rng = random.Random(1)
