--- a/src/bendshed/catalog/codec.py
+++ b/src/bendshed/catalog/codec.py
@@ -51,7 +51,7 @@
     """Write what a node lacks that knows a revision and a version."""
     reply = wire.CatalogReply(document_version=catalog.version)
     if catalog.document is not None and catalog.version > known_version:
-        reply.document = catalog.written(encode_document)
+        reply.document = catalog.encoded_document(encode_document)
     if catalog.runners_at:
         changes = catalog.changes_since(since)
         reply.has_runners = True
--- a/src/bendshed/catalog/state.py
+++ b/src/bendshed/catalog/state.py
@@ -76,16 +76,16 @@
     _ready: dict[str, dict[str, ServiceRunner]] = field(default_factory=dict)
     _removed: "OrderedDict[str, Removal]" = field(default_factory=OrderedDict)
     _history_from: int = 0
-    _written: bytes = b""
-    _written_version: int = -1
+    _encoded: bytes = b""
+    _encoded_version: int = -1
 
-    def written(self, write: Callable[[ServiceDocument], bytes]) -> bytes:
+    def encoded_document(self, encode: Callable[[ServiceDocument], bytes]) -> bytes:
         """The document as it is sent, encoded once a version and not once a request."""
         assert self.document is not None
-        if self._written_version != self.version:
-            self._written = write(self.document)
-            self._written_version = self.version
-        return self._written
+        if self._encoded_version != self.version:
+            self._encoded = encode(self.document)
+            self._encoded_version = self.version
+        return self._encoded
 
     @property
     def version(self) -> int:
@@ -131,13 +131,13 @@
     def put_runner(self, known: KnownRunner) -> bool:
         """Take one runner's state; ``False``: it is not newer."""
         runner_id = known.runner.runner_id
-        held = self._runners.get(runner_id)
-        if held is not None and held.revision >= known.revision:
-            if held.revision == known.revision:
+        current = self._runners.get(runner_id)
+        if current is not None and current.revision >= known.revision:
+            if current.revision == known.revision:
                 self.cold.note_confirmed(known.runner)
             return False
-        if held is not None:
-            self._set_ready(held.runner, False)
+        if current is not None:
+            self._set_ready(current.runner, False)
         self._runners[runner_id] = known
         self._set_ready(known.runner, known.runner.state is RunnerState.READY)
         self._removed.pop(runner_id, None)
@@ -145,18 +145,18 @@
         return True
 
     def _set_ready(self, runner: ServiceRunner, is_ready: bool) -> None:
-        of_service = self._ready.setdefault(runner.service, {})
+        ready = self._ready.setdefault(runner.service, {})
         if is_ready:
-            of_service[runner.runner_id] = runner
+            ready[runner.runner_id] = runner
         else:
-            of_service.pop(runner.runner_id, None)
+            ready.pop(runner.runner_id, None)
 
     def remove_runner(self, runner_id: str, at: int, is_trusted: bool) -> bool:
         """A runner vanished from the list; ``False``: it was not known."""
-        held = self._runners.pop(runner_id, None)
-        if held is None:
+        current = self._runners.pop(runner_id, None)
+        if current is None:
             return False
-        self._set_ready(held.runner, False)
+        self._set_ready(current.runner, False)
         self.cold.note_removed(runner_id)
         self._removed[runner_id] = Removal(runner_id, at, is_trusted)
         while len(self._removed) > MAX_REMOVED:
@@ -179,5 +179,5 @@
         if since < self._history_from or since > self.runners_at:
             return RunnerChanges(0, self.runners_at, tuple(self._runners.values()), ())
         runners = tuple(known for known in self._runners.values() if known.revision > since)
-        removed = tuple(gone for gone in self._removed.values() if gone.revision > since)
+        removed = tuple(removal for removal in self._removed.values() if removal.revision > since)
         return RunnerChanges(since, self.runners_at, runners, removed)
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -156,7 +156,7 @@
         catalog = Catalog()
         catalog.take_document(known)
         kept = encode_stored(StoredCatalog(catalog))
-        told = catalog.written(lambda row: orjson.dumps(orjson.loads(_plain(row))))
+        told = catalog.encoded_document(lambda row: orjson.dumps(orjson.loads(_plain(row))))
         asked = request(authorization(f"Token {KEY}"))
         for place in (kept, told, repr(known).encode(), repr(asked).encode()):
             self.assertNotIn(KEY.encode(), place)
