--- a/src/bendshed/catalog/replica_catalog.py
+++ b/src/bendshed/catalog/replica_catalog.py
@@ -45,28 +45,28 @@
         """Take a configuration; ``False``: it is not newer."""
         is_newer = self.catalog.take_document(document)
         if is_newer:
-            self.announce()
+            self.notify_change()
         return is_newer
 
     def list_runners(self, runners: Collection[KnownRunner], at: int, is_trusted: bool) -> None:
         """Take the whole list of runners."""
         if self.catalog.list_runners(runners, at, is_trusted):
-            self.announce()
+            self.notify_change()
 
     def put_runner(self, known: KnownRunner) -> None:
         """Take one runner's state."""
         if self.catalog.put_runner(known):
-            self.announce()
+            self.notify_change()
 
     def remove_runner(self, runner_id: str, at: int, is_trusted: bool) -> None:
         """A runner is not listed any more."""
         if self.catalog.remove_runner(runner_id, at, is_trusted):
-            self.announce()
+            self.notify_change()
 
     def take_zones(self, update: ZoneUpdate) -> None:
         """Take which zones are closed; an older update changes nothing."""
         if self.zones.take(update):
-            self.announce()
+            self.notify_change()
         self.catalog.filter = self.zones.filter
 
     def confirm(self, part: CatalogPart, at: int) -> None:
@@ -80,19 +80,19 @@
         self.confirmations.confirm_all(age_s)
         self.catalog.advance(runners_at)
 
-    def set_lost(self, is_lost: bool) -> None:
+    def set_registry_lost(self, is_lost: bool) -> None:
         """Whether the registry answers this machine; waiting nodes are notified at once."""
         if is_lost != self.is_lost:
             self.is_lost = is_lost
-            self.announce()
+            self.notify_change()
 
-    def announce(self) -> None:
+    def notify_change(self) -> None:
         """Wake those who wait for a change, and save."""
         self._changed.set()
         self._changed = asyncio.Event()
-        self.note_unsaved()
+        self.schedule_save()
 
-    def note_unsaved(self) -> None:
+    def schedule_save(self) -> None:
         """Save soon."""
         self._persistence.note_change()
 
--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -103,8 +103,8 @@
         self._around.directory.proven_lost.update(self._persistence.stored.proven_lost)
         for node in self._persistence.stored.replicas:
             self._around.directory.put(node)
-        self._around.directory.on_change.append(self.catalog.announce)
-        self.catalog.note_unsaved()
+        self._around.directory.on_change.append(self.catalog.notify_change)
+        self.catalog.schedule_save()
         self.server.start(self._around.transport)
         self._exchange.start()
         catalog, zones_at = self.catalog.catalog, self.catalog.zones.record.zones.revision
@@ -137,7 +137,7 @@
             self._relay_list.forget_unnamed(math.inf if is_lost else SILENT_FRONT_EXPIRY_S)
             self._relay_list.retain_only(self.demand.front_requested_at_s)
             if zones.forget_old(asyncio.get_running_loop().time()):
-                self.catalog.note_unsaved()
+                self.catalog.schedule_save()
             self.demand.update_pace()
             self._exchange.share_fronts()
 
--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -51,7 +51,7 @@
     def _note(self, request: ReadRequest) -> None:
         """Remember the requesting node, its zone, and whether it is cut off."""
         if self._demand.record_request(request):
-            self._catalog.note_unsaved()
+            self._catalog.schedule_save()
         self._host_locations.put(request.requester.host, request.requester_zone)
         if not request.is_replica:
             self._relay_list.note_requester(request.requester, request.is_cut_off)
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -248,7 +248,7 @@
 
     def set_registry_lost(self, is_lost: bool) -> None:
         """Record whether this machine has lost the registry; if so, nodes use other replicas."""
-        self.catalog.set_lost(is_lost)
+        self.catalog.set_registry_lost(is_lost)
         self.follower.note_registry_lost(is_lost)
 
     def take_zones(self, update: ZoneUpdate) -> None:
