--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -31,18 +31,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CatalogSurroundings:
+class CatalogDependencies:
     """What a replica machine's catalog shares with other parts of the process.
 
     Attributes:
-        me: this machine's address.
+        own_address: this machine's address.
 
     """
 
     transport: Transport
     directory: ReplicaDirectory
     host_locations: HostLocations
-    me: Address
+    own_address: Address
     storage: CatalogStorage
 
 
@@ -58,27 +58,33 @@
     """
 
     def __init__(
-        self, around: CatalogSurroundings, times: CatalogTimes, policy: Policy, rng: random.Random
+        self,
+        dependencies: CatalogDependencies,
+        times: CatalogTimes,
+        policy: Policy,
+        rng: random.Random,
     ) -> None:
-        self._around = around
-        self._persistence = CatalogPersistence(around.storage, policy.kept_catalog)
-        self.catalog = ReplicaCatalog(self._persistence, times, around.host_locations.places)
+        self._dependencies = dependencies
+        self._persistence = CatalogPersistence(dependencies.storage, policy.kept_catalog)
+        self.catalog = ReplicaCatalog(self._persistence, times, dependencies.host_locations.places)
         self.demand = Demand(times)
-        self._relay_list = RelayList(around.host_locations, rng, times.interval_s)
+        self._relay_list = RelayList(dependencies.host_locations, rng, times.interval_s)
         self._exchange = FrontExchange(
-            around.transport,
-            around.directory,
-            around.me,
+            dependencies.transport,
+            dependencies.directory,
+            dependencies.own_address,
             self.demand,
             self._relay_list,
             self._persistence,
             lambda: self.catalog.is_lost,
         )
         self.follower = CatalogFollower(
-            FollowerPaths(around.transport, around.transport, around.host_locations),
-            around.directory,
+            FollowerPaths(
+                dependencies.transport, dependencies.transport, dependencies.host_locations
+            ),
+            dependencies.directory,
             self.catalog,
-            around.me,
+            dependencies.own_address,
             times,
             rng,
             may_share=policy.shared_reading and policy.replicas_follow,
@@ -87,10 +93,10 @@
         )
         self.server = CatalogServer(
             self.catalog,
-            around.directory,
+            dependencies.directory,
             self.demand,
             self._relay_list,
-            around.host_locations,
+            dependencies.host_locations,
             self.follower.upstream,
         )
 
@@ -99,13 +105,13 @@
         self._persistence.start()
         self.catalog.start()
         # First: an older announcement would else make a live voter count as lost.
-        self._around.directory.wiped.update(self._persistence.stored.lost)
-        self._around.directory.proven_lost.update(self._persistence.stored.proven_lost)
+        self._dependencies.directory.wiped.update(self._persistence.stored.lost)
+        self._dependencies.directory.proven_lost.update(self._persistence.stored.proven_lost)
         for node in self._persistence.stored.replicas:
-            self._around.directory.put(node)
-        self._around.directory.on_change.append(self.catalog.notify_change)
+            self._dependencies.directory.put(node)
+        self._dependencies.directory.on_change.append(self.catalog.notify_change)
         self.catalog.schedule_save()
-        self.server.start(self._around.transport)
+        self.server.start(self._dependencies.transport)
         self._exchange.start()
         catalog, zones_at = self.catalog.catalog, self.catalog.zones.record.zones.revision
         log.say(
@@ -117,16 +123,16 @@
         self.follower.note_revisions(catalog.version, catalog.runners_at)
         self.follower.note_zones_revision(zones_at)
 
-    def loops(self) -> list[Coroutine[Any, Any, None]]:
+    def background_loops(self) -> list[Coroutine[Any, Any, None]]:
         """What runs in the background until cancelled."""
         return [
             self._exchange.send_hellos(),
-            self._tend(),
+            self._run_maintenance(),
             self._persistence.run(self._snapshot),
             self.follower.run(),
         ]
 
-    async def _tend(self) -> None:
+    async def _run_maintenance(self) -> None:
         """Forget who is silent, follow the demand, name fronts to the other machines."""
         zones = self.catalog.zones.record
         while True:
@@ -145,9 +151,9 @@
         """What the disk is to hold now."""
         return StoredCatalog(
             self.catalog.catalog,
-            tuple(self._around.directory.by_name.values()),
+            tuple(self._dependencies.directory.by_name.values()),
             self._exchange.all_fronts(),
             self.catalog.zones.record.make_update(asyncio.get_running_loop().time()),
-            tuple(sorted(self._around.directory.wiped)),
-            tuple(sorted(self._around.directory.proven_lost)),
+            tuple(sorted(self._dependencies.directory.wiped)),
+            tuple(sorted(self._dependencies.directory.proven_lost)),
         )
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -6,7 +6,7 @@
 
 from bendshed.admission.quota_limits import NO_TOLERANCE, QuotaTolerance
 from bendshed.catalog.confirmations import CatalogPart
-from bendshed.catalog.replica_parts import CatalogSurroundings, ReplicaCatalogParts
+from bendshed.catalog.replica_parts import CatalogDependencies, ReplicaCatalogParts
 from bendshed.catalog.times import CatalogTimes
 from bendshed.consensus.directory import ReplicaDirectory
 from bendshed.consensus.election_timer import SINGLE_REGION_ORDER, ElectionOrder
@@ -126,7 +126,7 @@
             ports.transport, rng, settings.groups, self.directory, self.host_locations
         )
         self.supervisor = self._build_supervisor(location, ports, settings, peers)
-        surroundings = CatalogSurroundings(
+        surroundings = CatalogDependencies(
             ports.transport,
             self.directory,
             self.host_locations,
@@ -264,7 +264,7 @@
         self._service.start()
         self._catalog_parts.start()
         self._tasks = [
-            *(start_loop(loop, "catalog") for loop in self._catalog_parts.loops()),
+            *(start_loop(loop, "catalog") for loop in self._catalog_parts.background_loops()),
             start_loop(self._load_exchange.run(), "loads"),
             start_loop(self._service.monitor_majority(), "turns"),
             start_loop(self._service.withdraw_unanswered(), "turns"),
