--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -38,17 +38,17 @@
 
     def start(self, transport: Transport) -> None:
         """Answer from now on."""
-        transport.handlers[CATALOG_METHOD] = self.answer
+        transport.handlers[CATALOG_METHOD] = self.handle
 
-    async def answer(self, payload: bytes) -> bytes:
+    async def handle(self, payload: bytes) -> bytes:
         """Reply to a request as it came; one that brings no news waits as long as it may."""
         request = decode_request(payload)
-        self._note(request)
-        if not self._has_news(request):
+        self._record_requester(request)
+        if not self._has_changes(request):
             await self._catalog.wait_for_change(request.wait_s)
         return self._reply(request).SerializeToString()
 
-    def _note(self, request: ReadRequest) -> None:
+    def _record_requester(self, request: ReadRequest) -> None:
         """Remember the requesting node, its zone, and whether it is cut off."""
         if self._demand.record_request(request):
             self._catalog.schedule_save()
@@ -57,19 +57,19 @@
             self._relay_list.note_requester(request.requester, request.is_cut_off)
         self._demand.update_pace()
 
-    def _has_news(self, request: ReadRequest) -> bool:
+    def _has_changes(self, request: ReadRequest) -> bool:
         """Whether a node must not wait for its reply."""
         catalog, zones = self._catalog.catalog, self._catalog.zones.record
         is_newer = catalog.version > request.document_version
         is_newer = is_newer or zones.changed_revision > request.zones_at
-        if is_newer or self._is_lost_for(request) or self._has_other_directory(request):
+        if is_newer or self._is_lost_for(request) or self._has_directory_changed(request):
             return True
         if request.runners_at > catalog.runners_at:
             return False
         changes = catalog.changes_since(request.runners_at)
         return bool(changes.runners or changes.removed)
 
-    def _has_other_directory(self, request: ReadRequest) -> bool:
+    def _has_directory_changed(self, request: ReadRequest) -> bool:
         return self._directory.digest() != request.directory_digest
 
     def _reply(self, request: ReadRequest) -> wire.CatalogReply:
--- a/tests/test_zone_worlds.py
+++ b/tests/test_zone_worlds.py
@@ -195,7 +195,7 @@
             zones_at=zones_at,
         )
         began_s = self.world.loop.time()
-        answering = reader._catalog_parts.server.answer(request.SerializeToString())
+        answering = reader._catalog_parts.server.handle(request.SerializeToString())
         content = self.world.loop.run_until_complete(answering)
         return wire.CatalogReply.FromString(content), self.world.loop.time() - began_s
 
