--- a/src/bendshed/catalog/confirmations.py
+++ b/src/bendshed/catalog/confirmations.py
@@ -5,7 +5,7 @@
 
 from bendshed.catalog.messages import NEVER_CONFIRMED_MS
 from bendshed.catalog.times import CatalogTimes
-from bendshed.catalog.zones import ZoneKeeper
+from bendshed.catalog.zones import ClosedZoneTracker
 
 
 class CatalogPart(StrEnum):
@@ -19,7 +19,7 @@
 class Confirmations:
     """Loop times at which the registry confirmed each part, in this incarnation of the process."""
 
-    def __init__(self, times: CatalogTimes, zones: ZoneKeeper) -> None:
+    def __init__(self, times: CatalogTimes, zones: ClosedZoneTracker) -> None:
         self._at_s: dict[CatalogPart, float] = {}
         self._times = times
         self._zones = zones
--- a/src/bendshed/catalog/replica_catalog.py
+++ b/src/bendshed/catalog/replica_catalog.py
@@ -7,7 +7,7 @@
 from bendshed.catalog.persistence import CatalogPersistence
 from bendshed.catalog.state import KnownRunner
 from bendshed.catalog.times import CatalogTimes
-from bendshed.catalog.zones import ZoneKeeper
+from bendshed.catalog.zones import ClosedZoneTracker
 from bendshed.model.places import Places
 from bendshed.model.service_document import ServiceDocument
 from bendshed.placement.zones import ZoneUpdate
@@ -28,7 +28,7 @@
         self, persistence: CatalogPersistence, times: CatalogTimes, places: Places
     ) -> None:
         self.catalog = persistence.stored.catalog
-        self.zones = ZoneKeeper(places)
+        self.zones = ClosedZoneTracker(places)
         self.catalog.filter = self.zones.filter
         self.confirmations = Confirmations(times, self.zones)
         self.is_lost = False
@@ -65,7 +65,7 @@
 
     def take_zones(self, update: ZoneUpdate) -> None:
         """Take which zones are closed; an older update changes nothing."""
-        if self.zones.take(update):
+        if self.zones.apply(update):
             self.notify_change()
         self.catalog.filter = self.zones.filter
 
--- a/src/bendshed/catalog/zones.py
+++ b/src/bendshed/catalog/zones.py
@@ -10,20 +10,20 @@
 from bendshed.model.places import Places
 from bendshed.placement.zones import ClosedZones, RunnerFilter, ZoneRecord, ZoneUpdate
 
-ZoneOpened = Callable[[str, float], None]
+ZoneOpenedHandler = Callable[[str, float], None]
 """Called with a zone and the loop time at which it was opened, as far as known."""
 
 log = PartLog("zones")
 
 
-class GaugeMaker(Protocol):
+class GaugeFactory(Protocol):
     """Metrics of a process."""
 
     def gauge(self, name: str, text: str) -> Gauge:
         """Add a gauge."""
 
 
-class ZoneKeeper:
+class ClosedZoneTracker:
     """Closed zones of one node.
 
     Attributes:
@@ -35,7 +35,7 @@
 
     def __init__(self, places: Places) -> None:
         self.record = ZoneRecord()
-        self.on_zone_opened: list[ZoneOpened] = []
+        self.on_zone_opened: list[ZoneOpenedHandler] = []
         self.confirmed_at_s: float | None = None
         self._places = places
         self._clock: Callable[[], float] = lambda: 0.0  # the loop's, once anything is known
@@ -45,9 +45,9 @@
         """Who may get a request now."""
         return RunnerFilter(self.record.zones, self._places)
 
-    def take(self, update: ZoneUpdate) -> bool:
+    def apply(self, update: ZoneUpdate) -> bool:
         """Take an update; ``False``: nothing changed."""
-        before = self.record.zones
+        previous = self.record.zones
         since_s = dict(self.record.closed_since_s)
         now_s = self._now_s()
         changes = self.record.apply(update, now_s)
@@ -66,7 +66,7 @@
             )
             for on_opened in self.on_zone_opened:
                 on_opened(row.zone, row.at_s)
-        return bool(changes) or (before.revision == 0 and revision > 0)
+        return bool(changes) or (previous.revision == 0 and revision > 0)
 
     def confirm(self, age_s: float) -> None:
         """The registry confirmed what is known so long ago."""
@@ -77,7 +77,7 @@
         self._clock = asyncio.get_running_loop().time
         return self._clock()
 
-    def add_gauges(self, metrics: GaugeMaker) -> None:
+    def add_gauges(self, metrics: GaugeFactory) -> None:
         """Add how many zones are closed, for how long, and how old that knowledge is."""
         closed = metrics.gauge("bendshed_closed_zones", "Zones that operators closed")
         closed.set_function(lambda: float(len(self.record.zones.closed)))
@@ -100,7 +100,7 @@
         return self._clock() - self.confirmed_at_s
 
 
-def update_of_listing(names: frozenset[str], at: int, gone: frozenset[str]) -> ZoneUpdate:
+def make_registry_update(names: frozenset[str], at: int, gone: frozenset[str]) -> ZoneUpdate:
     """An update from the registry itself.
 
     Args:
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -12,7 +12,7 @@
 from bendshed.adapters.tcp_transport import TcpTransport
 from bendshed.catalog.reading import RegistryReading
 from bendshed.catalog.watcher import MAX_RETRY_GROWTH, KindHandler, KindWatcher
-from bendshed.catalog.zones import update_of_listing
+from bendshed.catalog.zones import make_registry_update
 from bendshed.gateway.forwarding import ForwardingApplication
 from bendshed.logs import PartLog
 from bendshed.model.service_document import ServiceDocument
@@ -204,7 +204,7 @@
             self._node.apply_document(read_document(item.spec))
 
     def _take_zones(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self._node.apply_zones(update_of_listing(names, at, gone))
+        self._node.apply_zones(make_registry_update(names, at, gone))
         self._node.zones.confirm(0.0)
 
     def _take_replica(self, item: StoredObject) -> None:
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -14,7 +14,7 @@
 from bendshed.catalog.state import KnownRunner
 from bendshed.catalog.times import ReadingPace
 from bendshed.catalog.watcher import KindHandler, KindWatcher
-from bendshed.catalog.zones import update_of_listing
+from bendshed.catalog.zones import make_registry_update
 from bendshed.consensus.sqlite_storage import open_or_replace
 from bendshed.logs import PartLog
 from bendshed.platform import names
@@ -139,7 +139,7 @@
         self._zones.set_pace(pace.zones_wait_s, pace.pause_s)
 
     def _take_zones(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self._node.take_zones(update_of_listing(names, at, gone))
+        self._node.take_zones(make_registry_update(names, at, gone))
 
     def _list_runners(self, listed: ObjectList) -> None:
         runners = [KnownRunner(read_runner(item), item.revision) for item in listed.items]
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -11,7 +11,7 @@
 from bendshed.catalog.server import CATALOG_METHOD
 from bendshed.catalog.state import KnownRunner
 from bendshed.catalog.times import CatalogTimes
-from bendshed.catalog.zones import ZoneKeeper
+from bendshed.catalog.zones import ClosedZoneTracker
 from bendshed.consensus.directory import ReplicaDirectory
 from bendshed.consensus.group_client import GroupClient
 from bendshed.logs import PartLog
@@ -108,7 +108,7 @@
         self._places = location.places
         self._zones_lag_s = times.zones_lag_s
         self._pool = connections
-        self.zones = ZoneKeeper(location.places)
+        self.zones = ClosedZoneTracker(location.places)
         self._table = self._build_table()
         self._relayed_requests = RelayedRequests(
             transport, rng, self._other_nodes, RELAYED_METHODS, self.host_locations
@@ -315,7 +315,7 @@
 
         Requests already running there complete; no new request is dispatched there.
         """
-        self.zones.take(update)
+        self.zones.apply(update)
         self._table.filter = self.zones.filter
         self.catalog.note_zones_revision(update.zones.revision)
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -13,7 +13,7 @@
 from bendshed.catalog.state import Catalog, KnownRunner
 from bendshed.catalog.times import CatalogTimes
 from bendshed.catalog.watcher import LOST_WAIT_S, RETRY_MAX_S, KindHandler
-from bendshed.catalog.zones import update_of_listing
+from bendshed.catalog.zones import make_registry_update
 from bendshed.model.address import Address
 from bendshed.model.places import Places
 from bendshed.model.principal import Principal
@@ -201,7 +201,7 @@
         self.handler = KindHandler.for_names(self.take)
 
     def take(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self.record.apply(update_of_listing(names, at, gone), 30.0)
+        self.record.apply(make_registry_update(names, at, gone), 30.0)
 
     def list(self, at: int, *names: str) -> None:
         self.handler.on_list(ObjectList([StoredObject(name, at, {}, None) for name in names], at))
