--- a/src/bendshed/catalog/codec.py
+++ b/src/bendshed/catalog/codec.py
@@ -115,10 +115,10 @@
 def _catalog_from_wire(reply: wire.CatalogReply) -> Catalog:
     catalog = Catalog()
     if reply.document:
-        catalog.take_document(decode_document(reply.document))
+        catalog.apply_document(decode_document(reply.document))
     if reply.has_runners:
         runners = [runner_from_wire(row) for row in reply.runners]
-        catalog.list_runners(runners, reply.runners_at, is_trusted=False)
+        catalog.replace_runners(runners, reply.runners_at, is_trusted=False)
     return catalog
 
 
--- a/src/bendshed/catalog/cold_runner_tracker.py
+++ b/src/bendshed/catalog/cold_runner_tracker.py
@@ -31,7 +31,7 @@
 
     # --- updates ---------------------------------------------------------------------------
 
-    def take_document(self, document: ServiceDocument) -> None:
+    def apply_document(self, document: ServiceDocument) -> None:
         """Take the bounds and times of cold starts from a configuration that is in force."""
         self._state.services = document.services
 
--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -282,7 +282,7 @@
         if not update.is_lost:
             self._num_failed = 0
             self._choice.readmit(machine)
-        is_current = self._intake.take(update)
+        is_current = self._intake.apply(update)
         self._apply_directory(update)
         self.upstream.machine = machine
         self.upstream.directory_digest = update.directory_digest
--- a/src/bendshed/catalog/replica_catalog.py
+++ b/src/bendshed/catalog/replica_catalog.py
@@ -39,18 +39,18 @@
         """Begin with what the disk held; time passes for it from now on."""
         self.catalog.begin_incarnation(asyncio.get_running_loop().time)
         self.zones.on_zone_opened.append(self.catalog.cold.note_zone_reopened)
-        self.take_zones(self._persistence.stored.zones)
+        self.apply_zones(self._persistence.stored.zones)
 
-    def take_document(self, document: ServiceDocument) -> bool:
+    def apply_document(self, document: ServiceDocument) -> bool:
         """Take a configuration; ``False``: it is not newer."""
-        is_newer = self.catalog.take_document(document)
+        is_newer = self.catalog.apply_document(document)
         if is_newer:
             self.notify_change()
         return is_newer
 
-    def list_runners(self, runners: Collection[KnownRunner], at: int, is_trusted: bool) -> None:
+    def replace_runners(self, runners: Collection[KnownRunner], at: int, is_trusted: bool) -> None:
         """Take the whole list of runners."""
-        if self.catalog.list_runners(runners, at, is_trusted):
+        if self.catalog.replace_runners(runners, at, is_trusted):
             self.notify_change()
 
     def put_runner(self, known: KnownRunner) -> None:
@@ -63,7 +63,7 @@
         if self.catalog.remove_runner(runner_id, at, is_trusted):
             self.notify_change()
 
-    def take_zones(self, update: ZoneUpdate) -> None:
+    def apply_zones(self, update: ZoneUpdate) -> None:
         """Take which zones are closed; an older update changes nothing."""
         if self.zones.apply(update):
             self.notify_change()
--- a/src/bendshed/catalog/state.py
+++ b/src/bendshed/catalog/state.py
@@ -104,15 +104,15 @@
             return list(ready)
         return [runner for runner in ready if self.filter.allows(runner, regions)]
 
-    def take_document(self, document: ServiceDocument) -> bool:
+    def apply_document(self, document: ServiceDocument) -> bool:
         """Take a newer document; ``False``: it is not newer."""
         if document.version <= self.version:
             return False
         self.document = document
-        self.cold.take_document(document)
+        self.cold.apply_document(document)
         return True
 
-    def list_runners(self, runners: Collection[KnownRunner], at: int, is_trusted: bool) -> bool:
+    def replace_runners(self, runners: Collection[KnownRunner], at: int, is_trusted: bool) -> bool:
         """Take the whole list at a revision; ``False``: nothing changed."""
         if at < self.runners_at:
             return False
--- a/src/bendshed/catalog/update_intake.py
+++ b/src/bendshed/catalog/update_intake.py
@@ -16,7 +16,7 @@
 class CatalogSink(Protocol):
     """Where a node's configuration and runners are stored in memory."""
 
-    def take_document(self, document: ServiceDocument) -> bool:
+    def apply_document(self, document: ServiceDocument) -> bool:
         """Take a configuration; an older one changes nothing."""
 
     def put_runner(self, known: KnownRunner) -> None:
@@ -25,10 +25,10 @@
     def remove_runner(self, runner_id: str, at: int, is_trusted: bool) -> None:
         """A runner is not listed any more."""
 
-    def list_runners(self, runners: list[KnownRunner], at: int, is_trusted: bool) -> None:
+    def replace_runners(self, runners: list[KnownRunner], at: int, is_trusted: bool) -> None:
         """Take the whole list."""
 
-    def take_zones(self, update: ZoneUpdate) -> None:
+    def apply_zones(self, update: ZoneUpdate) -> None:
         """Take which zones are closed; an older update changes nothing."""
 
     def confirm_all(self, age_s: float, runners_at: int) -> None:
@@ -52,21 +52,21 @@
         self._sink = sink
         self._times = times
 
-    def take(self, update: CatalogUpdate) -> bool:
+    def apply(self, update: CatalogUpdate) -> bool:
         """Pass on what is newer; ``False``: the machine knows less than this node.
 
         Closed zones come before runners, so that none of a closed zone is usable in between.
         """
-        self._take_document(update)
-        knows_zones = self._take_zones(update)
-        knows_runners = self._take_runners(update)
+        self._apply_document(update)
+        knows_zones = self._apply_zones(update)
+        knows_runners = self._apply_runners(update)
         return knows_zones and knows_runners and update.document_version >= self.version
 
     def confirm(self, age_s: float) -> None:
         """The registry confirmed all that the node knows so long ago."""
         self._sink.confirm_all(age_s, self.runners_at)
 
-    def _take_document(self, update: CatalogUpdate) -> None:
+    def _apply_document(self, update: CatalogUpdate) -> None:
         if not update.document or update.document_version <= self.version:
             return
         try:
@@ -74,13 +74,13 @@
         except DocumentDecodeError as error:
             log.say("configuration ignored: unreadable", reason=str(error))
             return
-        if self._sink.take_document(document):
+        if self._sink.apply_document(document):
             log.say(
                 "configuration received", version=document.version, age_ms=update.confirmed_age_ms
             )
         self.version = max(self.version, document.version)
 
-    def _take_zones(self, update: CatalogUpdate) -> bool:
+    def _apply_zones(self, update: CatalogUpdate) -> bool:
         """Take closed zones that are newer; ``False``: the machine does not know them.
 
         A node that has a newer revision from elsewhere knows all that the machine does, so the
@@ -88,17 +88,17 @@
         """
         zones_at = update.zones.zones.revision
         if zones_at > self.zones_at:
-            self._sink.take_zones(update.zones)
+            self._sink.apply_zones(update.zones)
             self.zones_at = zones_at
         return zones_at > 0 or not self._times.follows_zones
 
-    def _take_runners(self, update: CatalogUpdate) -> bool:
+    def _apply_runners(self, update: CatalogUpdate) -> bool:
         """Take runners that are newer; ``False``: the machine knows less than this node."""
         changes = update.runners
         if changes is None or changes.at < self.runners_at:
             return False
         if changes.since == 0:
-            self._list_runners(changes, update)
+            self._replace_runners(changes, update)
         elif changes.since == self.runners_at:
             for known in changes.runners:
                 self._sink.put_runner(known)
@@ -109,9 +109,9 @@
         self.runners_at = changes.at
         return True
 
-    def _list_runners(self, changes: RunnerUpdate, update: CatalogUpdate) -> None:
+    def _replace_runners(self, changes: RunnerUpdate, update: CatalogUpdate) -> None:
         is_first = self.runners_at == 0
         is_trusted = update.age_s < self._times.max_age_s
-        self._sink.list_runners(list(changes.runners), changes.at, is_trusted)
+        self._sink.replace_runners(list(changes.runners), changes.at, is_trusted)
         if is_first:
             log.say("first runner list received", at=changes.at, age_ms=update.confirmed_age_ms)
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -139,12 +139,12 @@
         self._zones.set_pace(pace.zones_wait_s, pace.pause_s)
 
     def _take_zones(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self._node.take_zones(make_registry_update(names, at, gone))
+        self._node.apply_zones(make_registry_update(names, at, gone))
 
     def _list_runners(self, listed: ObjectList) -> None:
         runners = [KnownRunner(read_runner(item), item.revision) for item in listed.items]
         trusted = not self._runners.failed_recently
-        self._node.catalog.list_runners(runners, listed.at, trusted)
+        self._node.catalog.replace_runners(runners, listed.at, trusted)
 
     def _on_runner(self, event: ObjectEvent) -> None:
         item = event.object
@@ -157,7 +157,7 @@
     def _take_configuration(self, item: StoredObject) -> None:
         if item.name == names.CONFIGURATION_NAME:
             document = read_document(item.spec)
-            self._node.catalog.take_document(document)
+            self._node.catalog.apply_document(document)
             self._node.follower.note_revisions(document.version, 0)
 
     # --- replicas and retirements ----------------------------------------------------------
--- a/src/bendshed/rehearsal/site/sim_world.py
+++ b/src/bendshed/rehearsal/site/sim_world.py
@@ -328,11 +328,11 @@
             return
         self._note_runners()
         catalog = machine.replica.catalog
-        catalog.take_document(self.document)
-        catalog.list_runners(list(self._known.values()), self._revision, is_trusted=True)
+        catalog.apply_document(self.document)
+        catalog.replace_runners(list(self._known.values()), self._revision, is_trusted=True)
         catalog.confirm(CatalogPart.DOCUMENT, self._revision)
         catalog.confirm(CatalogPart.RUNNERS, self._revision)
-        machine.replica.take_zones(
+        machine.replica.apply_zones(
             self.zones.update_since(catalog.zones.record.zones.revision, self._revision)
         )
         machine.replica.follower.note_revisions(self.document.version, self._revision)
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -272,7 +272,7 @@
         if before is not None and document.version <= before:
             return False
         self.forwarder.index = RouteIndex(document)
-        self._table.cold.take_document(document)
+        self._table.cold.apply_document(document)
         self.catalog.note_revisions(document.version, 0)
         log.say(
             "configuration in force",
@@ -345,7 +345,7 @@
     def __init__(self, node: ServiceNode) -> None:
         self._node = node
 
-    def take_document(self, document: ServiceDocument) -> bool:
+    def apply_document(self, document: ServiceDocument) -> bool:
         """Apply a configuration; an older one changes nothing."""
         return self._node.apply_document(document)
 
@@ -357,11 +357,11 @@
         """Remove a runner that is no longer listed."""
         self._node.remove_runner(runner_id, is_trusted)
 
-    def list_runners(self, runners: list[KnownRunner], _at: int, is_trusted: bool) -> None:
+    def replace_runners(self, runners: list[KnownRunner], _at: int, is_trusted: bool) -> None:
         """Replace the list of runners."""
         self._node.replace_runners([known.runner for known in runners], is_trusted)
 
-    def take_zones(self, update: ZoneUpdate) -> None:
+    def apply_zones(self, update: ZoneUpdate) -> None:
         """Apply an update of the closed zones."""
         self._node.apply_zones(update)
 
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -251,9 +251,9 @@
         self.catalog.set_registry_lost(is_lost)
         self.follower.note_registry_lost(is_lost)
 
-    def take_zones(self, update: ZoneUpdate) -> None:
+    def apply_zones(self, update: ZoneUpdate) -> None:
         """Apply the closed zones as read from the registry itself."""
-        self.catalog.take_zones(update)
+        self.catalog.apply_zones(update)
         self.catalog.confirm(CatalogPart.ZONES, update.zones.revision)
         self.follower.note_zones_revision(update.zones.revision)
 
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -154,7 +154,7 @@
     def test_no_credential_stands_in_what_is_kept_told_or_shown(self) -> None:
         known = document()
         catalog = Catalog()
-        catalog.take_document(known)
+        catalog.apply_document(known)
         kept = encode_stored(StoredCatalog(catalog))
         told = catalog.encoded_document(lambda row: orjson.dumps(orjson.loads(_plain(row))))
         asked = request(authorization(f"Token {KEY}"))
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -26,7 +26,7 @@
 class CatalogTest(unittest.TestCase):
     def setUp(self) -> None:
         self.catalog = Catalog()
-        self.catalog.list_runners([known("a", 3), known("b", 5)], at=6, is_trusted=True)
+        self.catalog.replace_runners([known("a", 3), known("b", 5)], at=6, is_trusted=True)
 
     def test_an_asker_that_knows_nothing_is_told_all(self) -> None:
         changes = self.catalog.changes_since(0)
@@ -54,14 +54,14 @@
         self.assertEqual(self.catalog.changes_since(12).since, 12)
 
     def test_nothing_goes_back(self) -> None:
-        self.catalog.take_document(make_document(4))
-        self.assertFalse(self.catalog.take_document(make_document(3)))
+        self.catalog.apply_document(make_document(4))
+        self.assertFalse(self.catalog.apply_document(make_document(3)))
         self.assertFalse(self.catalog.put_runner(known("a", 2, RunnerState.DRAINING)))
-        self.assertFalse(self.catalog.list_runners([], at=5, is_trusted=True))
+        self.assertFalse(self.catalog.replace_runners([], at=5, is_trusted=True))
         self.assertEqual((self.catalog.version, self.catalog.runners_at), (4, 6))
 
     def test_what_was_kept_is_read_again_and_a_foreign_file_is_nothing(self) -> None:
-        self.catalog.take_document(make_document(4))
+        self.catalog.apply_document(make_document(4))
         node = ReplicaNode("store-1", "abc", Address("10.0.1.1", 7000), "zone-a")
         front = Address("10.0.2.1", 7000)
         kept = decode_stored(encode_stored(StoredCatalog(self.catalog, (node,), (front,))))
--- a/tests/test_cold_runner_dispatch.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -72,7 +72,7 @@
         self.clock = Clock(100.0)
         self.catalog = Catalog()
         self.catalog.begin_incarnation(self.clock)
-        self.catalog.take_document(DOCUMENT)
+        self.catalog.apply_document(DOCUMENT)
 
     def reported_cold_ms(self, catalog: Catalog) -> dict[str, int]:
         rows = make_reply(catalog, since=0, known_version=0).runners
@@ -80,21 +80,21 @@
 
     def test_reply_subtracts_the_elapsed_time(self) -> None:
         runners = [KnownRunner(runner("a", 5_000), 1), KnownRunner(runner("b"), 2)]
-        self.catalog.list_runners(runners, 2, is_trusted=True)
+        self.catalog.replace_runners(runners, 2, is_trusted=True)
         self.clock.now_s += 3.0
         self.assertEqual(self.reported_cold_ms(self.catalog), {"a": 2_000, "b": 0})
         self.clock.now_s += 3.0
         self.assertEqual(self.reported_cold_ms(self.catalog), {"a": 0, "b": 0})
 
     def test_receiver_counts_from_the_receipt(self) -> None:
-        self.catalog.list_runners([KnownRunner(runner("a", 5_000), 1)], 1, is_trusted=True)
+        self.catalog.replace_runners([KnownRunner(runner("a", 5_000), 1)], 1, is_trusted=True)
         self.clock.now_s += 3.0
         rows = make_reply(self.catalog, since=0, known_version=0).runners
         other_clock = Clock(7.0)
         receiver = Catalog()
         receiver.begin_incarnation(other_clock)
-        receiver.take_document(DOCUMENT)
-        receiver.list_runners([runner_from_wire(row) for row in rows], 1, is_trusted=True)
+        receiver.apply_document(DOCUMENT)
+        receiver.replace_runners([runner_from_wire(row) for row in rows], 1, is_trusted=True)
         other_clock.now_s += 1.9
         self.assertTrue(receiver.cold.is_cold("a"))
         other_clock.now_s += 0.2
@@ -102,13 +102,13 @@
 
     def test_repeated_entry_does_not_restart_the_countdown(self) -> None:
         known = [KnownRunner(runner("a", 5_000), 1)]
-        self.catalog.list_runners(known, 1, is_trusted=True)
+        self.catalog.replace_runners(known, 1, is_trusted=True)
         self.clock.now_s += 3.0
-        self.catalog.list_runners(known, 2, is_trusted=True)
+        self.catalog.replace_runners(known, 2, is_trusted=True)
         self.assertEqual(self.reported_cold_ms(self.catalog), {"a": 2_000})
 
     def test_entry_that_reappears_counts_as_just_started(self) -> None:
-        self.catalog.list_runners([KnownRunner(runner("a"), 1)], 1, is_trusted=True)
+        self.catalog.replace_runners([KnownRunner(runner("a"), 1)], 1, is_trusted=True)
         self.catalog.remove_runner("a", 2, is_trusted=False)
         self.clock.now_s += 1.0
         self.catalog.put_runner(KnownRunner(runner("a"), 3))
@@ -116,13 +116,13 @@
 
     def test_stored_cold_time_counts_in_full_until_it_is_updated(self) -> None:
         runners = [KnownRunner(runner("a", 5_000), 1), KnownRunner(runner("b"), 2)]
-        self.catalog.list_runners(runners, 2, is_trusted=True)
+        self.catalog.replace_runners(runners, 2, is_trusted=True)
         self.clock.now_s += 1.0
         content = encode_stored(StoredCatalog(self.catalog))
         restored = decode_stored(content).catalog
         restored.begin_incarnation(Clock(3_600.0))
         self.assertEqual(self.reported_cold_ms(restored), {"a": 4_000, "b": 0})
-        restored.list_runners([KnownRunner(runner("a"), 1)], 2, is_trusted=True)
+        restored.replace_runners([KnownRunner(runner("a"), 1)], 2, is_trusted=True)
         self.assertEqual(self.reported_cold_ms(restored), {"a": 0})
 
 
@@ -133,9 +133,9 @@
         self.clock = Clock(0.0)
         catalog = Catalog()
         catalog.begin_incarnation(self.clock)
-        catalog.take_document(DOCUMENT)
+        catalog.apply_document(DOCUMENT)
         runners = [KnownRunner(runner(name, 60_000), 1) for name in ("a", "b")]
-        catalog.list_runners(runners, 1, is_trusted=True)
+        catalog.replace_runners(runners, 1, is_trusted=True)
         self.catalog = catalog
         self.metrics = TurnLogMetrics(CollectorRegistry())
         cold = ColdAdmission(catalog.cold, TERMS, self.metrics)
@@ -259,7 +259,7 @@
     def setUp(self) -> None:
         self.clock = Clock(0.0)
         tracker = ColdRunnerTracker(clock=self.clock)
-        tracker.take_document(DOCUMENT)
+        tracker.apply_document(DOCUMENT)
         self.pool = [runner(f"r{number}", 60_000) for number in range(self.NUM_RUNNERS)]
         for listed_runner in self.pool:
             tracker.note_listed(listed_runner)
@@ -455,7 +455,7 @@
     async def asyncSetUp(self) -> None:
         loop = asyncio.get_running_loop()
         self.table = RunnerTable(cold=ColdRunnerTracker(clock=loop.time))
-        self.table.cold.take_document(DOCUMENT)
+        self.table.cold.apply_document(DOCUMENT)
         self.pool = FakePool()
         for name in ("a", "b"):
             self.table.put(runner(name, 60_000))
--- a/tests/test_dispatch_restrictions.py
+++ b/tests/test_dispatch_restrictions.py
@@ -329,7 +329,7 @@
         for regions, filter_ in (([], ZONE_B_CLOSED), (list(ALLOWED_REGIONS), NO_ZONE_CLOSED)):
             catalog = Catalog(filter=filter_)
             runners = [KnownRunner(listed(name), 3) for name in (*CLOSED_RUNNERS, *OPEN_RUNNERS)]
-            catalog.list_runners(runners, 4, is_trusted=True)
+            catalog.replace_runners(runners, 4, is_trusted=True)
             metrics = TurnLogMetrics(CollectorRegistry())
             cold = ColdAdmission(catalog.cold, ColdRateLimit(), metrics)
             placement_service = TurnPlacement(catalog, cold, random.Random(1))
--- a/tests/test_follower_ways.py
+++ b/tests/test_follower_ways.py
@@ -30,8 +30,8 @@
         self.catalog = Catalog()
         self.zones_taken: list[int] = []
 
-    def take_document(self, document: ServiceDocument) -> bool:
-        return self.catalog.take_document(document)
+    def apply_document(self, document: ServiceDocument) -> bool:
+        return self.catalog.apply_document(document)
 
     def put_runner(self, known: KnownRunner) -> None:
         self.catalog.put_runner(known)
@@ -39,10 +39,10 @@
     def remove_runner(self, runner_id: str, at: int, is_trusted: bool) -> None:
         self.catalog.remove_runner(runner_id, at, is_trusted)
 
-    def list_runners(self, runners: list[KnownRunner], at: int, is_trusted: bool) -> None:
-        self.catalog.list_runners(runners, at, is_trusted)
+    def replace_runners(self, runners: list[KnownRunner], at: int, is_trusted: bool) -> None:
+        self.catalog.replace_runners(runners, at, is_trusted)
 
-    def take_zones(self, word: ZoneUpdate) -> None:
+    def apply_zones(self, word: ZoneUpdate) -> None:
         self.zones_taken.append(word.zones.revision)
 
     def confirm_all(self, age_s: float, runners_at: int) -> None:
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -398,7 +398,7 @@
 
     def setUp(self) -> None:
         catalog = Catalog()
-        catalog.take_document(ServiceDocument(version=1, tenants=(SMALL,)))
+        catalog.apply_document(ServiceDocument(version=1, tenants=(SMALL,)))
         self.quotas = QuotaCounting(catalog, TOLERANCE)
         self.state = TurnLogState()
         self.state.usage.charge(SMALL.name, 0, 1_000)
--- a/tests/test_zone_worlds.py
+++ b/tests/test_zone_worlds.py
@@ -161,7 +161,7 @@
     def test_no_front_counts_as_informed_while_its_word_of_zones_is_old(self) -> None:
         """The registry answers on all else, and no replica machine hears of zones any more."""
         self.assertTrue(self.is_fresh())
-        with mock.patch.object(TurnLogNode, "take_zones", lambda _node, _word: None):
+        with mock.patch.object(TurnLogNode, "apply_zones", lambda _node, _word: None):
             self.world.close_zone(ZONE)
             assert TIMES.zones_lag_s is not None
             self.world.run_for(TIMES.max_age_s + TIMES.zones_lag_s + 0.2)
