--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -28,11 +28,11 @@
         self.catalog = Catalog()
         self.catalog.replace_runners([known("a", 3), known("b", 5)], at=6, is_trusted=True)
 
-    def test_an_asker_that_knows_nothing_is_told_all(self) -> None:
+    def test_requester_without_revision_gets_the_full_list(self) -> None:
         changes = self.catalog.changes_since(0)
         self.assertEqual((changes.since, changes.at, len(changes.runners)), (0, 6, 2))
 
-    def test_an_asker_is_told_just_what_changed(self) -> None:
+    def test_requester_gets_only_changes_since_its_revision(self) -> None:
         self.catalog.put_runner(known("b", 8, RunnerState.DRAINING))
         self.catalog.remove_runner("a", 9, is_trusted=True)
         self.catalog.advance(9)
@@ -42,10 +42,10 @@
         self.assertEqual([gone.runner_id for gone in changes.removed], ["a"])
         self.assertEqual(self.catalog.changes_since(9).runners, ())
 
-    def test_who_knows_less_than_the_first_list_is_told_all(self) -> None:
+    def test_revision_before_the_first_list_gets_the_full_list(self) -> None:
         self.assertEqual(self.catalog.changes_since(4).since, 0)
 
-    def test_who_knows_less_than_the_oldest_removal_is_told_all(self) -> None:
+    def test_revision_before_the_oldest_removal_gets_the_full_list(self) -> None:
         for number in range(MAX_REMOVED + 1):
             self.catalog.put_runner(known(f"r{number}", 10 + 2 * number))
             self.catalog.remove_runner(f"r{number}", 11 + 2 * number, is_trusted=True)
@@ -53,14 +53,14 @@
         self.assertEqual(self.catalog.changes_since(10).since, 0)
         self.assertEqual(self.catalog.changes_since(12).since, 12)
 
-    def test_nothing_goes_back(self) -> None:
+    def test_older_revisions_are_ignored(self) -> None:
         self.catalog.apply_document(make_document(4))
         self.assertFalse(self.catalog.apply_document(make_document(3)))
         self.assertFalse(self.catalog.put_runner(known("a", 2, RunnerState.DRAINING)))
         self.assertFalse(self.catalog.replace_runners([], at=5, is_trusted=True))
         self.assertEqual((self.catalog.version, self.catalog.runners_at), (4, 6))
 
-    def test_what_was_kept_is_read_again_and_a_foreign_file_is_nothing(self) -> None:
+    def test_stored_catalog_round_trips_and_an_unreadable_file_is_empty(self) -> None:
         self.catalog.apply_document(make_document(4))
         node = ReplicaNode("store-1", "abc", Address("10.0.1.1", 7000), "zone-a")
         front = Address("10.0.2.1", 7000)
@@ -80,7 +80,7 @@
         self.assertTrue(program.finished)
         self.assertEqual(set(program.statuses), {200})
 
-    def test_a_site_started_while_the_registry_is_away_serves(self) -> None:
+    def test_site_started_while_the_registry_is_down_serves(self) -> None:
         for seed in (1, 2):
             with self.subTest(seed=seed):
                 world = SiteWorld.started(seed)
@@ -96,7 +96,7 @@
                 world.run_for(1.0)
                 self.assert_serves(world)
 
-    def test_a_front_that_restarts_alone_while_the_registry_is_away_serves(self) -> None:
+    def test_front_restarted_alone_while_the_registry_is_down_serves(self) -> None:
         for seed in (1, 2):
             with self.subTest(seed=seed):
                 world = SiteWorld.started(seed)
@@ -113,19 +113,19 @@
                 self.assert_serves(world)
 
 
-class FrontsForRelayingTest(unittest.TestCase):
+class KnownFrontsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.fronts = KnownFronts()
         self.named = [Address(f"10.0.9.{number}", 7000) for number in range(20)]
 
-    def test_a_machine_that_knows_few_fronts_takes_none_away(self) -> None:
+    def test_update_naming_few_fronts_keeps_those_known(self) -> None:
         self.fronts.update(self.named[:6])
         self.fronts.update([])
         self.assertEqual(self.fronts.addresses, self.named[:6])
         self.fronts.update(self.named[6:8])
         self.assertEqual(self.fronts.addresses, [*self.named[6:8], *self.named[:4]])
 
-    def test_a_machine_that_knows_many_replaces_those_that_may_be_cut_off_meanwhile(self) -> None:
+    def test_update_naming_many_fronts_replaces_those_known(self) -> None:
         self.fronts.update(self.named[:6])
         self.fronts.update(self.named[6:12])
         self.assertEqual(self.fronts.addresses, self.named[6:12])
@@ -157,14 +157,14 @@
         self.world.document = make_document(version)
         return version
 
-    def test_a_change_comes_from_a_replica_machine(self) -> None:
+    def test_front_receives_a_change_from_a_replica_machine(self) -> None:
         self.world.network.cuts.add(("registry", self.front.host))
         self.assertTrue(self.is_fresh())
         version = self.change()
         self.world.run_for(0.5)
         self.assertEqual(self.version(), version)
 
-    def test_a_change_is_in_force_in_time_when_the_machine_that_reads_falls_silent(self) -> None:
+    def test_change_is_applied_in_time_when_the_reader_is_unreachable(self) -> None:
         for store in self.world.stores.values():
             pairs = ((store.host, self.front.host), (self.front.host, store.host))
             self.world.network.cuts.update(pairs)
@@ -172,7 +172,7 @@
         self.world.run_for(0.75 * APPLY_S)
         self.assertEqual(self.version(), version)
 
-    def test_a_change_is_in_force_in_time_when_that_machine_loses_the_registry(self) -> None:
+    def test_change_is_applied_in_time_when_the_reader_loses_the_registry(self) -> None:
         for store in self.world.stores.values():
             self.world.network.cuts.add(("registry", store.host))
         version = self.change()
@@ -189,7 +189,7 @@
             self.world.stores[name] for name in rendezvous_rank(CATALOG_METHOD, self.world.stores)
         ]
 
-    def test_replica_machines_rely_on_the_first_of_them(self) -> None:
+    def test_replica_machines_follow_the_first_by_rank(self) -> None:
         first, *others = self.ranked_stores()
         assert first.replica is not None
         self.assertFalse(first.replica.follower.is_fresh)
@@ -205,7 +205,7 @@
             self.assertEqual(store.replica.catalog.catalog.version, version)
             self.assertEqual(store.replica.directory.retiring, {others[0].name})
 
-    def test_when_the_registry_turns_the_first_away_the_next_reads_for_all(self) -> None:
+    def test_next_by_rank_reads_when_the_first_loses_the_registry(self) -> None:
         first, second, *_ = self.ranked_stores()
         self.world.network.cuts.add(("registry", first.host))
         self.world.network.cuts.add(("registry", self.front.host))
@@ -218,17 +218,17 @@
         self.assertTrue(first.replica.follower.is_fresh)
         self.assertFalse(second.replica.follower.is_fresh)
 
-    def test_a_dead_machine_is_not_asked_again_after_each_answer_of_the_next(self) -> None:
+    def test_dead_machine_is_not_retried_after_each_reply_of_the_next(self) -> None:
         first = self.ranked_stores()[0]
         self.world.kill(first)
         with mock.patch.object(follower, "log") as log:
             self.world.run_for(7.0)
-        asked = [call for call in log.say.call_args_list if "instead_of" in call.kwargs]
+        avoidances = [call for call in log.say.call_args_list if "instead_of" in call.kwargs]
         machines = [*self.world.fronts, *self.world.stores]
-        self.assertGreaterEqual(len(asked), len(machines) - 1)
-        self.assertLessEqual(len(asked), 3 * len(machines))
+        self.assertGreaterEqual(len(avoidances), len(machines) - 1)
+        self.assertLessEqual(len(avoidances), 3 * len(machines))
 
-    def test_a_leaving_runner_is_known_in_time(self) -> None:
+    def test_runner_removal_is_applied_in_time(self) -> None:
         self.world.network.cuts.add(("registry", self.front.host))
         del self.world.listed["engine-1"]
         self.world.run_for(0.5)
--- a/tests/test_older_announcements.py
+++ b/tests/test_older_announcements.py
@@ -24,12 +24,12 @@
     has_tenants=False,
 )
 CATCH_UP_S = 12.0
-OFF_S = 0.5
-WATCHED_S = 3.0
-LOOK_S = 0.01
+POWER_OFF_S = 0.5
+OBSERVATION_S = 3.0
+SAMPLE_INTERVAL_S = 0.01
 
 
-class OlderList(dict[str, ReplicaNode]):
+class FrozenAnnouncements(dict[str, ReplicaNode]):
     """Takes announcements and lists none of them."""
 
     def __setitem__(self, _name: str, _node: ReplicaNode) -> None:
@@ -41,13 +41,13 @@
     return [n for n, held in groups.items() if 0 in held and held[0].replica.is_ready_leader]
 
 
-class OlderListTest(unittest.TestCase):
-    def play(self, seed: int, keeps_lost: bool) -> tuple[int, int]:
+class OlderAnnouncementsTest(unittest.TestCase):
+    def simulate(self, seed: int, keeps_lost: bool) -> tuple[int, int]:
         """Most leaders at once, and leaders at the end."""
         world = SiteWorld.started(seed, TWO_STORES)
         self.addCleanup(world.close)
         world.run_for(CATCH_UP_S)
-        older = OlderList(world.registry.announced)
+        announcements = FrozenAnnouncements(world.registry.announced)
         for _, store in sorted(world.stores.items()):
             world.kill(store)
             store.lose_disk()
@@ -58,18 +58,20 @@
             if not keeps_lost and store.disk is not None:
                 stored = decode_stored(store.disk.catalog)
                 store.disk.catalog = encode_stored(replace(stored, lost=()))
-        world.registry.announced = older
-        world.run_for(OFF_S)
+        world.registry.announced = announcements
+        world.run_for(POWER_OFF_S)
         for store in world.stores.values():
             world.restart(store)
-        most = 0
-        for _ in range(int(WATCHED_S / LOOK_S)):
-            world.run_for(LOOK_S)
-            most = max(most, len(leaders(world)))
-        return most, len(leaders(world))
+        max_leaders = 0
+        for _ in range(int(OBSERVATION_S / SAMPLE_INTERVAL_S)):
+            world.run_for(SAMPLE_INTERVAL_S)
+            max_leaders = max(max_leaders, len(leaders(world)))
+        return max_leaders, len(leaders(world))
 
-    def test_no_two_stores_lead_at_once(self) -> None:
+    def test_at_most_one_store_leads_at_a_time(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        played = [self.play(seed, keeps) for seed in (1, 2, 3) for keeps in (True, False)]
-        self.assertEqual(played, [(1, 1)] * 6)
+        results = [
+            self.simulate(seed, keeps_lost) for seed in (1, 2, 3) for keeps_lost in (True, False)
+        ]
+        self.assertEqual(results, [(1, 1)] * 6)
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -68,13 +68,13 @@
         self.loop.run_until_complete(self.reading.wait_for_update(discover, SETTLE_S))
         return self.loop.time() - began_s
 
-    def test_a_node_reads_only_while_nobody_tells(self) -> None:
+    def test_node_reads_only_without_fresh_updates(self) -> None:
         self.set_fresh(True)
         self.assertEqual(self.active(), (False, False))
         self.set_fresh(False)
         self.assertEqual(self.active(), (True, True))
 
-    def test_one_watch_looks_for_a_lost_registry_and_the_others_begin_afresh(self) -> None:
+    def test_only_the_primary_watch_retries_a_lost_registry(self) -> None:
         self.primary.is_lost = True
         self.notify_loss_change()
         self.assertEqual(self.active(), (True, False))
@@ -83,29 +83,29 @@
         self.assertEqual((self.active(), self.other.num_restarts), ((True, True), 1))
         self.assertEqual(self.lost, [True, False])
 
-    def test_a_node_that_is_told_by_others_must_not_be_relied_on_by_them(self) -> None:
+    def test_registry_stays_lost_while_the_node_follows_others(self) -> None:
         self.primary.is_lost = True
         self.set_fresh(True)
         self.assertTrue(self.reading.is_lost)
 
-    def test_a_node_that_starts_reads_nothing_when_others_tell(self) -> None:
+    def test_starting_node_with_fresh_updates_does_not_read(self) -> None:
         self.follower.first_update.set()
         self.follower.is_fresh = True
         self.assertAlmostEqual(self.wait_for_update(finds=True), SETTLE_S, places=2)
         self.assertEqual(self.active(), (False, False))
 
-    def test_a_node_that_finds_nobody_reads_soon(self) -> None:
+    def test_starting_node_without_updates_reads_soon(self) -> None:
         self.assertAlmostEqual(self.wait_for_update(finds=False), FIRST_UPDATE_TIMEOUT_S, places=2)
         self.assertEqual(self.active(), (True, True))
 
-    def test_who_is_told_asks_a_lost_registry_less_often(self) -> None:
+    def test_watches_learn_that_peers_send_updates(self) -> None:
         self.set_fresh(False)
         self.assertFalse(self.primary.has_peer_updates)
         self.follower.first_update.set()
         self.set_fresh(False)
         self.assertTrue(self.primary.has_peer_updates)
 
-    def test_a_node_that_is_told_old_words_reads_a_little_later(self) -> None:
+    def test_starting_node_with_outdated_updates_reads_after_the_settle_time(self) -> None:
         self.follower.first_update.set()
         self.wait_for_update(finds=True)
         self.assertEqual(self.active(), (True, True))
--- a/tests/test_regions_catalog.py
+++ b/tests/test_regions_catalog.py
@@ -17,7 +17,7 @@
 
 PLACES = Places({"zone-a": "east", "zone-b": "east", "zone-c": "west", "zone-d": "west"})
 NUM_FRONTS = 8
-PLAYED_S = 8.0
+SIMULATED_S = 8.0
 
 
 def replica(name: str, zone: str) -> ReplicaNode:
@@ -35,38 +35,38 @@
             replica("w2", "zone-d"),
         ]
 
-    def asked_by(self, name: str, zone: str, avoided: str = "", places: Places = PLACES) -> str:
+    def source_of(self, name: str, zone: str, avoided: str = "", places: Places = PLACES) -> str:
         is_replica = any(node.name == name for node in self.ranked)
-        asker = RequestingNode(Address(name, 7000), zone, places, is_replica)
-        out = {Address(host, 7000) for host in avoided.split()}
-        found = choose_catalog_source(asker, self.ranked, out)
+        requester = RequestingNode(Address(name, 7000), zone, places, is_replica)
+        avoided_addresses = {Address(host, 7000) for host in avoided.split()}
+        found = choose_catalog_source(requester, self.ranked, avoided_addresses)
         return found.host if found is not None else ""
 
-    def test_the_first_reads_and_the_other_regions_first_asks_it(self) -> None:
-        self.assertEqual(self.asked_by("e1", "zone-a"), "")
-        self.assertEqual(self.asked_by("e2", "zone-b"), "e1")
-        self.assertEqual(self.asked_by("w1", "zone-c"), "e1")
-        self.assertEqual(self.asked_by("w2", "zone-d"), "w1")
-
-    def test_fronts_ask_the_first_of_their_region(self) -> None:
-        self.assertEqual(self.asked_by("front", "zone-b"), "e1")
-        self.assertEqual(self.asked_by("front", "zone-d"), "w1")
-        self.assertEqual(self.asked_by("front", "zone-d", "w1"), "w2")
-        self.assertEqual(self.asked_by("front", "zone-d", "w1 w2"), "e1")
-
-    def test_when_the_reader_is_lost_the_next_by_rank_reads_for_both_regions(self) -> None:
-        self.assertEqual(self.asked_by("w1", "zone-c", "e1"), "")
-        self.assertEqual(self.asked_by("e1", "zone-a", "e1"), "e2")
-        self.assertEqual(self.asked_by("e2", "zone-b", "e1"), "w1")
-        self.assertEqual(self.asked_by("w2", "zone-d", "e1"), "w1")
-
-    def test_without_regions_all_ask_the_first(self) -> None:
+    def test_first_by_rank_reads_and_the_other_region_follows_it(self) -> None:
+        self.assertEqual(self.source_of("e1", "zone-a"), "")
+        self.assertEqual(self.source_of("e2", "zone-b"), "e1")
+        self.assertEqual(self.source_of("w1", "zone-c"), "e1")
+        self.assertEqual(self.source_of("w2", "zone-d"), "w1")
+
+    def test_fronts_follow_the_first_of_their_region(self) -> None:
+        self.assertEqual(self.source_of("front", "zone-b"), "e1")
+        self.assertEqual(self.source_of("front", "zone-d"), "w1")
+        self.assertEqual(self.source_of("front", "zone-d", "w1"), "w2")
+        self.assertEqual(self.source_of("front", "zone-d", "w1 w2"), "e1")
+
+    def test_next_by_rank_reads_for_both_regions_when_the_reader_is_avoided(self) -> None:
+        self.assertEqual(self.source_of("w1", "zone-c", "e1"), "")
+        self.assertEqual(self.source_of("e1", "zone-a", "e1"), "e2")
+        self.assertEqual(self.source_of("e2", "zone-b", "e1"), "w1")
+        self.assertEqual(self.source_of("w2", "zone-d", "e1"), "w1")
+
+    def test_without_regions_all_follow_the_first(self) -> None:
         for name, zone in (("e2", "zone-b"), ("w1", "zone-c"), ("w2", "zone-d"), ("f", "zone-d")):
-            self.assertEqual(self.asked_by(name, zone, places=Places()), "e1")
-        self.assertEqual(self.asked_by("e1", "zone-a", places=Places()), "")
+            self.assertEqual(self.source_of(name, zone, places=Places()), "e1")
+        self.assertEqual(self.source_of("e1", "zone-a", places=Places()), "")
 
-    def test_nobody_is_asked_by_two_that_ask_each_other(self) -> None:
-        """Whoever is lost, following the askers ends at one that asks nobody."""
+    def test_requests_never_form_a_cycle(self) -> None:
+        """Whoever is lost, following the requests ends at one that asks nobody."""
         zones = {node.name: node.zone for node in self.ranked}
         for lost in ("", "e1", "w1", "e1 w1", "e1 e2", "e1 w1 e2"):
             for start in zones:
@@ -74,7 +74,7 @@
                     continue
                 name, num_hops = start, 0
                 while name and num_hops < 5:
-                    name = self.asked_by(name, zones[name], lost)
+                    name = self.source_of(name, zones[name], lost)
                     num_hops += 1
                 self.assertLess(num_hops, 5, f"{start} with {lost} lost")
 
@@ -91,14 +91,14 @@
         self.world.run_for(3.0)
 
     def machines(self) -> dict[str, SimMachine]:
-        everything = [*self.world.fronts.values(), *self.world.stores.values()]
-        return {machine.host: machine for machine in everything}
+        machines = [*self.world.fronts.values(), *self.world.stores.values()]
+        return {machine.host: machine for machine in machines}
 
     def ranked(self) -> list[SimMachine]:
         names = rendezvous_rank(CATALOG_METHOD, self.world.stores)
         return [self.world.stores[name] for name in names]
 
-    def far_head(self) -> SimMachine:
+    def regional_reader(self) -> SimMachine:
         reader = self.ranked()[0]
         return next(m for m in self.ranked() if self.is_far(m, reader))
 
@@ -106,7 +106,7 @@
     def is_far(machine: SimMachine, other: SimMachine) -> bool:
         return PLACES.distance(machine.zone, other.zone) is Distance.OTHER_REGION
 
-    def askers_over_the_link(self) -> Counter[str]:
+    def requests_across_regions(self) -> Counter[str]:
         """How many questions each machine sent to the other region."""
         machines = self.machines()
         found: Counter[str] = Counter()
@@ -132,27 +132,27 @@
         self.world.document = make_document(version)
         return version
 
-    def test_on_a_calm_day_one_machine_asks_across_the_link(self) -> None:
+    def test_without_faults_only_the_regional_reader_requests_across_regions(self) -> None:
         self.world.network.num_sent.clear()
-        self.world.run_for(PLAYED_S)
-        askers = self.askers_over_the_link()
-        self.assertEqual(set(askers), {self.far_head().host})
-        most = PLAYED_S / (follower.REGIONAL_READER_SHARE * TIMES.interval_s)
-        self.assertLessEqual(askers[self.far_head().host], most + 2)
+        self.world.run_for(SIMULATED_S)
+        requests = self.requests_across_regions()
+        self.assertEqual(set(requests), {self.regional_reader().host})
+        most = SIMULATED_S / (follower.REGIONAL_READER_SHARE * TIMES.interval_s)
+        self.assertLessEqual(requests[self.regional_reader().host], most + 2)
 
-    def test_all_stay_fresh_all_day(self) -> None:
+    def test_all_stay_fresh_without_faults(self) -> None:
         for _ in range(100):
             self.world.run_for(0.1)
             self.assertTrue(self.are_fresh())
 
-    def test_a_change_is_in_force_everywhere_soon(self) -> None:
+    def test_change_is_applied_everywhere_soon(self) -> None:
         version = self.change()
         self.world.run_for(0.6)
         self.assertEqual(self.versions(), {version})
 
-    def test_a_head_that_loses_the_registry_still_serves_its_fronts(self) -> None:
-        head = self.far_head()
-        self.world.network.cuts.add(("registry", head.host))
+    def test_regional_reader_without_the_registry_still_serves_its_fronts(self) -> None:
+        reader = self.regional_reader()
+        self.world.network.cuts.add(("registry", reader.host))
         self.world.run_for(1.0)
         for front in self.world.fronts.values():
             self.world.network.cuts.add(("registry", front.host))
@@ -161,13 +161,13 @@
         self.world.run_for(0.3 * APPLY_S)
         self.assertEqual(self.versions(), {version})
         fronts = {machine.host for machine in self.world.fronts.values()}
-        self.assertEqual(fronts & set(self.askers_over_the_link()), set())
-        asked = sum(self.world.network.num_sent.values())
-        self.assertLess(asked, 3_000)
+        self.assertEqual(fronts & set(self.requests_across_regions()), set())
+        num_sent = sum(self.world.network.num_sent.values())
+        self.assertLess(num_sent, 3_000)
 
-    def test_when_the_head_dies_the_next_of_the_region_asks(self) -> None:
-        head = self.far_head()
-        self.world.kill(head)
+    def test_next_of_the_region_replaces_a_dead_regional_reader(self) -> None:
+        reader = self.regional_reader()
+        self.world.kill(reader)
         self.world.run_for(3.0)
         version = self.change()
         self.world.network.num_sent.clear()
@@ -175,9 +175,9 @@
         self.assertEqual(self.versions(), {version})
         self.assertTrue(self.are_fresh())
         stores = {machine.host for machine in self.world.stores.values()}
-        self.assertLessEqual(set(self.askers_over_the_link()), stores)
+        self.assertLessEqual(set(self.requests_across_regions()), stores)
 
-    def test_when_the_reader_loses_the_registry_a_change_is_in_force_in_time(self) -> None:
+    def test_change_is_applied_in_time_when_the_reader_loses_the_registry(self) -> None:
         self.world.network.cuts.add(("registry", self.ranked()[0].host))
         version = self.change()
         self.world.run_for(0.75 * APPLY_S)
@@ -185,7 +185,7 @@
         self.world.run_for(3.0)
         self.assertTrue(self.are_fresh())
 
-    def test_when_the_link_is_cut_each_front_reads_for_itself_in_time(self) -> None:
+    def test_change_is_applied_in_time_when_regions_are_partitioned(self) -> None:
         machines = self.machines()
         for host, machine in machines.items():
             for other_host, other in machines.items():
@@ -198,7 +198,7 @@
         self.world.run_for(10.0)
         self.assertTrue(self.are_fresh())
 
-    def test_a_front_that_is_cut_off_is_not_named_as_a_relay(self) -> None:
+    def test_front_that_is_cut_off_is_not_named_as_a_relay(self) -> None:
         front = self.world.fronts["front-1"]
         for store in self.world.stores.values():
             pairs = ((store.host, front.host), (front.host, store.host))
@@ -215,7 +215,7 @@
 class SmallSiteTest(unittest.TestCase):
     """Neither region has enough nodes for a reader of its own; both together have."""
 
-    def test_both_regions_count_together(self) -> None:
+    def test_nodes_of_both_regions_count_together(self) -> None:
         world = SiteWorld.started(3, two_zones_a_region(demand.MIN_SHARED_REQUESTERS))
         self.addCleanup(world.close)
         world.run_for(4.0)
--- a/tests/test_follower_ways.py
+++ b/tests/test_relayed_follower.py
@@ -20,7 +20,7 @@
 
 TIMES = CatalogTimes.within(3.0, 20.0)
 STORE = Address("store", 7000)
-PLAYED_S = 6.0
+SIMULATED_S = 6.0
 
 
 class RecordingSink:
@@ -42,14 +42,14 @@
     def replace_runners(self, runners: list[KnownRunner], at: int, is_trusted: bool) -> None:
         self.catalog.replace_runners(runners, at, is_trusted)
 
-    def apply_zones(self, word: ZoneUpdate) -> None:
-        self.zones_taken.append(word.zones.revision)
+    def apply_zones(self, update: ZoneUpdate) -> None:
+        self.zones_taken.append(update.zones.revision)
 
     def confirm_all(self, age_s: float, runners_at: int) -> None:
         pass
 
 
-class Relays:
+class RecordingRelays:
     """Requests that only others pass on; remembers how long each was to wait."""
 
     def __init__(self, zones_at: int = 0) -> None:
@@ -68,8 +68,8 @@
         return reply.SerializeToString()
 
 
-class BehindACutTest(unittest.TestCase):
-    def follow(self, relays: Relays, times: CatalogTimes, knows_zones_at: int = 0) -> bool:
+class RelayedFollowerTest(unittest.TestCase):
+    def follow(self, relays: RecordingRelays, times: CatalogTimes, known_zones_at: int = 0) -> bool:
         """Whether an asker counts as informed that is told this for some seconds."""
         loop = VirtualTimeLoop()
         asyncio.set_event_loop(loop)
@@ -87,28 +87,28 @@
             times,
             random.Random(2),
         )
-        follower.note_zones_revision(knows_zones_at)
-        asking = loop.create_task(follower.run())
-        loop.run_until_complete(asyncio.sleep(PLAYED_S))
-        asking.cancel()
+        follower.note_zones_revision(known_zones_at)
+        following = loop.create_task(follower.run())
+        loop.run_until_complete(asyncio.sleep(SIMULATED_S))
+        following.cancel()
         return follower.is_fresh
 
-    def test_it_asks_without_waiting_there_and_no_more_often(self) -> None:
-        relays = Relays()
+    def test_relayed_requests_do_not_wait_and_keep_the_interval(self) -> None:
+        relays = RecordingRelays()
         self.assertTrue(self.follow(relays, TIMES))
         self.assertEqual(set(relays.waits_ms), {0})
-        self.assertLessEqual(len(relays.waits_ms), PLAYED_S / TIMES.interval_s + 2)
-        self.assertGreater(len(relays.waits_ms), PLAYED_S / TIMES.interval_s / 2)
+        self.assertLessEqual(len(relays.waits_ms), SIMULATED_S / TIMES.interval_s + 2)
+        self.assertGreater(len(relays.waits_ms), SIMULATED_S / TIMES.interval_s / 2)
 
-    def test_it_is_informed_only_by_who_knows_the_closed_zones_as_well(self) -> None:
+    def test_fresh_only_if_the_source_knows_the_closed_zones(self) -> None:
         times = CatalogTimes.within(3.0, 20.0, 5.0)
-        self.assertFalse(self.follow(Relays(zones_at=0), times))
-        self.assertTrue(self.follow(Relays(zones_at=9), times, knows_zones_at=9))
-        self.assertTrue(self.follow(Relays(zones_at=0), TIMES))
+        self.assertFalse(self.follow(RecordingRelays(zones_at=0), times))
+        self.assertTrue(self.follow(RecordingRelays(zones_at=9), times, known_zones_at=9))
+        self.assertTrue(self.follow(RecordingRelays(zones_at=0), TIMES))
 
-    def test_who_heard_newer_closed_zones_elsewhere_keeps_them_and_is_informed(self) -> None:
+    def test_newer_known_closed_zones_are_kept_and_the_node_is_fresh(self) -> None:
         times = CatalogTimes.within(3.0, 20.0, 5.0)
-        self.assertTrue(self.follow(Relays(zones_at=8), times, knows_zones_at=9))
+        self.assertTrue(self.follow(RecordingRelays(zones_at=8), times, known_zones_at=9))
         self.assertEqual(self.sink.zones_taken, [])
-        self.assertTrue(self.follow(Relays(zones_at=10), times, knows_zones_at=9))
+        self.assertTrue(self.follow(RecordingRelays(zones_at=10), times, known_zones_at=9))
         self.assertEqual(self.sink.zones_taken, [10])
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -33,7 +33,7 @@
         self.loop = loop
         self.revision = 1
         self.changed = asyncio.Event()
-        self.is_silent = False
+        self.is_down = False
         self.history_from = 0
         self.list_at: int | None = None
         self.older: list[int] = []
@@ -62,7 +62,7 @@
 
     async def _reach(self, timeout_s: float) -> None:
         await asyncio.sleep(0.004)
-        if self.is_silent:
+        if self.is_down:
             await asyncio.sleep(timeout_s)  # this connection stays silent for good
             raise StoreUnavailable("silent")
 
@@ -105,35 +105,35 @@
     def run_for(self, seconds: float) -> None:
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
-    def test_a_change_is_seen_at_once(self) -> None:
+    def test_change_is_seen_at_once(self) -> None:
         self.run_for(1.0)
         self.store.change(5)
         self.run_for(0.1)
         self.assertEqual(self.seen, [1, 5])
 
-    def test_a_change_after_silence_is_seen_soon_after_the_store_is_back(self) -> None:
+    def test_change_after_an_outage_is_seen_soon(self) -> None:
         self.run_for(1.0)
-        self.store.is_silent = True
+        self.store.is_down = True
         self.run_for(5.0)
-        self.store.is_silent = False
+        self.store.is_down = False
         self.run_for(3.0)
         self.store.change(7)
         self.run_for(0.5)
         self.assertEqual(self.seen[-1], 7)
 
-    def test_the_store_is_regained_soon_whenever_it_comes_back(self) -> None:
+    def test_watch_recovers_soon_after_outages_of_any_length(self) -> None:
         """A question asked just before the store is back must not be waited for long."""
-        for silent_tenths in range(30, 62, 4):
-            with self.subTest(silent_s=silent_tenths / 10):
+        for outage_tenths in range(30, 62, 4):
+            with self.subTest(outage_s=outage_tenths / 10):
                 self.run_for(3.0)
-                self.store.is_silent = True
-                self.run_for(silent_tenths / 10)
-                self.store.is_silent = False
+                self.store.is_down = True
+                self.run_for(outage_tenths / 10)
+                self.store.is_down = False
                 self.store.change(self.store.revision + 1)
                 self.run_for(1.6)
                 self.assertEqual(self.seen[-1], self.store.revision)
 
-    def test_a_paused_watch_asks_nothing_and_goes_on_where_others_told_up_to(self) -> None:
+    def test_paused_watch_resumes_at_the_revision_known_from_peers(self) -> None:
         self.run_for(1.0)
         self.long.pause()
         self.store.change(5)
@@ -146,61 +146,61 @@
         self.run_for(0.5)
         self.assertEqual(self.seen, [1, 6])
 
-    def test_a_watch_that_others_told_up_to_need_not_list(self) -> None:
+    def test_watch_resumed_at_a_known_revision_does_not_list(self) -> None:
         self.run_for(0.5)
-        late = self.watcher([], 2.0)
-        late.pause()
-        late.resume(at=1)
-        self.tasks.append(self.loop.create_task(late.run()))
+        watcher = self.watcher([], 2.0)
+        watcher.pause()
+        watcher.resume(at=1)
+        self.tasks.append(self.loop.create_task(watcher.run()))
         with mock.patch.object(self.store, "list") as listed:
             self.run_for(1.0)
         listed.assert_not_called()
 
-    def test_who_is_told_by_others_asks_a_lost_store_ever_less_often(self) -> None:
+    def test_retries_slow_down_while_peers_send_updates(self) -> None:
         self.run_for(1.0)
-        patient = self.watcher([], 2.0, max_retry_growth=8.0)
-        patient.has_peer_updates = True
+        watcher = self.watcher([], 2.0, max_retry_growth=8.0)
+        watcher.has_peer_updates = True
         with mock.patch.object(self.store, "list", side_effect=StoreUnavailable("away")) as listed:
-            self.tasks.append(self.loop.create_task(patient.run()))
+            self.tasks.append(self.loop.create_task(watcher.run()))
             self.run_for(10.0)
         self.assertLessEqual(listed.call_count, 5)
 
-    def test_a_quick_watch_after_a_pause_shows_a_dead_connection_soon(self) -> None:
+    def test_short_first_watch_detects_a_dead_connection(self) -> None:
         """What it must know in time it does not wait for on a connection that may be dead."""
-        quick_seen: list[int] = []
-        quick = self.watcher(quick_seen, WATCH_S)
-        quick.is_first_watch_short = True
-        self.tasks.append(self.loop.create_task(quick.run()))
+        seen: list[int] = []
+        watcher = self.watcher(seen, WATCH_S)
+        watcher.is_first_watch_short = True
+        self.tasks.append(self.loop.create_task(watcher.run()))
         self.run_for(1.0)
-        quick.pause()
+        watcher.pause()
         self.run_for(3.0)
-        self.store.is_silent = True
-        quick.resume()
+        self.store.is_down = True
+        watcher.resume()
         self.run_for(0.3)
-        self.store.is_silent = False
+        self.store.is_down = False
         self.store.change(5)
         self.run_for(LOST_WAIT_S + MARGIN_S + RETRY_MAX_S + 0.1)
-        self.assertEqual(quick_seen, [1, 5])
+        self.assertEqual(seen, [1, 5])
 
-    def test_a_quick_watch_waits_as_long_as_others_afterwards(self) -> None:
-        quick = self.watcher([], WATCH_S)
-        quick.is_first_watch_short = True
-        self.tasks.append(self.loop.create_task(quick.run()))
+    def test_only_the_first_watch_after_a_restart_is_short(self) -> None:
+        watcher = self.watcher([], WATCH_S)
+        watcher.is_first_watch_short = True
+        self.tasks.append(self.loop.create_task(watcher.run()))
         self.run_for(1.0)
-        quick.restart()
+        watcher.restart()
         with mock.patch.object(self.store, "watch", wraps=self.store.watch) as watch:
             self.run_for(10.0)
         waits = [call.args[2] for call in watch.call_args_list if call.args[2] != 2.0]
         self.assertEqual(waits, [LOST_WAIT_S, WATCH_S])
 
-    def test_lost_history_is_listed_again(self) -> None:
+    def test_expired_history_is_listed_again(self) -> None:
         self.run_for(1.0)
         self.store.history_from = 8
         self.store.change(9)
         self.run_for(0.5)
         self.assertEqual(self.seen[-1], 9)
 
-    def test_an_event_older_than_what_a_list_told_changes_nothing(self) -> None:
+    def test_event_older_than_the_listed_state_is_ignored(self) -> None:
         """A list of several pages ends later than its watch begins."""
         self.store.revision = 4
         self.store.list_at = 2
--- a/tests/test_zone_processes.py
+++ b/tests/test_zone_processes.py
@@ -19,17 +19,17 @@
 
 
 class ZoneProcessesTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_zone_is_closed_and_stays_so_through_a_start_in_the_dark(self) -> None:
+    async def test_closed_zone_survives_a_restart_while_the_registry_is_down(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             site = SiteInstallation(Path(folder), ZONE_CLOSE_MS)
             try:
                 await site.start(num_fronts=2)
                 await self.close(site)
                 await self.assert_served_elsewhere(site, "closed")
-                await self.restart_in_the_dark(site)
+                await self.restart_without_registry(site)
                 await self.assert_served_elsewhere(site, "dark")
                 await self.open(site)
-                await self.assert_served_there(site)
+                await self.assert_served_in_reopened_zone(site)
             finally:
                 await site.stop()
 
@@ -41,8 +41,8 @@
         for process in self.processes(site):
             await site.wait_for_line(process, "zones: zone closed")
 
-    async def restart_in_the_dark(self, site: SiteInstallation) -> None:
-        await site.wait_until(lambda: all(self.is_kept(site, name) for name in site.stores))
+    async def restart_without_registry(self, site: SiteInstallation) -> None:
+        await site.wait_until(lambda: all(self.is_stored(site, name) for name in site.stores))
         site.metadata.is_down = True
         for process in self.processes(site):
             await process.end(signal.SIGKILL)
@@ -51,9 +51,9 @@
         for front in site.fronts.values():
             await site.wait_ready(front)
 
-    def is_kept(self, site: SiteInstallation, store: str) -> bool:
-        kept = decode_stored(FileCatalogStorage(site.folder / store).load())
-        return kept.zones.zones.closed == {CLOSED}
+    def is_stored(self, site: SiteInstallation, store: str) -> bool:
+        stored = decode_stored(FileCatalogStorage(site.folder / store).load())
+        return stored.zones.zones.closed == {CLOSED}
 
     async def open(self, site: SiteInstallation) -> None:
         site.metadata.is_down = False
@@ -61,7 +61,7 @@
         for process in self.processes(site):
             await site.wait_for_line(process, "zones: zone open again")
 
-    async def run_until_one_is_whole(self, site: SiteInstallation) -> None:
+    async def run_until_a_program_finishes(self, site: SiteInstallation) -> None:
         """Runners of a zone that was opened are cold at first, and some programs are sent away."""
         for number in itertools.count():
             program = make_program(site, f"cold-{number}", PLAN)
@@ -69,7 +69,7 @@
             if program.finished:
                 return
 
-    async def runs(self, site: SiteInstallation, name: str) -> set[str]:
+    async def zones_of_program(self, site: SiteInstallation, name: str) -> set[str]:
         """Zones of the runners that a program's requests ran at."""
         program = make_program(site, name, PLAN)
         await program.run()
@@ -80,14 +80,14 @@
 
     async def assert_served_elsewhere(self, site: SiteInstallation, name: str) -> None:
         for number in range(3):
-            self.assertEqual(await self.runs(site, f"{name}-{number}"), {ZONES[0]})
+            self.assertEqual(await self.zones_of_program(site, f"{name}-{number}"), {ZONES[0]})
 
-    async def assert_served_there(self, site: SiteInstallation) -> None:
+    async def assert_served_in_reopened_zone(self, site: SiteInstallation) -> None:
         site.metadata.put(names.ZONE_CLOSURE_KIND, ZONES[0], {})
         for process in self.processes(site):
             await site.wait_for_line(process, "zones: zone closed", times=3)
-        await self.run_until_one_is_whole(site)
-        self.assertEqual(await self.runs(site, "open"), {CLOSED})
+        await self.run_until_a_program_finishes(site)
+        self.assertEqual(await self.zones_of_program(site, "open"), {CLOSED})
 
 
 if __name__ == "__main__":
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -57,38 +57,38 @@
         self.record = ZoneRecord()
         self.record.apply(update(5, "a"), 10.0)
 
-    def test_a_zone_is_closed_and_opened(self) -> None:
+    def test_zone_is_closed_and_reopened(self) -> None:
         self.assertEqual(self.record.closed_since_s, {"a": 10.0})
         changes = self.record.apply(update(9, "b"), 14.0)
         self.assertEqual(changes.closed, ("b",))
         self.assertEqual(changes.opened, (OpenedZone("a", 14.0),))
         self.assertEqual(self.record.closed_since_s, {"b": 14.0})
 
-    def test_an_older_word_changes_nothing(self) -> None:
+    def test_older_update_is_ignored(self) -> None:
         for old in (update(4), update(4, "b"), update(0), update(4, a=0.1)):
             self.assertFalse(self.record.apply(old, 11.0))
         self.assertEqual(self.record.zones, ClosedZones(5, frozenset("a")))
 
-    def test_the_revision_rises_without_a_change(self) -> None:
+    def test_revision_advances_without_a_change(self) -> None:
         self.assertFalse(self.record.apply(update(8, "a"), 11.0))
         self.assertEqual((self.record.zones.revision, self.record.changed_revision), (8, 5))
 
-    def test_a_zone_that_was_closed_and_opened_while_this_node_slept(self) -> None:
+    def test_zone_closed_and_reopened_between_updates(self) -> None:
         changes = self.record.apply(update(9, "a", b=2.5), 20.0)
         self.assertEqual(changes.opened, (OpenedZone("b", 17.5),))
 
-    def test_an_opening_that_is_told_again_is_none(self) -> None:
+    def test_repeated_report_of_a_reopening_is_ignored(self) -> None:
         self.record.apply(update(9, b=2.5), 20.0)
         self.assertFalse(self.record.apply(update(10, b=4.1), 21.5))
         self.assertTrue(self.record.apply(update(12, b=0.2), 25.0))
 
-    def test_a_zone_that_is_closed_again_is_not_open(self) -> None:
+    def test_zone_closed_again_does_not_count_as_reopened(self) -> None:
         self.assertEqual(self.record.apply(update(9, "a", a=1.0), 20.0).opened, ())
 
-    def test_a_known_time_of_opening_counts(self) -> None:
+    def test_reported_reopening_time_is_used(self) -> None:
         self.assertEqual(self.record.apply(update(9, a=3.0), 20.0).opened, (OpenedZone("a", 17.0),))
 
-    def test_telling_of_an_opening_ends(self) -> None:
+    def test_reopening_is_reported_and_remembered_for_a_limited_time(self) -> None:
         self.record.apply(update(9), 20.0)
         self.assertEqual(self.record.make_update(23.0).reopened_ago_s, {"a": 3.0})
         self.assertEqual(self.record.make_update(20.5 + REOPENED_REPORTED_S).reopened_ago_s, {})
@@ -113,11 +113,11 @@
             ("unknown", frozenset({"west"})): False,
             ("b", frozenset()): False,
         }
-        for (zone, regions), may in cases.items():
+        for (zone, regions), is_allowed in cases.items():
             with self.subTest(zone=zone, regions=regions):
-                self.assertIs(self.filter.allows(runner("r", zone), regions), may)
+                self.assertIs(self.filter.allows(runner("r", zone), regions), is_allowed)
 
-    def test_a_nodes_own_choice_and_the_leaders_list_ask_it(self) -> None:
+    def test_runner_table_and_catalog_apply_the_filter(self) -> None:
         table, catalog = RunnerTable(filter=self.filter), Catalog(filter=self.filter)
         for number, zone in enumerate("abc"):
             table.put(runner(zone, zone))
@@ -128,14 +128,14 @@
             ready = catalog.ready_runners("s", regions)
             self.assertEqual([one.runner_id for one in ready], expected)
 
-    def test_a_doubtful_runner_outside_is_better_than_a_listed_one_in_a_closed_zone(self) -> None:
+    def test_unlisted_runner_is_preferred_over_one_in_a_closed_zone(self) -> None:
         table = RunnerTable(filter=self.filter)
         for zone in "ab":
             table.put(runner(zone, zone))
         table.remove("b", 0.0, is_trusted=False)
         self.assertEqual([one.listed.runner_id for one in table.eligible("s", 0.0, None)], ["b"])
 
-    def test_a_service_is_shut_only_where_closed_zones_or_regions_are_the_cause(self) -> None:
+    def test_no_eligible_runner_only_because_of_closed_zones_or_regions(self) -> None:
         table = RunnerTable(filter=self.filter)
         self.assertFalse(table.has_no_eligible_runner("s", None))
         table.put(runner("a", "a"))
@@ -145,7 +145,7 @@
         self.assertTrue(table.has_no_eligible_runner("s", frozenset({"west"})))
 
 
-class HomesTest(unittest.TestCase):
+class AllowedRegionsTest(unittest.TestCase):
     def route(self, *regions: str) -> Route:
         return Route(
             "r",
@@ -159,24 +159,24 @@
             allowed_regions=regions,
         )
 
-    def test_both_bind(self) -> None:
-        nobody = Principal(None, 0)
-        self.assertIsNone(allowed_regions(self.route(), nobody))
-        self.assertEqual(allowed_regions(self.route("west"), nobody), {"west"})
+    def test_route_and_tenant_restrictions_both_apply(self) -> None:
+        anonymous = Principal(None, 0)
+        self.assertIsNone(allowed_regions(self.route(), anonymous))
+        self.assertEqual(allowed_regions(self.route("west"), anonymous), {"west"})
         tenant = Principal(Tenant("t", allowed_regions=("east", "west")), 0)
         self.assertEqual(allowed_regions(self.route(), tenant), {"east", "west"})
         self.assertEqual(allowed_regions(self.route("west", "north"), tenant), {"west"})
         self.assertEqual(allowed_regions(self.route("north"), tenant), frozenset())
 
-    def test_regions_that_no_zone_stands_in_are_named(self) -> None:
+    def test_regions_without_a_zone_are_reported(self) -> None:
         tenants = (Tenant("t", allowed_regions=("west",)), Tenant("u", allowed_regions=("south",)))
         document = ServiceDocument(1, (self.route("north", "west"),), tenants=tenants)
         found = unknown_regions(document, PLACES)
         self.assertEqual(found, {"route r": ["north"], "tenant u": ["south"]})
 
 
-class WordOnTheWireTest(unittest.TestCase):
-    def test_closed_zones_go_to_who_knows_an_older_revision(self) -> None:
+class ZoneCodecTest(unittest.TestCase):
+    def test_closed_zones_are_sent_to_nodes_with_an_older_revision(self) -> None:
         reply = wire.CatalogReply()
         add_zones(reply, update(9, "b", a=2.5), known_at=5)
         self.assertEqual(zones_from_wire(reply), update(9, "b", a=2.5))
@@ -184,16 +184,16 @@
         add_zones(reply, update(9, "b", a=2.5), known_at=9)
         self.assertEqual((reply.zones_at, list(reply.closed_zones)), (9, []))
 
-    def test_they_are_kept_beside_the_rest(self) -> None:
+    def test_closed_zones_are_stored_with_the_catalog(self) -> None:
         kept = decode_stored(encode_stored(StoredCatalog(zones=update(9, "b", a=2.5))))
         self.assertEqual(kept.zones, update(9, "b", a=2.5))
 
-    def test_a_file_of_an_earlier_version_tells_nothing_of_them(self) -> None:
+    def test_file_of_an_earlier_version_has_no_closed_zones(self) -> None:
         earlier = wire.CatalogReply(document_version=0, has_runners=True, runners_at=4)
         self.assertEqual(decode_stored(earlier.SerializeToString()).zones, ZoneUpdate())
 
 
-class NamesOfAKindTest(unittest.TestCase):
+class NamesHandlerTest(unittest.TestCase):
     """What the registry tells, answer by answer, as whole states."""
 
     def setUp(self) -> None:
@@ -217,31 +217,31 @@
     def closed(self) -> set[str]:
         return set(self.record.zones.closed)
 
-    def test_objects_come_and_go(self) -> None:
+    def test_added_and_removed_objects_are_reported(self) -> None:
         self.list(3, "a")
         self.watch(7, ("b", 6, False))
         self.assertEqual((self.closed, self.record.zones.revision), ({"a", "b"}, 7))
         self.watch(9, ("a", 3, True))
         self.assertEqual((self.closed, self.record.opened_at_s), ({"b"}, {"a": 30.0}))
 
-    def test_what_came_and_went_within_one_answer_was_opened(self) -> None:
+    def test_zone_closed_and_reopened_within_one_reply_counts_as_reopened(self) -> None:
         self.list(3)
         self.watch(9, ("a", 5, False), ("a", 5, True))
         self.assertEqual((self.closed, self.record.opened_at_s), (set(), {"a": 30.0}))
 
-    def test_what_went_and_came_again_is_closed(self) -> None:
+    def test_zone_reopened_and_closed_again_within_one_reply_is_closed(self) -> None:
         self.list(3, "a")
         self.watch(9, ("a", 3, True), ("a", 8, False))
         self.assertEqual((self.closed, self.record.opened_at_s), ({"a"}, {}))
 
-    def test_a_lost_history_is_listed_whole(self) -> None:
+    def test_new_list_replaces_all_names(self) -> None:
         self.list(3, "a")
         self.list(40, "b")
         self.assertEqual(self.closed, {"b"})
         self.watch(41)
         self.assertEqual(self.closed, {"b"})
 
-    def test_a_watch_that_others_overtook_does_not_go_back(self) -> None:
+    def test_watch_behind_the_known_revision_is_ignored(self) -> None:
         """Others told revision 10 meanwhile; the own watch still tells what led there."""
         self.list(3)
         self.record.apply(update(10, "a"), 30.0)
@@ -251,11 +251,11 @@
         self.assertEqual((self.closed, self.record.zones.revision), ({"a"}, 12))
 
 
-class TimesTest(unittest.TestCase):
-    def test_nothing_is_read_where_operators_close_no_zone(self) -> None:
+class CatalogTimesTest(unittest.TestCase):
+    def test_closed_zones_are_not_followed_without_a_bound(self) -> None:
         self.assertFalse(CatalogTimes.within(3.0, 20.0).follows_zones)
 
-    def test_a_longer_bound_saves_calls_and_a_shorter_one_bounds_all(self) -> None:
+    def test_longer_zone_bound_saves_calls_and_a_shorter_one_bounds_everything(self) -> None:
         times = CatalogTimes.within(3.0, 20.0, ZONE_CLOSE_S)
         self.assertEqual(times.interval_s, CatalogTimes.within(3.0, 20.0).interval_s)
         self.assertAlmostEqual(times.zones_wait_s, 1.7)
@@ -263,16 +263,16 @@
         self.assertEqual(tight.max_age_s, CatalogTimes.within(2.0, 20.0).max_age_s)
         self.assertAlmostEqual(tight.zones_wait_s, tight.interval_s)
 
-    def test_the_bound_holds_when_one_connection_is_dead_at_each_step(self) -> None:
+    def test_zone_bound_holds_with_one_dead_connection_per_step(self) -> None:
         times = CatalogTimes.within(3.0, 20.0, ZONE_CLOSE_S)
-        again_s = RETRY_MAX_S + LOST_WAIT_S
+        retry_s = RETRY_MAX_S + LOST_WAIT_S
         hop_s = times.interval_s + REPLY_MARGIN_S
-        by_reader_s = times.zones_wait_s + WATCH_MARGIN_S + again_s + hop_s
-        self.assertLess(by_reader_s, ZONE_CLOSE_S)
+        via_reader_s = times.zones_wait_s + WATCH_MARGIN_S + retry_s + hop_s
+        self.assertLess(via_reader_s, ZONE_CLOSE_S)
         assert times.zones_lag_s is not None
         old_s = times.max_age_s + times.zones_lag_s
         dead_s = max(LOST_WAIT_S + WATCH_MARGIN_S, CALL_TIMEOUT_S)
-        self.assertLess(old_s + dead_s + again_s, ZONE_CLOSE_S)
+        self.assertLess(old_s + dead_s + retry_s, ZONE_CLOSE_S)
 
 
 if __name__ == "__main__":
