--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -145,7 +145,7 @@
 
     # --- what the node knows from elsewhere --------------------------------------------------
 
-    def note_registry_revision(self, at: int) -> None:
+    def note_registry_read(self, at: int) -> None:
         """The node has read the runners from the registry itself, up to a revision."""
         self.note_revisions(0, at)
 
--- a/src/bendshed/catalog/watcher.py
+++ b/src/bendshed/catalog/watcher.py
@@ -62,7 +62,7 @@
     on_confirmed: ConfirmedHandler = _ignore_confirmation
 
     @classmethod
-    def for_objects(
+    def of_items(
         cls,
         handle: Callable[[StoredObject], object],
         on_confirmed: ConfirmedHandler = _ignore_confirmation,
@@ -80,7 +80,7 @@
         return cls(on_list, on_event, on_confirmed)
 
     @classmethod
-    def for_names(cls, handle: NamesHandler) -> "KindHandler":
+    def of_names(cls, handle: NamesHandler) -> "KindHandler":
         """Take the names of all objects after each answer of the store.
 
         They are collected here, answer by answer, so that each call has a whole state of one
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -79,26 +79,24 @@
         self._server = make_server(self._application)
         self._runners = self._watcher(
             names.RUNNER_KIND,
-            KindHandler(
-                self._list_runners, self._on_runner, self._node.catalog.note_registry_revision
-            ),
+            KindHandler(self._list_runners, self._on_runner, self._node.catalog.note_registry_read),
             self._short_watch_s(),
         )
         long_watch_s = times.idle_wait_s
         self._others = [
             self._watcher(
                 names.CONFIGURATION_KIND,
-                KindHandler.for_objects(self._take_configuration),
+                KindHandler.of_items(self._take_configuration),
                 long_watch_s,
             ),
             self._watcher(
                 names.REPLICA_KIND,
-                KindHandler.for_objects(self._take_replica),
+                KindHandler.of_items(self._take_replica),
                 long_watch_s,
             ),
         ]
         if times.follows_zones:
-            handler = KindHandler.for_names(self._take_zones)
+            handler = KindHandler.of_names(self._take_zones)
             zones = self._watcher(names.ZONE_CLOSURE_KIND, handler, times.zones_wait_s)
             zones.is_first_watch_short = True
             self._others.append(zones)
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -74,14 +74,12 @@
         )
         self._configuration = self._watcher(
             names.CONFIGURATION_KIND,
-            KindHandler.for_objects(
-                self._take_configuration, partial(confirm, CatalogPart.DOCUMENT)
-            ),
+            KindHandler.of_items(self._take_configuration, partial(confirm, CatalogPart.DOCUMENT)),
         )
         self._replicas = KindWatcher(
             self._api,
             names.REPLICA_KIND,
-            KindHandler.for_objects(self._take_replica),
+            KindHandler.of_items(self._take_replica),
             WATCH_S,
             self._rng,
             REPLICA_PACE_S,
@@ -94,9 +92,7 @@
             WATCH_S,
             self._rng,
         )
-        self._zones = self._watcher(
-            names.ZONE_CLOSURE_KIND, KindHandler.for_names(self._take_zones)
-        )
+        self._zones = self._watcher(names.ZONE_CLOSURE_KIND, KindHandler.of_names(self._take_zones))
         self._zones.is_first_watch_short = True
         others = [self._configuration, self._replicas, self._retirements]
         if settings.catalog_times.follows_zones:
@@ -131,7 +127,7 @@
 
     def _confirm_runners(self, at: int) -> None:
         self._node.catalog.confirm(CatalogPart.RUNNERS, at)
-        self._node.follower.note_registry_revision(at)
+        self._node.follower.note_registry_read(at)
 
     def _set_pace(self, pace: ReadingPace) -> None:
         for watcher in (self._runners, self._configuration):
