--- a/src/bendshed/catalog/codec.py
+++ b/src/bendshed/catalog/codec.py
@@ -1,4 +1,4 @@
-"""The catalog on the wire (protobuf; the document inside it as msgspec writes it, deflated)."""
+"""Encodes the catalog as protobuf; the document inside it is JSON (msgspec), deflated."""
 
 import zlib
 from dataclasses import dataclass, field
@@ -16,30 +16,30 @@
 from bendshed.wire import catalog_pb2 as wire
 
 JSON_PREFIX = b"{"
-"""A document that an earlier version of the program saved."""
+"""First byte of a document that an earlier version of the program saved as plain JSON."""
 
 
 class DocumentDecodeError(Exception):
-    """The bytes are no document of this version of the program."""
+    """The bytes are not a document that this version of the program can decode."""
 
 
 def address_to_wire(address: Address, zone: str = "") -> wire.PeerAddress:
-    """Translate an address for the wire."""
+    """Convert an address to its wire message."""
     return wire.PeerAddress(host=address.host, port=address.port, zone=zone)
 
 
 def address_from_wire(address: wire.PeerAddress) -> Address:
-    """Translate an address from the wire."""
+    """Convert an address from its wire message."""
     return Address(address.host, address.port)
 
 
 def encode_document(document: ServiceDocument) -> bytes:
-    """Write a document; routes and tenants are much alike, so it shrinks to a fraction."""
+    """Encode and deflate a document; routes and tenants are similar and compress well."""
     return zlib.compress(msgspec.json.encode(document))
 
 
 def decode_document(content: bytes) -> ServiceDocument:
-    """Read a document, also one that was saved as plain JSON; raise ``DocumentDecodeError``."""
+    """Decode a document, deflated or plain JSON; raise ``DocumentDecodeError``."""
     try:
         plain = content if content.startswith(JSON_PREFIX) else zlib.decompress(content)
         return msgspec.json.decode(plain, type=ServiceDocument)
@@ -48,7 +48,14 @@
 
 
 def make_reply(catalog: Catalog, since: int, known_version: int) -> wire.CatalogReply:
-    """Write what a node lacks that knows a revision and a version."""
+    """Build the part of a reply that a node lacks.
+
+    Args:
+        catalog: what this machine knows.
+        since: revision up to which the node knows the runners.
+        known_version: version of the configuration that the node knows.
+
+    """
     reply = wire.CatalogReply(document_version=catalog.version)
     if catalog.document is not None and catalog.version > known_version:
         reply.document = catalog.encoded_document(encode_document)
@@ -67,11 +74,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredCatalog:
-    """What a replica machine has on its disk between incarnations.
+    """What a replica machine keeps on its disk between restarts.
 
     Attributes:
-        lost: identities of replica machines whose disk is lost, as announcements say.
-        proven_lost: those whose machine itself has answered under another identity.
+        lost: identities of replica machines whose disk is lost according to announcements.
+        proven_lost: those whose machine has answered under another identity.
 
     """
 
@@ -84,7 +91,7 @@
 
 
 def encode_stored(stored: StoredCatalog) -> bytes:
-    """Write what is saved."""
+    """Encode the stored catalog."""
     reply = make_reply(stored.catalog, since=0, known_version=0)
     reply.replicas.extend(to_wire(node) for node in stored.replicas)
     reply.fronts.extend(address_to_wire(front) for front in stored.fronts)
@@ -95,7 +102,7 @@
 
 
 def decode_stored(content: bytes | None) -> StoredCatalog:
-    """Read what was saved; nothing, or what another version of the program wrote, is no harm."""
+    """Decode the stored catalog; empty if nothing was saved or the content is not decodable."""
     if content is None:
         return StoredCatalog()
     try:
@@ -123,7 +130,7 @@
 
 
 def add_zones(reply: wire.CatalogReply, update: ZoneUpdate, known_at: int) -> None:
-    """Add closed zones; which they are only for a node that knows an older revision."""
+    """Add the revision of the closed zones, and the zones if the node knows an older revision."""
     reply.zones_at = update.zones.revision
     if update.zones.revision <= known_at:
         return
@@ -133,7 +140,7 @@
 
 
 def zones_from_wire(reply: wire.CatalogReply) -> ZoneUpdate:
-    """Read closed zones of a reply whose revision is above the requesting node's."""
+    """Convert the closed zones of a reply whose revision is above the requesting node's."""
     zones = ClosedZones(reply.zones_at, frozenset(reply.closed_zones))
     return ZoneUpdate(zones, {row.zone: row.ago_ms / 1000 for row in reply.reopened})
 
@@ -153,7 +160,7 @@
 
 
 def runner_from_wire(row: wire.CatalogRunner) -> KnownRunner:
-    """Translate a runner from the wire."""
+    """Convert a runner from its wire message."""
     state = RunnerState.DRAINING if row.is_draining else RunnerState.READY
     runner = ServiceRunner(
         row.runner_id,
--- a/src/bendshed/catalog/cold_runner_tracker.py
+++ b/src/bendshed/catalog/cold_runner_tracker.py
@@ -1,4 +1,4 @@
-"""Cold runners as one process knows them: the state, its clock and its log lines."""
+"""Tracks which runners are cold in one process, with a clock and log messages."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -13,16 +13,16 @@
 
 
 def _zero_clock() -> float:
-    """Stands in until the process sets its clock; nothing ages before."""
+    """Default until the process sets its clock; no time passes before that."""
     return 0.0
 
 
 @dataclass(slots=True)
 class ColdRunnerTracker:
-    """Keeps which runners are cold, from the entries of the list and from openings of zones.
+    """Tracks which runners are cold, from runner list entries and reopened zones.
 
     Attributes:
-        clock: steady time in seconds, of the event loop.
+        clock: monotonic time of the event loop, in seconds.
 
     """
 
@@ -32,20 +32,20 @@
     # --- updates ---------------------------------------------------------------------------
 
     def apply_document(self, document: ServiceDocument) -> None:
-        """Take the bounds and times of cold starts from a configuration that is in force."""
+        """Use the rate limits and cold start times of the configuration in force."""
         self._state.services = document.services
 
     def note_listed(self, runner: ServiceRunner) -> None:
-        """A runner's entry is new or has changed."""
-        self._update(runner, self._state.note_listed, "its entry")
+        """Record a runner's entry that is new or has changed."""
+        self._update(runner, self._state.note_listed, "runner list entry")
 
     def note_persisted(self, runner: ServiceRunner) -> None:
-        """Take a runner's entry that an earlier incarnation persisted."""
-        self._update(runner, self._state.note_persisted, "kept, and of unknown age")
+        """Record a runner's entry that was persisted before the process restarted."""
+        self._update(runner, self._state.note_persisted, "persisted, age unknown")
 
     def note_confirmed(self, runner: ServiceRunner) -> None:
-        """A runner's entry was received again, unchanged."""
-        self._update(runner, self._state.note_confirmed, "its entry")
+        """Record that a runner's entry was received again unchanged."""
+        self._update(runner, self._state.note_confirmed, "runner list entry")
 
     def _update(
         self,
@@ -59,14 +59,14 @@
             self._log_cold(runner.runner_id, left_s, reason)
 
     def note_removed(self, runner_id: str) -> None:
-        """A runner is not listed any more."""
+        """Record that a runner is no longer listed."""
         self._state.note_vanished(runner_id)
 
     def note_zone_reopened(self, zone: str, at_s: float) -> None:
-        """A zone was opened again, at a time of ``clock``."""
+        """Record that a zone was reopened, at a time of ``clock`` in seconds."""
         for runner_id in self._state.note_reopened(zone, at_s):
             left_s = self._state.cold_left_ms(runner_id, self.clock()) / 1000
-            self._log_cold(runner_id, left_s, "its zone was opened again")
+            self._log_cold(runner_id, left_s, "zone reopened")
 
     def _log_cold(self, runner_id: str, left_s: float, reason: str) -> None:
         rate = self._state.rate_of(runner_id)
@@ -77,11 +77,11 @@
 
     @property
     def has_cold(self) -> bool:
-        """Whether any runner may be cold; checked first, since usually none is."""
+        """Whether any runner may be cold; a cheap check for the usual case of none."""
         return bool(self._state.cold_until_s)
 
     def is_cold(self, runner_id: str) -> bool:
-        """Whether a runner's rate is bounded now."""
+        """Whether a runner is cold, so that its request rate is limited."""
         if not self.has_cold:
             return False
         now_s = self.clock()
@@ -91,20 +91,20 @@
         return self._state.is_cold(runner_id, now_s)
 
     def filter_warm(self, records: Sequence[RunnerRecord]) -> Sequence[RunnerRecord]:
-        """The runners that get work without a permit."""
+        """Return the runners that need no permit because they are not cold."""
         if not self.has_cold:
             return records
         return [record for record in records if not self.is_cold(record.listed.runner_id)]
 
     def rate_of(self, runner_id: str) -> float:
-        """Requests a second that a runner serves while it is cold; 0: no bound."""
+        """Requests per second that a runner serves while it is cold; 0: no limit."""
         return self._state.rate_of(runner_id)
 
     def left_ms(self, runner_id: str) -> int:
-        """Time for which a runner is still cold, in milliseconds; 0: warm, as far as known."""
+        """Time until a runner is warm, in milliseconds; 0: warm, as far as known."""
         return self._state.cold_left_ms(runner_id, self.clock())
 
     @property
     def num_cold(self) -> int:
-        """Cold runners that are listed, of services with a bound."""
+        """Number of listed cold runners of services that limit the rate of cold runners."""
         return self._state.num_cold(self.clock()) if self.has_cold else 0
--- a/src/bendshed/catalog/confirmations.py
+++ b/src/bendshed/catalog/confirmations.py
@@ -1,4 +1,4 @@
-"""When the registry last confirmed each part of a replica machine's catalog, and so its age."""
+"""Age of a replica machine's catalog: when the registry last confirmed each part of it."""
 
 import asyncio
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class CatalogPart(StrEnum):
-    """Parts that the registry confirms each by itself."""
+    """Parts that the registry confirms separately."""
 
     DOCUMENT = "document"
     RUNNERS = "runners"
@@ -17,7 +17,7 @@
 
 
 class Confirmations:
-    """Loop times at which the registry confirmed each part, in this incarnation of the process."""
+    """Loop times at which the registry confirmed each part since the process started."""
 
     def __init__(self, times: CatalogTimes, zones: ClosedZoneTracker) -> None:
         self._at_s: dict[CatalogPart, float] = {}
@@ -25,21 +25,24 @@
         self._zones = zones
 
     def confirm(self, part: CatalogPart, age_s: float = 0.0) -> None:
-        """The registry confirmed a part so long ago."""
+        """Record that the registry confirmed a part ``age_s`` ago."""
         at_s = asyncio.get_running_loop().time() - age_s
         self._at_s[part] = max(at_s, self._at_s.get(part, at_s))
         if part is CatalogPart.ZONES:
             self._zones.confirm(age_s)
 
     def confirm_all(self, age_s: float) -> None:
-        """Another machine's catalog was confirmed so long ago, closed zones perhaps earlier."""
+        """Record that another machine's catalog was confirmed ``age_s`` ago.
+
+        Its closed zones may have been confirmed earlier, by the lag that is allowed for them.
+        """
         for part in self._parts:
             self.confirm(part, age_s + self._lag_s(part))
 
     def age_ms(self) -> int:
         """Age of the oldest part; ``NEVER_CONFIRMED_MS`` while one was never confirmed.
 
-        Closed zones may be older than the rest by a lag that does not count.
+        The lag that is allowed for closed zones does not count.
         """
         now_s = asyncio.get_running_loop().time()
         if any(part not in self._at_s for part in self._parts):
@@ -49,10 +52,10 @@
 
     @property
     def _parts(self) -> list[CatalogPart]:
-        """What the registry must confirm here."""
+        """Parts that this installation reads from the registry."""
         is_read = {CatalogPart.ZONES: self._times.follows_zones}
         return [part for part in CatalogPart if is_read.get(part, True)]
 
     def _lag_s(self, part: CatalogPart) -> float:
-        """How much older than the others a part may be."""
+        """How much older than the other parts a part may be, in seconds."""
         return (self._times.zones_lag_s or 0.0) if part is CatalogPart.ZONES else 0.0
--- a/src/bendshed/catalog/demand.py
+++ b/src/bendshed/catalog/demand.py
@@ -1,4 +1,4 @@
-"""Which nodes rely on this replica machine, and whether it reads the registry for them."""
+"""Tracks which nodes depend on this replica machine, and sets its registry read interval."""
 
 import asyncio
 import math
@@ -10,32 +10,32 @@
 from bendshed.model.address import Address
 
 REQUESTER_EXPIRY_S = 3.0
-"""A node whose last request is older than this does not rely on the machine any more."""
+"""A node whose last request is older than this no longer depends on the machine."""
 MIN_SHARED_REQUESTERS = 8
-"""From this many nodes on it costs the registry less to be read by one machine for all of them,
-several times a second, than by each of them (docs/design/0004)."""
+"""From this many nodes on, one machine that reads for all of them several times a second costs the
+registry less than reads by each node (docs/design/0004)."""
 SILENT_REQUESTER_S = 1.2
-"""A front without a request for this long may have started again and know no replica machine."""
+"""A front without a request for this long may have restarted and know no replica machine."""
 SILENT_FRONT_EXPIRY_S = 30.0
-"""A front that has been silent for this long is forgotten, unless the registry is away."""
+"""A front that has been silent for this long is forgotten, unless the registry is lost."""
 
 log = PartLog("catalog")
 
 
 def is_reading_shared(num_dependents: int) -> bool:
-    """Whether one machine on which so many nodes rely reads the registry for all of them."""
+    """Whether a machine with this many dependent nodes reads the registry for all of them."""
     return num_dependents >= MIN_SHARED_REQUESTERS
 
 
 class Demand:
-    """Nodes that requested the catalog of this machine lately.
+    """Nodes that recently requested the catalog of this machine.
 
-    All times are of the loop's clock.
+    All times are loop times, in seconds.
 
     Attributes:
-        front_requested_at_s: when each front requested it last.
-        pace: how this machine reads the registry now.
-        on_pace_change: called when that has changed.
+        front_requested_at_s: time of each front's last request.
+        pace: how often this machine reads the registry now.
+        on_pace_change: called after ``pace`` has changed.
 
     """
 
@@ -48,7 +48,7 @@
         self._num_dependent_fronts: dict[Address, int] = {}
 
     def record_request(self, request: ReadRequest) -> bool:
-        """Count a requesting node; ``True``: it is new here."""
+        """Record a request; ``True``: the requesting node was not known here."""
         at_s = self._replica_requested_at_s if request.is_replica else self.front_requested_at_s
         is_new = request.requester not in at_s
         at_s[request.requester] = asyncio.get_running_loop().time()
@@ -58,7 +58,7 @@
 
     @property
     def num_dependents(self) -> int:
-        """Fronts and replica machines that rely on this one, with those that rely on these."""
+        """Number of fronts and replica machines that depend on this one, also indirectly."""
         replicas = self._recent(self._replica_requested_at_s)
         num_dependent_fronts = sum(
             self._num_dependent_fronts.get(replica, 0) for replica in replicas
@@ -67,7 +67,7 @@
 
     @property
     def num_fronts(self) -> int:
-        """Fronts that requested the catalog of this machine lately."""
+        """Number of fronts that recently requested the catalog of this machine."""
         return len(self._recent(self.front_requested_at_s))
 
     def _recent(self, requested_at_s: dict[Address, float]) -> list[Address]:
@@ -75,7 +75,7 @@
         return [node for node, at_s in requested_at_s.items() if at_s >= oldest_s]
 
     def silent_fronts(self) -> list[Address]:
-        """Fronts that requested the catalog of this machine and do not any more."""
+        """Fronts that requested the catalog of this machine but sent no request recently."""
         now_s = asyncio.get_running_loop().time()
         return [
             front
@@ -84,10 +84,10 @@
         ]
 
     def expire_silent(self, keep_fronts: bool) -> None:
-        """Forget nodes that have been silent for long.
+        """Forget nodes that have been silent for a long time.
 
-        ``keep_fronts``: the registry does not answer, so a front that starts again learns of no
-        machine elsewhere.
+        ``keep_fronts``: keep all fronts, since the registry does not answer and a front that
+        restarts learns of replica machines only from their hellos.
         """
         now_s = asyncio.get_running_loop().time()
         for known, expiry_s in (
@@ -102,7 +102,7 @@
             del self._num_dependent_fronts[replica]
 
     def update_pace(self) -> None:
-        """Read the registry often while enough nodes rely on this machine, rarely else."""
+        """Read the registry often while enough nodes depend on this machine, rarely otherwise."""
         num_dependents = self.num_dependents
         is_in_demand = is_reading_shared(num_dependents)
         pace = self._times.pace(is_in_demand)
--- a/src/bendshed/catalog/file.py
+++ b/src/bendshed/catalog/file.py
@@ -1,4 +1,4 @@
-"""The catalog on a replica machine's disk: for a start while the registry is away."""
+"""Stores the catalog on a replica machine's disk, for starts while the registry is down."""
 
 import asyncio
 from pathlib import Path
@@ -13,13 +13,13 @@
 
 
 class FileCatalogStorage(CatalogStorage):
-    """One file of the data folder."""
+    """Stores the catalog in one file of the data folder."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / FILE_NAME
 
     def load(self) -> bytes | None:
-        """Return what was saved; ``None``: nothing, or the file is damaged."""
+        """Return the saved content; ``None``: nothing was saved, or the file is damaged."""
         if not self._path.exists():
             return None
         try:
@@ -29,7 +29,7 @@
             return None
 
     async def save(self, content: bytes) -> None:
-        """Write it on a thread, since the disk may take its time."""
+        """Write the content on a thread, since the disk may be slow."""
         try:
             await asyncio.to_thread(write_durable, self._path, content)
         except OSError as error:
--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -1,9 +1,9 @@
-"""Requests configuration and runners of a replica machine, again and again.
+"""Follows the catalog (configuration, runners, closed zones) of a replica machine.
 
-Fronts do, and so do replica machines: one machine, the first by a rank that all share, reads the
-registry for all. An update is newer than what a node knows or is passed over, so an old one does
-no harm, and it serves a front that knows nothing. Only a fresh one lets the node do without the
-registry.
+Fronts and replica machines follow one machine, the first in a ranking that all nodes share, which
+reads the registry for all. Only the parts of an update that are newer than what the node knows are
+applied, so an old update does no harm, and it is useful to a front that knows nothing. Only a fresh
+update allows the node to stop reading the registry itself.
 """
 
 import asyncio
@@ -31,17 +31,18 @@
 from bendshed.wire import turns_pb2 as wire_turns
 
 REPLY_MARGIN_S = 0.2
-"""A neighbour may take this much longer to reply than its wait."""
+"""Allowance for a reply from the same region, beyond the wait that the request asks for."""
 MARGIN_ROUND_TRIPS = 3.0
-"""A far machine has so many of its round trips more: one may open a connection, one may be lost."""
+"""Additional allowance in round trips: one may open a connection, one may be lost."""
 REGIONAL_READER_SHARE = 0.25
-"""The reader of another region repeats its request after this share of the usual interval: its
-updates are passed on twice, and must be as young as others' then."""
+"""A regional reader requests at this share of the usual interval: its updates take one hop more and
+must still reach the nodes of its region as fresh as elsewhere."""
 IDLE_INTERVAL_S = 1.0
-"""A node that reads the registry itself requests the catalog this often, to know other nodes."""
+"""Request interval of a node that reads the registry itself, to learn of other nodes."""
 RETRY_MIN_S, RETRY_MAX_S = 0.05, 0.2
 MAX_QUICK_FAILURES = 4
-"""After so many failures in a row nobody is likely to know more; the node slows down."""
+"""After this many failures in a row another machine is unlikely to reply either: retries use
+``SLOW_RETRY_S``."""
 SLOW_RETRY_S = 0.5
 
 log = PartLog("catalog")
@@ -52,9 +53,9 @@
     """How a node reaches replica machines.
 
     Attributes:
-        direct: for requests that a machine may let wait: relays give up what waits.
-        relayed: for the others; may be the same.
-        host_locations: where machines are located.
+        direct: for long polls, which relays would time out.
+        relayed: for other requests; may be the same transport.
+        host_locations: zones and regions of machines.
         is_relay_only: whether only relays reach a machine.
 
     """
@@ -66,20 +67,20 @@
 
 
 class CatalogFollower:
-    """Requests the catalog of the machine that ``ReaderChoice`` names.
+    """Requests the catalog of the machine that ``ReaderChoice`` selects.
 
-    It receives greetings of replica machines from its construction on.
+    It handles hello messages of replica machines as soon as it is constructed.
 
     Args:
         paths: how replica machines are reached.
-        directory: which replica machines there are.
-        sink: gets what is newer.
+        directory: the known replica machines.
+        sink: applies what is newer.
         own_address: this node's address.
-        times: how often, and how old an update may be.
-        rng: spreads retries.
+        times: request interval and maximum age of an update.
+        rng: adds jitter to retries.
         may_share: whether one machine may read the registry for all.
-        num_dependent_fronts: fronts that rely on this node, if it is a replica machine.
-        is_replica: whether it is one.
+        num_dependent_fronts: number of fronts that depend on this node, if it is a replica machine.
+        is_replica: whether this node is a replica machine.
 
     Attributes:
         upstream: the machine that replied last.
@@ -125,7 +126,7 @@
 
     @property
     def is_fresh(self) -> bool:
-        """Whether the node may do without the registry."""
+        """Whether the node need not read the registry itself."""
         return self.upstream.is_fresh
 
     @property
@@ -140,32 +141,32 @@
 
     @property
     def fronts(self) -> list[Address]:
-        """Some other fronts, for relaying."""
+        """Other fronts that may relay requests."""
         return self._fronts.addresses
 
-    # --- what the node knows from elsewhere --------------------------------------------------
+    # --- revisions known from other sources --------------------------------------------------
 
     def note_registry_read(self, at: int) -> None:
-        """The node has read the runners from the registry itself, up to a revision."""
+        """Record that the node itself has read the runners from the registry up to a revision."""
         self.note_revisions(0, at)
 
     def note_zones_revision(self, at: int) -> None:
-        """The node knows the closed zones from its disk or from the registry itself."""
+        """Record up to which revision the disk or the registry provided the closed zones."""
         self._intake.zones_at = max(self._intake.zones_at, at)
 
     def note_revisions(self, version: int, runners_at: int) -> None:
-        """The node knows a configuration and runners from its disk or from the registry."""
+        """Record which configuration and runners the disk or the registry provided."""
         self._intake.version = max(self._intake.version, version)
         self._intake.runners_at = max(self._intake.runners_at, runners_at)
 
     def note_registry_lost(self, is_lost: bool) -> None:
-        """Whether the registry answers this replica machine itself."""
+        """Record whether this replica machine itself has lost the registry."""
         self._is_registry_lost = is_lost
         if not is_lost and not self.is_fresh:
             self._choice.readmit(self._own_address)
 
     def _handle_hello(self, payload: bytes) -> None:
-        """A replica machine that has just started says where it is."""
+        """Add a replica machine that has just started and announced its address."""
         self._directory.put(from_wire(wire_turns.ReplicaHello.FromString(payload)))
 
     # --- requesting --------------------------------------------------------------------------
@@ -181,12 +182,12 @@
             is_long_poll = self._is_reading_shared and not self._needs_relay(machine)
             update = await self._request(machine, is_long_poll)
             if update is None:
-                self._avoid(machine, "silent")
+                self._avoid(machine, "no reply")
                 await asyncio.sleep(self._retry_s())
                 continue
             self._apply(machine, update)
             if update.is_lost:
-                self._avoid(machine, "the registry is lost there")
+                self._avoid(machine, "the machine lost the registry")
                 await asyncio.sleep(self._retry_s())
             elif not self._is_reading_shared and self._target() == machine:
                 await asyncio.sleep(IDLE_INTERVAL_S)
@@ -194,14 +195,14 @@
                 await asyncio.sleep(self._times.interval_s)
 
     async def _wait_for_replicas(self) -> None:
-        """There is no machine to request it of: look again later, or once one is known."""
+        """Wait, while no machine can be followed, until one is known or the retry delay ends."""
         self._directory_changed.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._retry_s()):
                 await self._directory_changed.wait()
 
     def _needs_relay(self, machine: Address) -> bool:
-        """Whether the next reply comes through a relay, whose timeout is short."""
+        """Whether the next request may pass through a relay, whose timeout is short."""
         return self._num_failed > 0 or self._paths.is_relay_only(machine)
 
     def _retry_s(self) -> float:
@@ -213,25 +214,25 @@
         return self._choice.target(self._ranked_replicas(), asyncio.get_running_loop().time())
 
     def _ranked_replicas(self) -> list[ReplicaNode]:
-        """The replica machines in the rank that all nodes share."""
+        """The replica machines in the ranking that all nodes share."""
         by_name = self._directory.by_name
         return [by_name[name] for name in rendezvous_rank(CATALOG_METHOD, by_name)]
 
     def _become_reader(self) -> None:
-        """This machine is the first by rank that is not avoided: it reads the registry itself.
+        """Stop following, since this machine is the first by rank that is not avoided.
 
-        If it cannot, it avoids itself as others do, and follows the next.
+        If it has lost the registry, it avoids itself as others do and follows the next by rank.
         """
         self._is_reading_shared = False
         self.upstream.machine, self.upstream.num_dependents = None, 0
         if self._is_registry_lost:
-            self._avoid(self._own_address, "the registry is lost here")
+            self._avoid(self._own_address, "this machine lost the registry")
         if self._directory.own_node is not None:
             self._num_failed = 0
         self._freshness.end()
 
     def _avoid(self, machine: Address, reason: str) -> None:
-        """Follow another machine for a while."""
+        """Follow another machine for some time."""
         self._num_failed += 1
         for_s = self._choice.avoid(machine, asyncio.get_running_loop().time())
         log.say("machine avoided", instead_of=str(machine), reason=reason, for_s=for_s)
@@ -239,8 +240,8 @@
     async def _request(self, machine: Address, is_long_poll: bool) -> CatalogUpdate | None:
         """Request the catalog once; ``None``: no reply in time.
 
-        A machine lets only a direct request wait: relays give up what waits, and a request that
-        waits says nothing of its path meanwhile.
+        Only a direct request is a long poll: relays time out requests that wait, and a waiting
+        request gives no information about its path.
         """
         wait_s = self._wait_s(machine) if is_long_poll else 0.0
         request = encode_request(self._request_for(machine, wait_s))
@@ -256,7 +257,7 @@
         return decode_update(content)
 
     def _request_for(self, machine: Address, wait_s: float) -> ReadRequest:
-        """What this node knows; a replica machine's zone is known from its announcement."""
+        """Build a request; a replica machine omits its zone, which its announcement contains."""
         knows_directory = machine == self.upstream.machine
         return ReadRequest(
             requester=self._own_address,
@@ -272,7 +273,7 @@
         )
 
     def _wait_s(self, machine: Address) -> float:
-        """How long a machine may wait for a change before it replies."""
+        """How long a machine may wait for a change before it replies, in seconds."""
         is_regional = self._is_replica and self._paths.host_locations.is_far(machine.host)
         return self._times.interval_s * (REGIONAL_READER_SHARE if is_regional else 1.0)
 
--- a/src/bendshed/catalog/freshness.py
+++ b/src/bendshed/catalog/freshness.py
@@ -1,4 +1,4 @@
-"""Whether a node may do without the registry, since another machine reads it often enough."""
+"""Tracks whether a node's catalog is fresh, so that it need not read the registry itself."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class Freshness:
-    """Sets ``Upstream.is_fresh``, and takes it back when no fresh update follows in time.
+    """Sets ``Upstream.is_fresh`` and clears it when no fresh update follows in time.
 
     Attributes:
         on_change: called after each change.
@@ -23,13 +23,13 @@
         self._expiry: asyncio.TimerHandle | None = None
 
     def renew(self, for_s: float) -> None:
-        """The catalog is fresh for so long."""
+        """Mark the catalog as fresh for a time in seconds."""
         self._cancel_expiry()
         self._expiry = asyncio.get_running_loop().call_later(for_s, self._set, False)
         self._set(True)
 
     def end(self) -> None:
-        """The catalog is not fresh from now on."""
+        """Mark the catalog as not fresh."""
         self._cancel_expiry()
         self._set(False)
 
--- a/src/bendshed/catalog/front_exchange.py
+++ b/src/bendshed/catalog/front_exchange.py
@@ -1,4 +1,4 @@
-"""Keeps fronts in touch: greets silent ones, names some to the other replica machines."""
+"""Sends hello messages to silent fronts, and lists of fronts to the other replica machines."""
 
 import asyncio
 import itertools
@@ -17,15 +17,15 @@
 FRONTS_METHOD = "catalog.fronts"
 HELLO_INTERVAL_S = 0.3
 MIN_FRONTS_SAVE_INTERVAL_S = 5.0
-"""Shortest pause between two saves for fronts alone. Some are named at a time, drawn anew, so where
-there are many it takes several rounds until all are known."""
+"""Shortest time between two saves for new fronts alone. Each message names a random sample, so with
+many fronts it takes several rounds until all are known."""
 SLOW_HELLO_ROUNDS = 7
-"""A front that has been greeted for ``SILENT_FRONT_EXPIRY_S`` is greeted in one round of so many,
-each 2.1 s: within the 3 s in which a machine has to be in touch, at a seventh of the messages."""
+"""A front that has been silent for ``SILENT_FRONT_EXPIRY_S`` gets a hello only in every 7th round,
+every 2.1 s: within the 3 s in which a machine must be reachable, with a seventh of the messages."""
 
 
 class FrontExchange:
-    """One-way messages of one replica machine to fronts and about them."""
+    """Sends one replica machine's one-way messages to fronts, and those about fronts to others."""
 
     def __init__(
         self,
@@ -49,14 +49,14 @@
         self._fronts_saved_s = -math.inf
 
     def start(self) -> None:
-        """Receive what other machines say of fronts from now on."""
+        """Begin to receive lists of fronts from other machines."""
         self._transport.one_way_handlers[FRONTS_METHOD] = self._take_fronts
 
     def _take_fronts(self, payload: bytes) -> None:
-        """Remember fronts that another machine names, on the disk too.
+        """Remember fronts that another machine names, and save them.
 
-        That machine may lose its disk with its power while the registry is away: then nobody else
-        tells the fronts of any machine.
+        That machine may lose its power and its disk while the registry is down: then its fronts
+        learn of replica machines only from machines that saved them.
         """
         named = fronts_from_wire(wire.CatalogReply.FromString(payload))
         self._relay_list.note_named(named)
@@ -69,7 +69,7 @@
             self._persistence.note_change()
 
     async def send_hellos(self) -> None:
-        """Send silent fronts this machine's address: they may have no other source."""
+        """Send this machine's address to silent fronts, which may have no other source of it."""
         for number in itertools.count():
             if self._is_registry_lost():
                 self._persistence.retain_previous_fronts()
@@ -83,7 +83,7 @@
             await asyncio.sleep(HELLO_INTERVAL_S)
 
     def _fronts_due_for_hello(self, is_slow_round: bool) -> list[Address]:
-        """Silent fronts that are greeted in this round."""
+        """Silent fronts that get a hello in this round."""
         now_s = asyncio.get_running_loop().time()
         silent = self._silent_fronts()
         previous_s = self._silent_since_s
@@ -95,9 +95,9 @@
         ]
 
     def _silent_fronts(self) -> list[Address]:
-        """Fronts that sent requests to this machine or its previous incarnation.
+        """Fronts that sent requests to this machine, now or before its restart, but none recently.
 
-        While the registry is away also those of other machines that may be gone.
+        While the registry is lost, also fronts of other machines that may have failed.
         """
         others = list(self._persistence.previous_fronts())
         if self._is_registry_lost():
@@ -107,9 +107,9 @@
         return self._demand.silent_fronts() + unheard
 
     def share_fronts(self) -> None:
-        """Name some fronts to the other replica machines, which name them as relays and save them.
+        """Send some fronts to the other replica machines, which use them as relays and save them.
 
-        Forget those that none has named for long.
+        Forget fronts that no machine has named for ``SILENT_FRONT_EXPIRY_S``.
         """
         oldest_s = asyncio.get_running_loop().time() - SILENT_FRONT_EXPIRY_S
         for front in [front for front, at_s in self._named_at_s.items() if at_s < oldest_s]:
@@ -123,7 +123,7 @@
                 self._transport.send(node.address, FRONTS_METHOD, named.SerializeToString())
 
     def all_fronts(self) -> tuple[Address, ...]:
-        """Fronts to save: of this machine, of the others, of the previous incarnation; sorted."""
+        """Fronts to save: of this machine, of others and from before the restart; sorted."""
         fronts = {*self._demand.front_requested_at_s, *self._named_at_s}
         fronts.update(self._persistence.previous_fronts())
         return tuple(sorted(fronts, key=str))
--- a/src/bendshed/catalog/known_fronts.py
+++ b/src/bendshed/catalog/known_fronts.py
@@ -1,12 +1,12 @@
-"""Other fronts that a node may relay requests through. Pure."""
+"""Other fronts that may relay a node's requests. Pure."""
 
 from collections.abc import Sequence
 
 from bendshed.model.address import Address
 
 MIN_REPLACING_FRONTS = 3
-"""An update that names so many fronts replaces those known before: what is named sent requests
-lately, and a front that is cut off itself is no relay. A shorter one adds to them."""
+"""An update that names at least this many fronts replaces those known before: the named fronts sent
+requests recently, and a front that is cut off is no relay. A shorter update adds to them."""
 MAX_KNOWN_FRONTS = 6
 """As many as a replica machine names (`MAX_FRONTS_NAMED` of ``relay_list.py``)."""
 
@@ -23,7 +23,10 @@
         self.addresses: list[Address] = []
 
     def update(self, named: Sequence[Address]) -> None:
-        """Take an update; those known stay when it names few: its machine may just have started."""
+        """Apply an update; if it names few fronts, its machine may just have started: keep others.
+
+        The fronts of the update come first.
+        """
         if len(named) >= MIN_REPLACING_FRONTS:
             self.addresses = list(named)
             return
--- a/src/bendshed/catalog/messages.py
+++ b/src/bendshed/catalog/messages.py
@@ -1,7 +1,7 @@
 """Requests for the catalog and their replies, decoded once into types.
 
 The wire (``wire/catalog.proto``) has other names for some: ``asker`` is the requesting node,
-``num_askers`` how many nodes rely on the machine that replies.
+``num_askers`` how many nodes depend on the machine that replies.
 """
 
 from dataclasses import dataclass
@@ -25,19 +25,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRequest:
-    """What a node that requests the catalog knows already, and how long the machine may wait.
+    """What a requesting node knows already, and how long the machine may wait to reply.
 
     Attributes:
         requester: address of the requesting node.
-        requester_zone: empty: not said.
+        requester_zone: empty: not reported.
         runners_at: revision up to which it knows the runners; 0: none.
-        document_version: configuration that it has in force; 0: none.
+        document_version: version of its configuration in force; 0: none.
         zones_at: revision up to which it knows the closed zones; 0: none.
         wait_s: longest time to wait for a change before the reply.
         directory_digest: of the directory that the same machine sent last; 0: none.
-        is_replica: it holds replicas itself and relays nothing.
-        is_cut_off: only relays reach the machine from it: it is no relay for others.
-        num_dependent_fronts: fronts that rely on it, if it holds replicas.
+        is_replica: it is a replica machine and relays nothing.
+        is_cut_off: it reaches the machine only through relays, so it is no relay for others.
+        num_dependent_fronts: number of fronts that depend on it, if it is a replica machine.
 
     """
 
@@ -90,8 +90,8 @@
     """Runners that changed.
 
     Attributes:
-        since: revision that the update builds on; 0: it holds all runners.
-        at: revision that it leads to.
+        since: revision to which the update applies; 0: it contains all runners.
+        at: revision after the update.
 
     """
 
@@ -103,10 +103,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectoryUpdate:
-    """All replica machines, and those that operators want emptied.
+    """All replica machines, and those that operators are retiring.
 
     Attributes:
-        retiring: ``None``: the machine has not read operators' wishes.
+        retiring: ``None``: the machine has not read which machines are retiring.
 
     """
 
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontLocation:
-    """A front that may relay requests, and its zone (empty: not said)."""
+    """A front that may relay requests, and its zone (empty: not reported)."""
 
     address: Address
     zone: str
@@ -124,18 +124,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CatalogUpdate:
-    """What a machine sent of configuration, runners, closed zones and replica machines.
+    """Configuration, runners, closed zones and replica machines that a machine sent.
 
     Attributes:
-        age_ms: since the registry last confirmed all of it.
-        num_dependents: fronts and replica machines that rely on the machine.
-        is_lost: the registry does not answer the machine, so it must not be relied on.
+        age_ms: time since the registry last confirmed all of it.
+        num_dependents: number of fronts and replica machines that depend on the machine.
+        is_lost: the registry does not answer the machine, so it must not be followed.
         document_version: of the configuration that the machine knows.
         document: that configuration, encoded; empty: it is not newer than the requesting node's.
         runners: ``None``: the machine knows no list of runners.
-        zones: empty, but for its revision, unless that is above the requesting node's.
-        directory: ``None``: as the machine sent it last.
-        fronts: some others that requested the catalog lately.
+        zones: only a revision, unless that is above the requesting node's.
+        directory: ``None``: unchanged since the machine sent it last.
+        fronts: some other fronts that requested the catalog recently.
 
     """
 
@@ -152,12 +152,12 @@
 
     @property
     def age_s(self) -> float:
-        """Since the registry last confirmed all of it."""
+        """Time since the registry last confirmed all of it, in seconds."""
         return self.age_ms / 1000
 
     @property
     def confirmed_age_ms(self) -> int | None:
-        """For the log; ``None``: not confirmed since the machine started."""
+        """Age for the log; ``None``: not confirmed since the machine started."""
         return self.age_ms if self.age_ms < NEVER_CONFIRMED_MS else None
 
 
@@ -193,5 +193,5 @@
 
 
 def fronts_from_wire(reply: wire.CatalogReply) -> tuple[FrontLocation, ...]:
-    """Decode the fronts that a machine names."""
+    """Convert the fronts that a machine names."""
     return tuple(FrontLocation(address_from_wire(front), front.zone) for front in reply.fronts)
--- a/src/bendshed/catalog/persistence.py
+++ b/src/bendshed/catalog/persistence.py
@@ -1,4 +1,4 @@
-"""The catalog on a replica machine's disk: read at the start, saved after changes."""
+"""Loads a replica machine's catalog at the start, and saves it after changes."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,14 +8,14 @@
 from bendshed.ports.catalog_storage import CatalogStorage
 
 MIN_SAVE_INTERVAL_S = 1.0
-"""Shortest pause between two saves: a burst of changes is written once a second."""
+"""Shortest time between two saves: a burst of changes is written once per second."""
 PREVIOUS_FRONTS_EXPIRY_S = 10.0
-"""Fronts that the disk names and that have sent no request are forgotten once the registry has
-answered this machine for so long: with it a front finds replica machines by itself."""
+"""Fronts from the disk that have sent no request are forgotten once the registry has answered this
+machine for this long: with a registry, fronts find replica machines by themselves."""
 
 
 class CatalogPersistence:
-    """What the previous incarnation saved, and the saving in this one.
+    """Holds what was saved before the restart, and saves changes.
 
     Attributes:
         stored: what the disk held at the start.
@@ -31,28 +31,31 @@
         self._unsaved = asyncio.Event()
 
     def start(self) -> None:
-        """From now on count the time until fronts of the previous incarnation are forgotten."""
+        """Start the time after which fronts from before the restart are forgotten."""
         self._previous_fronts_expire_s = (
             asyncio.get_running_loop().time() + PREVIOUS_FRONTS_EXPIRY_S
         )
 
     def retain_previous_fronts(self) -> None:
-        """The registry does not answer: a front that starts now learns of no machine elsewhere."""
+        """Restart that time, since the registry does not answer.
+
+        A front that starts now learns of replica machines from nowhere else.
+        """
         self._previous_fronts_expire_s = (
             asyncio.get_running_loop().time() + PREVIOUS_FRONTS_EXPIRY_S
         )
 
     def previous_fronts(self) -> tuple[Address, ...]:
-        """Fronts of the previous incarnation; empty once they are forgotten."""
+        """Fronts from before the restart; empty once they are forgotten."""
         is_recent = asyncio.get_running_loop().time() < self._previous_fronts_expire_s
         return self.stored.fronts if is_recent else ()
 
     def note_change(self) -> None:
-        """Something is to be saved."""
+        """Schedule a save."""
         self._unsaved.set()
 
     async def run(self, snapshot: Callable[[], StoredCatalog]) -> None:
-        """Save a snapshot after changes, at a bounded pace, until cancelled."""
+        """Save a snapshot after changes, at a limited rate, until cancelled."""
         while True:
             await self._unsaved.wait()
             self._unsaved.clear()
--- a/src/bendshed/catalog/reader_choice.py
+++ b/src/bendshed/catalog/reader_choice.py
@@ -1,13 +1,13 @@
-"""Whom a node requests the catalog from, so that it crosses the link between regions once. Pure.
+"""Selects the machine that a node follows, so that updates cross regions only once. Pure.
 
-All nodes share a rank of the replica machines. The first by rank reads the registry for all. In its
-region all others request the catalog of it. In another region the first by rank there requests it
-across the link, and all others there request it of that one, the regional reader. Without regions
-everybody requests it of the reader.
+All nodes share a ranking of the replica machines. The first by rank, the reader, reads the registry
+for all, and the other nodes of its region follow it. In another region the first by rank there, the
+regional reader, follows the reader, and all others of that region follow the regional reader.
+Without regions all nodes follow the reader.
 
-No two machines can rely on each other for long: an update carries its age, which only the
-registry's answer makes young, and a machine that has lost the registry says so to other replica
-machines however fresh its own updates are.
+Two machines cannot follow each other for long: an update carries its age, which only a reply of the
+registry resets, and a machine that has lost the registry reports that to other replica machines
+even while its own updates are fresh.
 """
 
 from collections.abc import Collection, Sequence
@@ -18,9 +18,9 @@
 from bendshed.ports.registry import ReplicaNode
 
 AVOIDED_MIN_S, AVOIDED_MAX_S = 1.0, 8.0
-"""A machine that does not reply, or has lost the registry, is avoided for so long, twice as long
-after each further failure: the next by rank reads meanwhile, and a dead machine costs a node one
-request in 8 s instead of one a reply."""
+"""A machine that does not reply, or has lost the registry, is avoided for this time, which doubles
+with each further failure. The next by rank reads meanwhile, and a dead machine costs a node one
+request in 8 s instead of one per reply of the next."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,9 +28,9 @@
     """A node that requests the catalog.
 
     Attributes:
-        address: its own.
-        zone: where it is located.
-        is_replica: it is one of those that others may request it of.
+        address: its address.
+        zone: its zone.
+        is_replica: it is a replica machine, which others may follow.
 
     """
 
@@ -47,12 +47,12 @@
 def choose_catalog_source(
     requester: RequestingNode, ranked: Sequence[ReplicaNode], avoided: Collection[Address]
 ) -> Address | None:
-    """Whom to request it of; ``None``: the node is the reader, or all machines are avoided.
+    """Select the machine to follow; ``None``: the node is the reader, or all are avoided.
 
     Args:
         requester: the requesting node.
-        ranked: the replica machines in the rank that all share.
-        avoided: those that did not reply or lost the registry lately.
+        ranked: the replica machines in the ranking that all nodes share.
+        avoided: those that recently did not reply or lost the registry.
 
     """
     eligible = [node for node in ranked if node.address not in avoided]
@@ -71,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Avoidance:
-    """A machine that is avoided until a loop time; ``for_s``: how long that was from its start."""
+    """A machine that is avoided until a loop time, for ``for_s`` seconds in total."""
 
     until_s: float
     for_s: float
 
 
 class ReaderChoice:
-    """Chooses among the machines that are not avoided, else the one avoided least long.
+    """Selects among the machines that are not avoided, or else the one whose avoidance ends first.
 
     Times are of the caller's clock, in seconds.
     """
@@ -88,7 +88,7 @@
         self._avoided: dict[Address, _Avoidance] = {}
 
     def target(self, ranked: Sequence[ReplicaNode], now_s: float) -> Address | None:
-        """Whom to request it of; ``None``: no machine, this node reads the registry itself."""
+        """Return the machine to follow; ``None``: this node reads the registry itself."""
         avoided = {peer for peer, avoidance in self._avoided.items() if avoidance.until_s > now_s}
         if any(node.address not in avoided for node in ranked):
             return choose_catalog_source(self._requester, ranked, avoided)
@@ -99,12 +99,12 @@
         return first_to_expire if first_to_expire != self._requester.address else None
 
     def avoid(self, machine: Address, now_s: float) -> float:
-        """Avoid a machine from now on; return for how long."""
+        """Avoid a machine from now on; return for how long, in seconds."""
         previous = self._avoided.get(machine)
         for_s = AVOIDED_MIN_S if previous is None else min(AVOIDED_MAX_S, 2 * previous.for_s)
         self._avoided[machine] = _Avoidance(now_s + for_s, for_s)
         return for_s
 
     def readmit(self, machine: Address) -> None:
-        """A machine is well: use it, and begin with the shortest time at its next failure."""
+        """Use a machine that works again; its next failure begins with the shortest time."""
         self._avoided.pop(machine, None)
--- a/src/bendshed/catalog/reading.py
+++ b/src/bendshed/catalog/reading.py
@@ -1,4 +1,4 @@
-"""When a node reads the registry itself: only while no other machine reads it for this node."""
+"""Decides when a node reads the registry itself: only while no machine reads it for the node."""
 
 import asyncio
 import contextlib
@@ -9,10 +9,10 @@
 from bendshed.logs import PartLog
 
 DISCOVERY_INTERVAL_S = 0.25
-"""A node that has just started looks this often for replica machines."""
+"""Interval at which a node that has just started looks for replica machines."""
 FIRST_UPDATE_TIMEOUT_S = 0.5
-"""A node without any update this long after its start reads the registry itself: updates usually
-come within some round trips, and when all nodes start at once each own reading costs a call."""
+"""A node that has no update this long after its start reads the registry itself. Updates usually
+arrive within a few round trips, and when all nodes start at once each own read costs a call."""
 
 log = PartLog("registry")
 
@@ -21,10 +21,10 @@
     """Pauses and resumes a node's watches.
 
     Args:
-        follower: gets updates of other machines.
-        primary: the watch that looks for a lost registry.
-        others: begin again once the registry is back.
-        on_change: gets ``is_lost`` after it or the follower's freshness may have changed.
+        follower: receives updates of other machines.
+        primary: the watch that retries a lost registry.
+        others: watches that restart once the registry answers again.
+        on_change: called with ``is_lost`` after it or the follower's freshness may have changed.
 
     """
 
@@ -45,20 +45,20 @@
 
     @property
     def is_lost(self) -> bool:
-        """The registry did not answer this node's last call.
+        """Whether the registry did not answer this node's last call.
 
-        That stays while others update this node: the machines that do must not rely on it.
+        That does not change while other machines update this node: they must not follow it.
         """
         return self._primary.is_lost
 
     async def wait_for_update(
         self, discover: Callable[[], Awaitable[bool]], settle_s: float
     ) -> None:
-        """Read nothing until others had time to send updates: all nodes may start at once.
+        """Delay reads until other machines had time to send updates: all nodes may start at once.
 
         Args:
             discover: looks for replica machines once; ``False``: found none.
-            settle_s: after the first update, how long to wait for a fresh one.
+            settle_s: how long to wait for a fresh update after the first one, in seconds.
 
         """
         self._may_read = False
@@ -78,7 +78,7 @@
         self._handle_freshness_change()
 
     def _handle_freshness_change(self) -> None:
-        """Read only while no fresh updates come."""
+        """Read the registry only while no fresh updates arrive."""
         if not self._may_read:
             return
         for watcher in (self._primary, *self._others):
@@ -92,7 +92,7 @@
         self._on_change(self.is_lost)
 
     def _handle_loss_change(self) -> None:
-        """One watch looks for a lost registry; the others begin afresh once it is back."""
+        """Only the primary watch retries a lost registry; restart the others once it answers."""
         for watcher in self._others:
             if self._primary.is_lost:
                 watcher.pause()
--- a/src/bendshed/catalog/replica_catalog.py
+++ b/src/bendshed/catalog/replica_catalog.py
@@ -1,4 +1,4 @@
-"""The catalog of a replica machine: takes updates of the registry and of other machines."""
+"""The catalog of a replica machine: applies updates of the registry and of other machines."""
 
 import asyncio
 from collections.abc import Collection
@@ -14,11 +14,11 @@
 
 
 class ReplicaCatalog:
-    """What one replica machine knows; each change wakes those who wait for one and is saved.
+    """What one replica machine knows; each change is saved and wakes waiting requests.
 
     Attributes:
-        catalog: configuration and runners; a start begins with what the disk holds.
-        zones: closed zones, where operators close any.
+        catalog: configuration and runners, initially as loaded from the disk.
+        zones: closed zones, if operators close zones in this installation.
         confirmations: when the registry confirmed each part.
         is_lost: the registry does not answer this machine.
 
@@ -36,64 +36,64 @@
         self._changed = asyncio.Event()
 
     def start(self) -> None:
-        """Begin with what the disk held; time passes for it from now on."""
+        """Apply what was loaded from the disk; start its clock."""
         self.catalog.begin_incarnation(asyncio.get_running_loop().time)
         self.zones.on_zone_opened.append(self.catalog.cold.note_zone_reopened)
         self.apply_zones(self._persistence.stored.zones)
 
     def apply_document(self, document: ServiceDocument) -> bool:
-        """Take a configuration; ``False``: it is not newer."""
+        """Apply a configuration; ``False``: it is not newer."""
         is_newer = self.catalog.apply_document(document)
         if is_newer:
             self.notify_change()
         return is_newer
 
     def replace_runners(self, runners: Collection[KnownRunner], at: int, is_trusted: bool) -> None:
-        """Take the whole list of runners."""
+        """Replace the whole list of runners."""
         if self.catalog.replace_runners(runners, at, is_trusted):
             self.notify_change()
 
     def put_runner(self, known: KnownRunner) -> None:
-        """Take one runner's state."""
+        """Apply one runner's state."""
         if self.catalog.put_runner(known):
             self.notify_change()
 
     def remove_runner(self, runner_id: str, at: int, is_trusted: bool) -> None:
-        """A runner is not listed any more."""
+        """Remove a runner that is no longer listed."""
         if self.catalog.remove_runner(runner_id, at, is_trusted):
             self.notify_change()
 
     def apply_zones(self, update: ZoneUpdate) -> None:
-        """Take which zones are closed; an older update changes nothing."""
+        """Apply which zones are closed; an older update changes nothing."""
         if self.zones.apply(update):
             self.notify_change()
         self.catalog.filter = self.zones.filter
 
     def confirm(self, part: CatalogPart, at: int) -> None:
-        """The registry answered: this part is known up to a revision."""
+        """Record that the registry confirmed a part up to a revision."""
         self.confirmations.confirm(part)
         if part is CatalogPart.RUNNERS:
             self.catalog.advance(at)
 
     def confirm_all(self, age_s: float, runners_at: int) -> None:
-        """Another machine said that the registry confirmed everything so long ago."""
+        """Record that the registry confirmed another machine's catalog ``age_s`` ago."""
         self.confirmations.confirm_all(age_s)
         self.catalog.advance(runners_at)
 
     def set_registry_lost(self, is_lost: bool) -> None:
-        """Whether the registry answers this machine; waiting nodes are notified at once."""
+        """Record whether this machine lost the registry; waiting nodes are notified at once."""
         if is_lost != self.is_lost:
             self.is_lost = is_lost
             self.notify_change()
 
     def notify_change(self) -> None:
-        """Wake those who wait for a change, and save."""
+        """Wake all that wait for a change, and schedule a save."""
         self._changed.set()
         self._changed = asyncio.Event()
         self.schedule_save()
 
     def schedule_save(self) -> None:
-        """Save soon."""
+        """Schedule a save."""
         self._persistence.note_change()
 
     async def wait_for_change(self, wait_s: float) -> None:
--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CatalogDependencies:
-    """What a replica machine's catalog shares with other parts of the process.
+    """Objects that a replica machine's catalog shares with the rest of the process.
 
     Attributes:
         own_address: this machine's address.
@@ -47,11 +47,11 @@
 
 
 class ReplicaCatalogParts:
-    """The catalog, who relies on it, and the machine that it follows.
+    """The catalog, its dependent nodes, its server, and the follower of another machine.
 
     Attributes:
         catalog: what this machine knows.
-        demand: which nodes rely on this machine, and how it reads the registry for them.
+        demand: which nodes depend on this machine, and how often it reads the registry for them.
         follower: requests the catalog of another machine, so that one reads the registry for all.
         server: answers nodes that request the catalog.
 
@@ -101,10 +101,11 @@
         )
 
     def start(self) -> None:
-        """Begin to answer, with what the disk held."""
+        """Begin to answer requests from the stored catalog."""
         self._persistence.start()
         self.catalog.start()
-        # First: an older announcement would else make a live voter count as lost.
+        # Before the stored replicas: otherwise an older announcement makes a live voter count as
+        # lost.
         self._dependencies.directory.wiped.update(self._persistence.stored.lost)
         self._dependencies.directory.proven_lost.update(self._persistence.stored.proven_lost)
         for node in self._persistence.stored.replicas:
@@ -124,7 +125,7 @@
         self.follower.note_zones_revision(zones_at)
 
     def background_loops(self) -> list[Coroutine[Any, Any, None]]:
-        """What runs in the background until cancelled."""
+        """Coroutines that run in the background until cancelled."""
         return [
             self._exchange.send_hellos(),
             self._run_maintenance(),
@@ -133,13 +134,13 @@
         ]
 
     async def _run_maintenance(self) -> None:
-        """Forget who is silent, follow the demand, name fronts to the other machines."""
+        """Forget silent nodes, adapt the read interval, name fronts to the other machines."""
         zones = self.catalog.zones.record
         while True:
             await asyncio.sleep(SHARE_INTERVAL_S)
             is_lost = self.catalog.is_lost
             self.demand.expire_silent(keep_fronts=is_lost)
-            # While the registry is away the fronts are lost with the last machine that knows them.
+            # While the registry is lost, fronts are known only to the machines that keep them.
             self._relay_list.forget_unnamed(math.inf if is_lost else SILENT_FRONT_EXPIRY_S)
             self._relay_list.retain_only(self.demand.front_requested_at_s)
             if zones.forget_old(asyncio.get_running_loop().time()):
@@ -148,7 +149,7 @@
             self._exchange.share_fronts()
 
     def _snapshot(self) -> StoredCatalog:
-        """What the disk is to hold now."""
+        """The content to save now."""
         return StoredCatalog(
             self.catalog.catalog,
             tuple(self._dependencies.directory.by_name.values()),
--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -18,7 +18,7 @@
 
 
 class CatalogServer:
-    """Sends each requesting node what it lacks, at once or when something changes."""
+    """Sends each requesting node what it lacks, at once or after the next change."""
 
     def __init__(
         self,
@@ -37,11 +37,11 @@
         self._upstream = upstream
 
     def start(self, transport: Transport) -> None:
-        """Answer from now on."""
+        """Register the request handler."""
         transport.handlers[CATALOG_METHOD] = self.handle
 
     async def handle(self, payload: bytes) -> bytes:
-        """Reply to a request as it came; one that brings no news waits as long as it may."""
+        """Reply to an encoded request; with nothing new, wait for a change as long as allowed."""
         request = decode_request(payload)
         self._record_requester(request)
         if not self._has_changes(request):
@@ -49,7 +49,7 @@
         return self._reply(request).SerializeToString()
 
     def _record_requester(self, request: ReadRequest) -> None:
-        """Remember the requesting node, its zone, and whether it is cut off."""
+        """Record the requesting node, its zone, and whether it is cut off."""
         if self._demand.record_request(request):
             self._catalog.schedule_save()
         self._host_locations.put(request.requester.host, request.requester_zone)
@@ -58,7 +58,7 @@
         self._demand.update_pace()
 
     def _has_changes(self, request: ReadRequest) -> bool:
-        """Whether a node must not wait for its reply."""
+        """Whether something is new for a node, so that it gets its reply at once."""
         catalog, zones = self._catalog.catalog, self._catalog.zones.record
         is_newer = catalog.version > request.document_version
         is_newer = is_newer or zones.changed_revision > request.zones_at
@@ -90,16 +90,16 @@
         return self._relay_list.choose_for(requester, self._demand.front_requested_at_s)
 
     def _is_lost_for(self, request: ReadRequest) -> bool:
-        """Whether a node must request the catalog elsewhere.
+        """Whether a node must follow another machine, since this one lost the registry.
 
-        A machine that lost the registry and follows one of another region may serve fronts, on
-        which no machine relies. Replica machines must not rely on it: it may follow them.
+        A machine that lost the registry and follows one of another region may serve fronts, which
+        no machine follows. Replica machines must not follow it, since it may follow them.
         """
         is_updated = self._upstream.is_updated_across_regions
         return self._catalog.is_lost and (request.is_replica or not is_updated)
 
     def _add_directory(self, reply: wire.CatalogReply, request: ReadRequest) -> None:
-        """Add the replica machines, unless the node has them as they are."""
+        """Add the replica machines, unless the node knows the current directory."""
         reply.directory_digest = self._directory.digest()
         if reply.directory_digest == request.directory_digest:
             return
