--- a/src/bendshed/catalog/__init__.py
+++ b/src/bendshed/catalog/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration and runners as replica machines know them, for the nodes that request them."""
+"""The catalog of configuration, runners and closed zones that nodes request of replica machines."""
--- a/src/bendshed/catalog/state.py
+++ b/src/bendshed/catalog/state.py
@@ -1,7 +1,7 @@
-"""What a replica machine knows of configuration and runners, by revision. Pure.
+"""Configuration and runners that a replica machine knows, by revision. Pure.
 
-Revisions are the registry's: one counter over all its changes. So updates of two machines can be
-compared, and a node that names the revision it knows gets just what changed since.
+Revisions come from the registry, which has one counter for all its changes. Hence updates of two
+machines can be compared, and a node that sends the revision it knows gets only later changes.
 """
 
 from collections import OrderedDict
@@ -14,7 +14,7 @@
 from bendshed.placement.zones import RunnerFilter
 
 MAX_REMOVED = 1_000
-"""Removals remembered; a node that knows less than the oldest gets the whole list."""
+"""Number of removals kept; a node that knows an older revision gets the whole list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,10 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Removal:
-    """A runner that is not listed any more.
+    """A runner that is no longer listed.
 
     Attributes:
-        is_trusted: the registry was well when it said so.
+        is_trusted: the registry had not failed recently when it reported the removal.
 
     """
 
@@ -44,7 +44,7 @@
     """What changed between two revisions.
 
     Attributes:
-        since: the requesting node's revision; 0: ``runners`` are all there are.
+        since: the requesting node's revision; 0: ``runners`` is the whole list.
 
     """
 
@@ -58,13 +58,13 @@
 class Catalog:
     """The newest known configuration and runners.
 
-    Invariants: neither the document's version nor ``runners_at`` ever falls.
+    Invariants: neither the document's version nor ``runners_at`` ever decreases.
 
     Attributes:
         document: ``None``: none is known.
         runners_at: revision up to which the runners are known; 0: no list was read.
-        filter: which runners may get new work at all.
-        cold: cold runners, each from the time at which that was known here.
+        filter: which runners may get new work.
+        cold: cold runners, from the time at which this process learned of each.
 
     """
 
@@ -80,7 +80,7 @@
     _encoded_version: int = -1
 
     def encoded_document(self, encode: Callable[[ServiceDocument], bytes]) -> bytes:
-        """The document as it is sent, encoded once a version and not once a request."""
+        """The encoded document, encoded once per version instead of once per request."""
         assert self.document is not None
         if self._encoded_version != self.version:
             self._encoded = encode(self.document)
@@ -94,18 +94,18 @@
 
     @property
     def runner_ids(self) -> Collection[str]:
-        """All that are listed, ready or not."""
+        """Identities of all listed runners, ready or not."""
         return self._runners.keys()
 
     def ready_runners(self, service: str, regions: Collection[str] | None) -> list[ServiceRunner]:
-        """Runners of a service that may get new work of some regions; ``None``: of any."""
+        """Ready runners of a service in allowed regions; ``None``: in all regions."""
         ready = self._ready.get(service, {}).values()
         if self.filter.allows_all(regions):
             return list(ready)
         return [runner for runner in ready if self.filter.allows(runner, regions)]
 
     def apply_document(self, document: ServiceDocument) -> bool:
-        """Take a newer document; ``False``: it is not newer."""
+        """Apply a newer document; ``False``: it is not newer."""
         if document.version <= self.version:
             return False
         self.document = document
@@ -113,7 +113,7 @@
         return True
 
     def replace_runners(self, runners: Collection[KnownRunner], at: int, is_trusted: bool) -> bool:
-        """Take the whole list at a revision; ``False``: nothing changed."""
+        """Replace the whole list as of a revision; ``False``: nothing changed."""
         if at < self.runners_at:
             return False
         listed = {known.runner.runner_id: known for known in runners}
@@ -129,7 +129,7 @@
         return changed
 
     def put_runner(self, known: KnownRunner) -> bool:
-        """Take one runner's state; ``False``: it is not newer."""
+        """Apply one runner's state; ``False``: it is not newer."""
         runner_id = known.runner.runner_id
         current = self._runners.get(runner_id)
         if current is not None and current.revision >= known.revision:
@@ -152,7 +152,7 @@
             ready.pop(runner.runner_id, None)
 
     def remove_runner(self, runner_id: str, at: int, is_trusted: bool) -> bool:
-        """A runner vanished from the list; ``False``: it was not known."""
+        """Remove a runner that is no longer listed; ``False``: it was not known."""
         current = self._runners.pop(runner_id, None)
         if current is None:
             return False
@@ -165,17 +165,17 @@
         return True
 
     def begin_incarnation(self, clock: Callable[[], float]) -> None:
-        """What is known so far was saved by an earlier incarnation; time passes from now on."""
+        """Treat what is known so far as saved before a restart, and start the clock."""
         self.cold.clock = clock
         for known in self._runners.values():
             self.cold.note_persisted(known.runner)
 
     def advance(self, at: int) -> None:
-        """All changes up to this revision have been taken."""
+        """Record that all changes up to a revision have been applied."""
         self.runners_at = max(self.runners_at, at)
 
     def changes_since(self, since: int) -> RunnerChanges:
-        """What a node that knows ``since`` lacks; everything, if that is too long ago."""
+        """Changes after revision ``since``, or everything if that is before the kept history."""
         if since < self._history_from or since > self.runners_at:
             return RunnerChanges(0, self.runners_at, tuple(self._runners.values()), ())
         runners = tuple(known for known in self._runners.values() if known.revision > since)
--- a/src/bendshed/catalog/update_intake.py
+++ b/src/bendshed/catalog/update_intake.py
@@ -1,4 +1,4 @@
-"""Passes on what is newer in an update: configuration, runners, closed zones."""
+"""Applies the parts of an update that are newer: configuration, runners, closed zones."""
 
 from typing import Protocol
 
@@ -14,32 +14,32 @@
 
 
 class CatalogSink(Protocol):
-    """Where a node's configuration and runners are stored in memory."""
+    """Receives updates of a node's configuration, runners and closed zones."""
 
     def apply_document(self, document: ServiceDocument) -> bool:
-        """Take a configuration; an older one changes nothing."""
+        """Apply a configuration; an older one changes nothing."""
 
     def put_runner(self, known: KnownRunner) -> None:
-        """Take one runner's state."""
+        """Apply one runner's state."""
 
     def remove_runner(self, runner_id: str, at: int, is_trusted: bool) -> None:
-        """A runner is not listed any more."""
+        """Remove a runner that is no longer listed."""
 
     def replace_runners(self, runners: list[KnownRunner], at: int, is_trusted: bool) -> None:
-        """Take the whole list."""
+        """Replace the whole list of runners."""
 
     def apply_zones(self, update: ZoneUpdate) -> None:
-        """Take which zones are closed; an older update changes nothing."""
+        """Apply which zones are closed; an older update changes nothing."""
 
     def confirm_all(self, age_s: float, runners_at: int) -> None:
-        """The registry confirmed all of this so long ago."""
+        """Record that the registry confirmed all of this ``age_s`` ago."""
 
 
 class UpdateIntake:
-    """What a node knows, by revision; what is older is passed over and does no harm.
+    """Tracks the revisions that a node knows; older parts of an update are ignored.
 
     Attributes:
-        version: of the configuration that the node knows.
+        version: version of the configuration that the node knows.
         runners_at: revision up to which the node knows the runners.
         zones_at: revision up to which the node knows the closed zones.
 
@@ -53,9 +53,10 @@
         self._times = times
 
     def apply(self, update: CatalogUpdate) -> bool:
-        """Pass on what is newer; ``False``: the machine knows less than this node.
+        """Apply what is newer; ``False``: the machine knows less than this node.
 
-        Closed zones come before runners, so that none of a closed zone is usable in between.
+        Closed zones are applied before runners, so that no runner of a closed zone is usable in
+        between.
         """
         self._apply_document(update)
         knows_zones = self._apply_zones(update)
@@ -63,7 +64,7 @@
         return knows_zones and knows_runners and update.document_version >= self.version
 
     def confirm(self, age_s: float) -> None:
-        """The registry confirmed all that the node knows so long ago."""
+        """Record that the registry confirmed all that the node knows ``age_s`` ago."""
         self._sink.confirm_all(age_s, self.runners_at)
 
     def _apply_document(self, update: CatalogUpdate) -> None:
@@ -81,10 +82,10 @@
         self.version = max(self.version, document.version)
 
     def _apply_zones(self, update: CatalogUpdate) -> bool:
-        """Take closed zones that are newer; ``False``: the machine does not know them.
+        """Apply closed zones that are newer; ``False``: the machine does not know them.
 
-        A node that has a newer revision from elsewhere knows all that the machine does, so the
-        machine's age holds for it too: an update holds all closed zones.
+        An update contains all closed zones. Hence a node that has a newer revision from another
+        source knows all that the machine does, and the age of the machine's update applies to it.
         """
         zones_at = update.zones.zones.revision
         if zones_at > self.zones_at:
@@ -93,7 +94,7 @@
         return zones_at > 0 or not self._times.follows_zones
 
     def _apply_runners(self, update: CatalogUpdate) -> bool:
-        """Take runners that are newer; ``False``: the machine knows less than this node."""
+        """Apply runners that are newer; ``False``: the machine knows less than this node."""
         changes = update.runners
         if changes is None or changes.at < self.runners_at:
             return False
--- a/src/bendshed/catalog/upstream.py
+++ b/src/bendshed/catalog/upstream.py
@@ -1,4 +1,4 @@
-"""The machine that a node's catalog comes from; the follower writes it, the server reads it."""
+"""The machine that a node follows; the follower writes this state, the server reads it."""
 
 from dataclasses import dataclass
 
@@ -11,12 +11,12 @@
     """The last machine that sent this node an update.
 
     Attributes:
-        host_locations: where other nodes are located.
+        host_locations: zones and regions of other nodes.
         is_replica: this node is a replica machine.
-        machine: ``None``: this node reads the registry itself, or was sent nothing yet.
-        directory_digest: of the directory that the machine sent.
-        num_dependents: nodes that rely on the machine, with those that rely on these.
-        is_fresh: the registry confirmed the catalog lately enough that this node need not read it.
+        machine: ``None``: this node reads the registry itself, or has not received an update.
+        directory_digest: digest of the directory that the machine sent.
+        num_dependents: number of nodes that depend on the machine, also indirectly.
+        is_fresh: the registry confirmed the catalog so recently that this node need not read it.
 
     """
 
@@ -29,7 +29,7 @@
 
     @property
     def is_regional_reader(self) -> bool:
-        """Whether this node gets the catalog across the link, for its whole region."""
+        """Whether this node follows a machine of another region, for its whole region."""
         machine = self.machine
         return self.is_replica and machine is not None and self.host_locations.is_far(machine.host)
 
@@ -40,5 +40,5 @@
 
     @property
     def num_dependents_across_regions(self) -> int:
-        """Nodes that rely on the machine of another region; 0: this is no regional reader."""
+        """Nodes that depend on the other region's machine; 0: this is no regional reader."""
         return self.num_dependents if self.is_regional_reader else 0
--- a/src/bendshed/catalog/watcher.py
+++ b/src/bendshed/catalog/watcher.py
@@ -17,43 +17,43 @@
 
 INITIAL_RETRY_MIN_S = 0.15
 INITIAL_RETRY_MAX_S = 0.4
-"""A process that knows nothing yet retries soon."""
+"""Retry delay of a process that does not know the objects of the kind yet."""
 RETRY_MIN_S = 0.5
 RETRY_MAX_S = 0.9
-"""One that knows the kind serves on meanwhile; calls to a store that is away cost like others."""
+"""Retry delay of a process that knows the kind and can serve requests meanwhile, since calls to a
+store that is down cost as much as others."""
 MAX_RETRY_GROWTH = 8.0
-"""A process that other nodes update retries up to so many times as rarely while the store
+"""Largest factor by which a process that other nodes update extends its retry delay while the store
 fails."""
 LOST_WAIT_S = 0.1
-"""While the store is lost, a watch waits only this long: its failure shows soon."""
+"""While the store is lost, a watch waits only this long, so that its failure is detected soon."""
 WATCH_PAUSE_S = 0.05
-"""Shortest pause between two watches, so that a burst of changes costs few calls."""
+"""Pause between two watches, so that a burst of changes costs few calls."""
 RECENT_FAILURE_S = 5.0
-"""For this long after a failed call the store's silence or removals prove little."""
+"""For this long after a failed call, missing objects and removals are not trusted."""
 
 log = PartLog("registry")
 
 
 NamesHandler = Callable[[frozenset[str], int, frozenset[str]], None]
-"""Called with all names of a kind, the revision of that, and names that went since the last call.
-"""
+"""Called with all names of a kind, their revision, and the names deleted since the last call."""
 ListHandler = Callable[[ObjectList], None]
 EventHandler = Callable[[ObjectEvent], None]
 ConfirmedHandler = Callable[[int], None]
 
 
 def _ignore_confirmation(_at: int) -> None:
-    """No part needs the confirmation."""
+    """Do nothing, for kinds whose confirmations are not needed."""
 
 
 @dataclass(frozen=True, slots=True)
 class KindHandler:
-    """What to do with the objects of a kind.
+    """Callbacks for the objects of a kind.
 
     Attributes:
-        on_list: all objects, after the first read and after a gap.
-        on_event: one change.
-        on_confirmed: the store answered: all is known up to a revision.
+        on_list: called with all objects after the first read and after a gap in the history.
+        on_event: called with one change.
+        on_confirmed: called after each reply of the store, with the revision of that reply.
 
     """
 
@@ -67,7 +67,7 @@
         handle: Callable[[StoredObject], object],
         on_confirmed: ConfirmedHandler = _ignore_confirmation,
     ) -> "KindHandler":
-        """Take each object's newest state; objects that go are passed over."""
+        """Handle each object's newest state; deletions are ignored."""
 
         def on_list(listed: ObjectList) -> None:
             for item in listed.items:
@@ -81,11 +81,11 @@
 
     @classmethod
     def of_names(cls, handle: NamesHandler) -> "KindHandler":
-        """Take the names of all objects after each answer of the store.
+        """Handle the names of all objects after each reply of the store.
 
-        They are collected here, answer by answer, so that each call has a whole state of one
-        revision, whatever updates of others held meanwhile. So such a watch begins where it ended,
-        or with a list, and is never resumed at a revision that is known from elsewhere.
+        The names are collected here across replies, so that each call gets the complete state as of
+        one revision, independently of updates from other nodes. Such a watch therefore continues at
+        its own last revision, or with a list, and is never resumed at a revision known from others.
         """
         present: set[str] = set()
         gone: set[str] = set()
@@ -110,19 +110,19 @@
 
 
 class KindWatcher:
-    """Lists a kind, then watches it for ever.
+    """Lists a kind, then watches it until cancelled.
 
     Attributes:
         wait_s: how long a watch may wait for a change.
-        pause_s: shortest pause between two watches.
-        has_peer_updates: whether updates of other nodes hold the kind.
-        max_retry_growth: how many times as rarely a lost store is tried in the end; 1: not rarer.
+        pause_s: pause between two watches.
+        has_peer_updates: whether updates of other nodes contain the kind.
+        max_retry_growth: largest factor of the retry delay while the store is lost; 1: constant.
         is_first_watch_short: the first watch after a pause or a change of pace waits
-            ``LOST_WAIT_S``, so that what was missed, or a dead connection, shows at once; it costs
-            a call.
+            ``LOST_WAIT_S``, so that missed changes, or a dead connection, are detected at once; it
+            costs a call.
         failed_at_s: loop time of the last failed call.
-        on_loss_change: called when the store is lost and again when it is regained: a watch begun
-            in between may hang on a connection that will never speak.
+        on_loss_change: called when the store is lost and when it answers again: a watch begun in
+            between may hang on a dead connection.
 
     """
 
@@ -189,7 +189,7 @@
                     raise
 
     def set_pace(self, wait_s: float, pause_s: float) -> None:
-        """From now on watch at another pace; a shorter one begins at once."""
+        """Change the wait and the pause; a shorter wait takes effect at once."""
         is_shorter = wait_s < self.wait_s
         self.wait_s, self.pause_s = wait_s, pause_s
         if is_shorter:
@@ -202,18 +202,18 @@
         return growth * self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S)
 
     def pause(self) -> None:
-        """Send nothing until ``resume``: other nodes send updates of this kind."""
+        """Send no calls until ``resume``, while other nodes send updates of this kind."""
         self._is_active.clear()
         self.restart()
 
     def resume(self, at: int = 0) -> None:
-        """Watch again; ``at``: everything up to this revision is known from elsewhere."""
+        """Watch again; ``at``: revision up to which everything is known from other nodes."""
         if at:
             self._at = max(self._at or 0, at)
         self._is_active.set()
 
     def restart(self) -> None:
-        """Give a watch up that may hang on a dead connection, and begin it again."""
+        """Cancel a watch that may hang on a dead connection, and begin a new one."""
         self._is_next_watch_short = self.is_first_watch_short
         if self._call is not None:
             self._call.cancel()
@@ -236,7 +236,10 @@
         self._handler.on_confirmed(changes.revision)
 
     def _is_outdated(self, event: ObjectEvent) -> bool:
-        """A list of several pages holds later states than those at which its watch begins."""
+        """Whether an event is older than the listed state of its object.
+
+        A list of several pages contains later states than the revision at which its watch begins.
+        """
         return event.object.revision < self._listed.get(event.object.name, 0)
 
     def _note_failure(self, error: Exception) -> None:
--- a/src/bendshed/catalog/zones.py
+++ b/src/bendshed/catalog/zones.py
@@ -1,4 +1,4 @@
-"""A node's closed zones: takes updates, logs what changed, and notifies who must know."""
+"""A node's closed zones: applies updates, logs changes and calls handlers for reopened zones."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,24 +11,24 @@
 from bendshed.placement.zones import ClosedZones, RunnerFilter, ZoneRecord, ZoneUpdate
 
 ZoneOpenedHandler = Callable[[str, float], None]
-"""Called with a zone and the loop time at which it was opened, as far as known."""
+"""Called with a zone and the loop time at which it was reopened, as far as known."""
 
 log = PartLog("zones")
 
 
 class GaugeFactory(Protocol):
-    """Metrics of a process."""
+    """Creates gauges among the metrics of a process."""
 
     def gauge(self, name: str, text: str) -> Gauge:
         """Add a gauge."""
 
 
 class ClosedZoneTracker:
-    """Closed zones of one node.
+    """Tracks the closed zones of one node.
 
     Attributes:
-        record: what is known.
-        on_zone_opened: called for each zone that may get work again; its runners may be cold.
+        record: the closed zones that are known.
+        on_zone_opened: called for each reopened zone, since its runners may be cold.
         confirmed_at_s: loop time at which the registry last confirmed it; ``None``: not yet.
 
     """
@@ -38,15 +38,15 @@
         self.on_zone_opened: list[ZoneOpenedHandler] = []
         self.confirmed_at_s: float | None = None
         self._places = places
-        self._clock: Callable[[], float] = lambda: 0.0  # the loop's, once anything is known
+        self._clock: Callable[[], float] = lambda: 0.0  # the loop's clock after the first update
 
     @property
     def filter(self) -> RunnerFilter:
-        """Who may get a request now."""
+        """Filter of the runners that may get a request now."""
         return RunnerFilter(self.record.zones, self._places)
 
     def apply(self, update: ZoneUpdate) -> bool:
-        """Take an update; ``False``: nothing changed."""
+        """Apply an update; ``False``: nothing changed."""
         previous = self.record.zones
         since_s = dict(self.record.closed_since_s)
         now_s = self._now_s()
@@ -69,7 +69,7 @@
         return bool(changes) or (previous.revision == 0 and revision > 0)
 
     def confirm(self, age_s: float) -> None:
-        """The registry confirmed what is known so long ago."""
+        """Record that the registry confirmed what is known ``age_s`` ago."""
         at_s = self._now_s() - age_s
         self.confirmed_at_s = max(at_s, self.confirmed_at_s or at_s)
 
@@ -78,7 +78,7 @@
         return self._clock()
 
     def add_gauges(self, metrics: GaugeFactory) -> None:
-        """Add how many zones are closed, for how long, and how old that knowledge is."""
+        """Add gauges for the number of closed zones, the longest closing and the data's age."""
         closed = metrics.gauge("bendshed_closed_zones", "Zones that operators closed")
         closed.set_function(lambda: float(len(self.record.zones.closed)))
         longest = metrics.gauge(
@@ -101,12 +101,12 @@
 
 
 def make_registry_update(names: frozenset[str], at: int, gone: frozenset[str]) -> ZoneUpdate:
-    """An update from the registry itself.
+    """Build an update from a reply of the registry itself.
 
     Args:
-        names: all zones that are closed.
-        at: revision of that.
-        gone: zones whose closing was taken back since the last update, known before or not.
+        names: all closed zones.
+        at: revision of ``names``.
+        gone: zones reopened since the last update, whether they were known as closed or not.
 
     """
     return ZoneUpdate(ClosedZones(at, names), dict.fromkeys(gone - names, 0.0))
