--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -1,4 +1,4 @@
-"""Configuration and runners as told by replica machines: what is told, and to whom it is enough."""
+"""The catalog of replica machines: changes by revision, storage, and shared registry reads."""
 
 import unittest
 from unittest import mock
@@ -132,7 +132,7 @@
 
 
 class SharedReadingTest(unittest.TestCase):
-    """With enough fronts one replica machine of a zone asks the registry for all of them."""
+    """With enough dependent nodes, one replica machine reads the registry for all of them."""
 
     def setUp(self) -> None:
         patch = mock.patch.object(demand, "MIN_SHARED_REQUESTERS", 1)
@@ -184,7 +184,7 @@
         self.assertTrue(self.is_fresh())
 
     def ranked_stores(self) -> list[SimMachine]:
-        """Replica machines in the order in which they are asked."""
+        """Replica machines by rank."""
         return [
             self.world.stores[name] for name in rendezvous_rank(CATALOG_METHOD, self.world.stores)
         ]
--- a/tests/test_older_announcements.py
+++ b/tests/test_older_announcements.py
@@ -1,11 +1,10 @@
-"""Two stores led one group at once, each sure that the other's disk was lost.
+"""Guards against two stores that lead one group at once after reading older announcements.
 
-Seen: turns were answered by two leaders, and a program got more tokens than its budget. How it came
-about: both stores had lost their disks before, one after the other, and were voters again; then all
-lost power, and the registry's list was an older one. What had been known to be lost was not on
-their disks. Cause: each took the older announcement of the other for a newer identity, counted the
-live one as lost, and needed no vote but its own. Proof: each holds the other's live identity among
-the lost ones.
+Both stores had lost their disks, one after the other, and were voters again. Then all lost power,
+the registry listed older announcements, and the identities known as lost were not on the disks.
+Each store took the older announcement of the other for a newer identity, counted the live identity
+as lost (each held it among its lost ones), and elected itself with its own vote only. Two leaders
+answered turns, and a program got more tokens than its budget.
 """
 
 import logging
@@ -30,7 +29,7 @@
 
 
 class FrozenAnnouncements(dict[str, ReplicaNode]):
-    """Takes announcements and lists none of them."""
+    """Ignores new announcements, so that the registry keeps listing older ones."""
 
     def __setitem__(self, _name: str, _node: ReplicaNode) -> None:
         return
@@ -43,7 +42,7 @@
 
 class OlderAnnouncementsTest(unittest.TestCase):
     def simulate(self, seed: int, keeps_lost: bool) -> tuple[int, int]:
-        """Most leaders at once, and leaders at the end."""
+        """Return the largest number of simultaneous leaders, and the number at the end."""
         world = SiteWorld.started(seed, TWO_STORES)
         self.addCleanup(world.close)
         world.run_for(CATCH_UP_S)
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -1,4 +1,4 @@
-"""When a node reads the registry itself."""
+"""When a node reads the registry itself instead of following another machine."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
 
 
 class FakeWatcher:
-    """A watch that remembers whether it is active."""
+    """Records whether it is active and how often it was restarted."""
 
     def __init__(self) -> None:
         self.is_active = True
--- a/tests/test_regions_catalog.py
+++ b/tests/test_regions_catalog.py
@@ -1,4 +1,4 @@
-"""The catalog crosses the link between regions once: through one replica machine of each region."""
+"""Updates of the catalog cross regions once, through one replica machine of each region."""
 
 import unittest
 from collections import Counter
@@ -25,7 +25,7 @@
 
 
 class ChoiceTest(unittest.TestCase):
-    """Four replica machines by rank: two in the east, then two in the west."""
+    """Four replica machines by rank, alternating between east and west."""
 
     def setUp(self) -> None:
         self.ranked = [
@@ -66,7 +66,7 @@
         self.assertEqual(self.source_of("e1", "zone-a", places=Places()), "")
 
     def test_requests_never_form_a_cycle(self) -> None:
-        """Whoever is lost, following the requests ends at one that asks nobody."""
+        """With any machines avoided, following the sources ends at a machine that has none."""
         zones = {node.name: node.zone for node in self.ranked}
         for lost in ("", "e1", "w1", "e1 w1", "e1 e2", "e1 w1 e2"):
             for start in zones:
@@ -107,7 +107,7 @@
         return PLACES.distance(machine.zone, other.zone) is Distance.OTHER_REGION
 
     def requests_across_regions(self) -> Counter[str]:
-        """How many questions each machine sent to the other region."""
+        """Number of catalog requests that each machine sent to the other region."""
         machines = self.machines()
         found: Counter[str] = Counter()
         for (source, target, method), num in self.world.network.num_sent.items():
@@ -213,7 +213,7 @@
 
 
 class SmallSiteTest(unittest.TestCase):
-    """Neither region has enough nodes for a reader of its own; both together have."""
+    """Neither region alone has enough nodes for shared reads; both together have."""
 
     def test_nodes_of_both_regions_count_together(self) -> None:
         world = SiteWorld.started(3, two_zones_a_region(demand.MIN_SHARED_REQUESTERS))
--- a/tests/test_relayed_follower.py
+++ b/tests/test_relayed_follower.py
@@ -1,4 +1,4 @@
-"""An asker of the catalog behind a cut: relays give up what waits, so it does not wait there."""
+"""A follower that reaches its source only through relays, which time out requests that wait."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class RecordingSink:
-    """Takes what it is told."""
+    """Applies updates to a catalog and records the revisions of closed zones."""
 
     def __init__(self) -> None:
         self.catalog = Catalog()
@@ -50,7 +50,7 @@
 
 
 class RecordingRelays:
-    """Requests that only others pass on; remembers how long each was to wait."""
+    """Replies to relayed requests and records the wait that each asked for."""
 
     def __init__(self, zones_at: int = 0) -> None:
         self.waits_ms: list[int] = []
@@ -70,7 +70,7 @@
 
 class RelayedFollowerTest(unittest.TestCase):
     def follow(self, relays: RecordingRelays, times: CatalogTimes, known_zones_at: int = 0) -> bool:
-        """Whether an asker counts as informed that is told this for some seconds."""
+        """Whether a follower that gets these replies for some seconds is fresh."""
         loop = VirtualTimeLoop()
         asyncio.set_event_loop(loop)
         self.addCleanup(loop.close)
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -1,4 +1,4 @@
-"""Following the platform's store across losses."""
+"""Watches of the platform's store across outages."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 
 class FakeStore:
-    """A store of one object that can fall silent, with every connection made meanwhile."""
+    """A store of one object; while it is down, calls hang, also after it is up again."""
 
     def __init__(self, loop: VirtualTimeLoop) -> None:
         self.loop = loop
@@ -65,7 +65,7 @@
     async def _reach(self, timeout_s: float) -> None:
         await asyncio.sleep(0.004)
         if self.is_down:
-            await asyncio.sleep(timeout_s)  # this connection stays silent for good
+            await asyncio.sleep(timeout_s)  # the call hangs even if the store is up again
             raise StoreUnavailable("silent")
 
     def _object(self, revision: int | None = None) -> StoredObject:
@@ -124,7 +124,7 @@
         self.assertEqual(self.seen[-1], 7)
 
     def test_watch_recovers_soon_after_outages_of_any_length(self) -> None:
-        """A question asked just before the store is back must not be waited for long."""
+        """A call begun just before the store is back hangs, and must not delay the recovery."""
         for outage_tenths in range(30, 62, 4):
             with self.subTest(outage_s=outage_tenths / 10):
                 self.run_for(3.0)
@@ -168,7 +168,7 @@
         self.assertLessEqual(listed.call_count, 5)
 
     def test_short_first_watch_detects_a_dead_connection(self) -> None:
-        """What it must know in time it does not wait for on a connection that may be dead."""
+        """The first watch after a pause is short, since its connection may be dead."""
         seen: list[int] = []
         watcher = self.watcher(seen, WATCH_S)
         watcher.is_first_watch_short = True
@@ -203,7 +203,7 @@
         self.assertEqual(self.seen[-1], 9)
 
     def test_event_older_than_the_listed_state_is_ignored(self) -> None:
-        """A list of several pages ends later than its watch begins."""
+        """A list of several pages contains later states than the revision its watch begins at."""
         self.store.revision = 4
         self.store.list_at = 2
         self.store.older = [2, 3]
--- a/tests/test_zone_processes.py
+++ b/tests/test_zone_processes.py
@@ -1,4 +1,4 @@
-"""Real fronts and stores while operators close a zone, waiting for what they say."""
+"""Real front and store processes while operators close a zone; waits for their log lines."""
 
 import itertools
 import signal
@@ -62,7 +62,7 @@
             await site.wait_for_line(process, "zones: zone open again")
 
     async def run_until_a_program_finishes(self, site: SiteInstallation) -> None:
-        """Runners of a zone that was opened are cold at first, and some programs are sent away."""
+        """Runners of a reopened zone are cold at first, so some programs are refused."""
         for number in itertools.count():
             program = make_program(site, f"cold-{number}", PLAN)
             await program.run()
@@ -70,7 +70,7 @@
                 return
 
     async def zones_of_program(self, site: SiteInstallation, name: str) -> set[str]:
-        """Zones of the runners that a program's requests ran at."""
+        """Run a program and return the zones of the runners that served its requests."""
         program = make_program(site, name, PLAN)
         await program.run()
         self.assertTrue(program.finished, program.statuses)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Closed zones and allowed regions: what is known, kept, told, and who may get a request."""
+"""Closed zones and allowed regions: updates, storage, encoding, and filtering of runners."""
 
 import unittest
 
@@ -194,7 +194,7 @@
 
 
 class NamesHandlerTest(unittest.TestCase):
-    """What the registry tells, answer by answer, as whole states."""
+    """Each reply of the registry yields a complete state."""
 
     def setUp(self) -> None:
         self.record = ZoneRecord()
@@ -242,7 +242,7 @@
         self.assertEqual(self.closed, {"b"})
 
     def test_watch_behind_the_known_revision_is_ignored(self) -> None:
-        """Others told revision 10 meanwhile; the own watch still tells what led there."""
+        """Other nodes sent revision 10 already; the watch then returns earlier changes."""
         self.list(3)
         self.record.apply(update(10, "a"), 30.0)
         self.watch(6, ("a", 5, False), ("a", 5, True))
