--- a/src/bendshed/catalog/codec.py
+++ b/src/bendshed/catalog/codec.py
@@ -63,7 +63,7 @@
         changes = catalog.changes_since(since)
         reply.has_runners = True
         reply.since = changes.since
-        reply.runners_at = changes.at
+        reply.runners_at = changes.revision
         reply.runners.extend(
             _runner_to_wire(known, catalog.cold.left_ms(known.runner.runner_id))
             for known in changes.runners
--- a/src/bendshed/catalog/follower.py
+++ b/src/bendshed/catalog/follower.py
@@ -146,13 +146,13 @@
 
     # --- revisions known from other sources --------------------------------------------------
 
-    def note_registry_read(self, at: int) -> None:
+    def note_registry_read(self, revision: int) -> None:
         """Record that the node itself has read the runners from the registry up to a revision."""
-        self.note_revisions(0, at)
+        self.note_revisions(0, revision)
 
-    def note_zones_revision(self, at: int) -> None:
+    def note_zones_revision(self, revision: int) -> None:
         """Record up to which revision the disk or the registry provided the closed zones."""
-        self._intake.zones_at = max(self._intake.zones_at, at)
+        self._intake.zones_at = max(self._intake.zones_at, revision)
 
     def note_revisions(self, version: int, runners_at: int) -> None:
         """Record which configuration and runners the disk or the registry provided."""
--- a/src/bendshed/catalog/messages.py
+++ b/src/bendshed/catalog/messages.py
@@ -91,12 +91,12 @@
 
     Attributes:
         since: revision to which the update applies; 0: it contains all runners.
-        at: revision after the update.
+        revision: revision after the update.
 
     """
 
     since: int
-    at: int
+    revision: int
     runners: tuple[KnownRunner, ...]
     removed: tuple[Removal, ...]
 
--- a/src/bendshed/catalog/replica_catalog.py
+++ b/src/bendshed/catalog/replica_catalog.py
@@ -48,9 +48,11 @@
             self.notify_change()
         return is_newer
 
-    def replace_runners(self, runners: Collection[KnownRunner], at: int, is_trusted: bool) -> None:
+    def replace_runners(
+        self, runners: Collection[KnownRunner], revision: int, is_trusted: bool
+    ) -> None:
         """Replace the whole list of runners."""
-        if self.catalog.replace_runners(runners, at, is_trusted):
+        if self.catalog.replace_runners(runners, revision, is_trusted):
             self.notify_change()
 
     def put_runner(self, known: KnownRunner) -> None:
@@ -58,9 +60,9 @@
         if self.catalog.put_runner(known):
             self.notify_change()
 
-    def remove_runner(self, runner_id: str, at: int, is_trusted: bool) -> None:
+    def remove_runner(self, runner_id: str, revision: int, is_trusted: bool) -> None:
         """Remove a runner that is no longer listed."""
-        if self.catalog.remove_runner(runner_id, at, is_trusted):
+        if self.catalog.remove_runner(runner_id, revision, is_trusted):
             self.notify_change()
 
     def apply_zones(self, update: ZoneUpdate) -> None:
@@ -69,11 +71,11 @@
             self.notify_change()
         self.catalog.filter = self.zones.filter
 
-    def confirm(self, part: CatalogPart, at: int) -> None:
+    def confirm(self, part: CatalogPart, revision: int) -> None:
         """Record that the registry confirmed a part up to a revision."""
         self.confirmations.confirm(part)
         if part is CatalogPart.RUNNERS:
-            self.catalog.advance(at)
+            self.catalog.advance(revision)
 
     def confirm_all(self, age_s: float, runners_at: int) -> None:
         """Record that the registry confirmed another machine's catalog ``age_s`` ago."""
--- a/src/bendshed/catalog/state.py
+++ b/src/bendshed/catalog/state.py
@@ -49,7 +49,7 @@
     """
 
     since: int
-    at: int
+    revision: int
     runners: tuple[KnownRunner, ...]
     removed: tuple[Removal, ...]
 
@@ -112,20 +112,22 @@
         self.cold.apply_document(document)
         return True
 
-    def replace_runners(self, runners: Collection[KnownRunner], at: int, is_trusted: bool) -> bool:
+    def replace_runners(
+        self, runners: Collection[KnownRunner], revision: int, is_trusted: bool
+    ) -> bool:
         """Replace the whole list as of a revision; ``False``: nothing changed."""
-        if at < self.runners_at:
+        if revision < self.runners_at:
             return False
         listed = {known.runner.runner_id: known for known in runners}
         changed = False
         for runner_id in [name for name in self._runners if name not in listed]:
-            changed |= self.remove_runner(runner_id, at, is_trusted)
+            changed |= self.remove_runner(runner_id, revision, is_trusted)
         for known in runners:
             changed |= self.put_runner(known)
         if self.runners_at == 0:
-            self._history_from = at
+            self._history_from = revision
             changed = True
-        self.advance(at)
+        self.advance(revision)
         return changed
 
     def put_runner(self, known: KnownRunner) -> bool:
@@ -151,14 +153,14 @@
         else:
             ready.pop(runner.runner_id, None)
 
-    def remove_runner(self, runner_id: str, at: int, is_trusted: bool) -> bool:
+    def remove_runner(self, runner_id: str, revision: int, is_trusted: bool) -> bool:
         """Remove a runner that is no longer listed; ``False``: it was not known."""
         current = self._runners.pop(runner_id, None)
         if current is None:
             return False
         self._set_ready(current.runner, False)
         self.cold.note_removed(runner_id)
-        self._removed[runner_id] = Removal(runner_id, at, is_trusted)
+        self._removed[runner_id] = Removal(runner_id, revision, is_trusted)
         while len(self._removed) > MAX_REMOVED:
             _, dropped = self._removed.popitem(last=False)
             self._history_from = max(self._history_from, dropped.revision)
@@ -170,9 +172,9 @@
         for known in self._runners.values():
             self.cold.note_persisted(known.runner)
 
-    def advance(self, at: int) -> None:
+    def advance(self, revision: int) -> None:
         """Record that all changes up to a revision have been applied."""
-        self.runners_at = max(self.runners_at, at)
+        self.runners_at = max(self.runners_at, revision)
 
     def changes_since(self, since: int) -> RunnerChanges:
         """Changes after revision ``since``, or everything if that is before the kept history."""
--- a/src/bendshed/catalog/update_intake.py
+++ b/src/bendshed/catalog/update_intake.py
@@ -22,10 +22,10 @@
     def put_runner(self, known: KnownRunner) -> None:
         """Apply one runner's state."""
 
-    def remove_runner(self, runner_id: str, at: int, is_trusted: bool) -> None:
+    def remove_runner(self, runner_id: str, revision: int, is_trusted: bool) -> None:
         """Remove a runner that is no longer listed."""
 
-    def replace_runners(self, runners: list[KnownRunner], at: int, is_trusted: bool) -> None:
+    def replace_runners(self, runners: list[KnownRunner], revision: int, is_trusted: bool) -> None:
         """Replace the whole list of runners."""
 
     def apply_zones(self, update: ZoneUpdate) -> None:
@@ -96,23 +96,25 @@
     def _apply_runners(self, update: CatalogUpdate) -> bool:
         """Apply runners that are newer; ``False``: the machine knows less than this node."""
         changes = update.runners
-        if changes is None or changes.at < self.runners_at:
+        if changes is None or changes.revision < self.runners_at:
             return False
         if changes.since == 0:
             self._replace_runners(changes, update)
         elif changes.since == self.runners_at:
             for known in changes.runners:
                 self._sink.put_runner(known)
-            for gone in changes.removed:
-                self._sink.remove_runner(gone.runner_id, gone.revision, gone.is_trusted)
+            for removal in changes.removed:
+                self._sink.remove_runner(removal.runner_id, removal.revision, removal.is_trusted)
         else:
             return False
-        self.runners_at = changes.at
+        self.runners_at = changes.revision
         return True
 
     def _replace_runners(self, changes: RunnerUpdate, update: CatalogUpdate) -> None:
         is_first = self.runners_at == 0
         is_trusted = update.age_s < self._times.max_age_s
-        self._sink.replace_runners(list(changes.runners), changes.at, is_trusted)
+        self._sink.replace_runners(list(changes.runners), changes.revision, is_trusted)
         if is_first:
-            log.say("first runner list received", at=changes.at, age_ms=update.confirmed_age_ms)
+            log.say(
+                "first runner list received", at=changes.revision, age_ms=update.confirmed_age_ms
+            )
--- a/src/bendshed/catalog/watcher.py
+++ b/src/bendshed/catalog/watcher.py
@@ -42,7 +42,7 @@
 ConfirmedHandler = Callable[[int], None]
 
 
-def _ignore_confirmation(_at: int) -> None:
+def _ignore_confirmation(_revision: int) -> None:
     """Do nothing, for kinds whose confirmations are not needed."""
 
 
@@ -88,7 +88,7 @@
         its own last revision, or with a list, and is never resumed at a revision known from others.
         """
         present: set[str] = set()
-        gone: set[str] = set()
+        deleted: set[str] = set()
 
         def on_list(listed: ObjectList) -> None:
             present.clear()
@@ -98,13 +98,13 @@
             name = event.object.name
             if event.is_deleted:
                 present.discard(name)
-                gone.add(name)
+                deleted.add(name)
             else:
                 present.add(name)
 
-        def on_confirmed(at: int) -> None:
-            handle(frozenset(present), at, frozenset(gone - present))
-            gone.clear()
+        def on_confirmed(revision: int) -> None:
+            handle(frozenset(present), revision, frozenset(deleted - present))
+            deleted.clear()
 
         return cls(on_list, on_event, on_confirmed)
 
@@ -149,7 +149,7 @@
         self.pause_s = pause_s
         self._max_retry_growth = max_retry_growth
         self._num_failed = 0
-        self._at: int | None = None
+        self._revision: int | None = None
         self._listed: dict[str, int] = {}
         self._call: asyncio.Task[None] | None = None
         self._is_lost = False
@@ -178,7 +178,7 @@
                 await asyncio.sleep(self.pause_s)
             except HistoryExpired:
                 log.say("listing again: change history expired", kind=self._kind)
-                self._at = None
+                self._revision = None
             except (StoreUnavailable, KeyError, ValueError, TypeError) as error:
                 self._note_failure(error)
                 await asyncio.sleep(self._retry_s())
@@ -196,7 +196,7 @@
             self.restart()
 
     def _retry_s(self) -> float:
-        if self._at is None and not self.has_peer_updates:
+        if self._revision is None and not self.has_peer_updates:
             return self._rng.uniform(INITIAL_RETRY_MIN_S, INITIAL_RETRY_MAX_S)
         growth = min(self._max_retry_growth, 2.0 ** (self._num_failed - 1))
         return growth * self._rng.uniform(RETRY_MIN_S, RETRY_MAX_S)
@@ -206,10 +206,10 @@
         self._is_active.clear()
         self.restart()
 
-    def resume(self, at: int = 0) -> None:
-        """Watch again; ``at``: revision up to which everything is known from other nodes."""
-        if at:
-            self._at = max(self._at or 0, at)
+    def resume(self, revision: int = 0) -> None:
+        """Watch again; ``revision``: up to which everything is known from other nodes."""
+        if revision:
+            self._revision = max(self._revision or 0, revision)
         self._is_active.set()
 
     def restart(self) -> None:
@@ -219,17 +219,17 @@
             self._call.cancel()
 
     async def _call_store(self) -> None:
-        if self._at is None:
+        if self._revision is None:
             listed = await self._source.list(self._kind)
-            self._at = listed.revision
+            self._revision = listed.revision
             self._listed = {item.name: item.revision for item in listed.items}
             self._handler.on_list(listed)
             self._handler.on_confirmed(listed.revision)
             return
         wait_s = LOST_WAIT_S if self._is_lost or self._is_next_watch_short else self.wait_s
-        changes = await self._source.watch(self._kind, self._at, wait_s)
+        changes = await self._source.watch(self._kind, self._revision, wait_s)
         self._is_next_watch_short = False
-        self._at = changes.revision
+        self._revision = changes.revision
         for event in changes.events:
             if not self._is_outdated(event):
                 self._handler.on_event(event)
--- a/src/bendshed/catalog/zones.py
+++ b/src/bendshed/catalog/zones.py
@@ -100,13 +100,15 @@
         return self._clock() - self.confirmed_at_s
 
 
-def make_registry_update(names: frozenset[str], at: int, gone: frozenset[str]) -> ZoneUpdate:
+def make_registry_update(
+    names: frozenset[str], revision: int, reopened: frozenset[str]
+) -> ZoneUpdate:
     """Build an update from a reply of the registry itself.
 
     Args:
         names: all closed zones.
-        at: revision of ``names``.
-        gone: zones reopened since the last update, whether they were known as closed or not.
+        revision: revision of ``names``.
+        reopened: zones reopened since the last update, whether they were known as closed or not.
 
     """
-    return ZoneUpdate(ClosedZones(at, names), dict.fromkeys(gone - names, 0.0))
+    return ZoneUpdate(ClosedZones(revision, names), dict.fromkeys(reopened - names, 0.0))
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -26,18 +26,18 @@
 class CatalogTest(unittest.TestCase):
     def setUp(self) -> None:
         self.catalog = Catalog()
-        self.catalog.replace_runners([known("a", 3), known("b", 5)], at=6, is_trusted=True)
+        self.catalog.replace_runners([known("a", 3), known("b", 5)], revision=6, is_trusted=True)
 
     def test_requester_without_revision_gets_the_full_list(self) -> None:
         changes = self.catalog.changes_since(0)
-        self.assertEqual((changes.since, changes.at, len(changes.runners)), (0, 6, 2))
+        self.assertEqual((changes.since, changes.revision, len(changes.runners)), (0, 6, 2))
 
     def test_requester_gets_only_changes_since_its_revision(self) -> None:
         self.catalog.put_runner(known("b", 8, RunnerState.DRAINING))
         self.catalog.remove_runner("a", 9, is_trusted=True)
         self.catalog.advance(9)
         changes = self.catalog.changes_since(6)
-        self.assertEqual((changes.since, changes.at), (6, 9))
+        self.assertEqual((changes.since, changes.revision), (6, 9))
         self.assertEqual([k.runner.runner_id for k in changes.runners], ["b"])
         self.assertEqual([gone.runner_id for gone in changes.removed], ["a"])
         self.assertEqual(self.catalog.changes_since(9).runners, ())
@@ -57,7 +57,7 @@
         self.catalog.apply_document(make_document(4))
         self.assertFalse(self.catalog.apply_document(make_document(3)))
         self.assertFalse(self.catalog.put_runner(known("a", 2, RunnerState.DRAINING)))
-        self.assertFalse(self.catalog.replace_runners([], at=5, is_trusted=True))
+        self.assertFalse(self.catalog.replace_runners([], revision=5, is_trusted=True))
         self.assertEqual((self.catalog.version, self.catalog.runners_at), (4, 6))
 
     def test_stored_catalog_round_trips_and_an_unreadable_file_is_empty(self) -> None:
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -141,7 +141,7 @@
         self.store.change(5)
         self.run_for(3.0)
         self.assertEqual(self.seen, [1])
-        self.long.resume(at=5)
+        self.long.resume(revision=5)
         self.run_for(0.5)
         self.assertEqual(self.seen, [1])
         self.store.change(6)
@@ -152,7 +152,7 @@
         self.run_for(0.5)
         watcher = self.watcher([], 2.0)
         watcher.pause()
-        watcher.resume(at=1)
+        watcher.resume(revision=1)
         self.tasks.append(self.loop.create_task(watcher.run()))
         with mock.patch.object(self.store, "list") as listed:
             self.run_for(1.0)
