--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -64,11 +64,11 @@
         self.catalog.apply_document(make_document(4))
         node = ReplicaNode("store-1", "abc", Address("10.0.1.1", 7000), "zone-a")
         front = Address("10.0.2.1", 7000)
-        kept = decode_stored(encode_stored(StoredCatalog(self.catalog, (node,), (front,))))
-        self.assertEqual((kept.replicas, kept.fronts), ((node,), (front,)))
-        read = kept.catalog
-        self.assertEqual((read.version, read.runners_at), (4, 6))
-        self.assertEqual(read.document, self.catalog.document)
+        stored = decode_stored(encode_stored(StoredCatalog(self.catalog, (node,), (front,))))
+        self.assertEqual((stored.replicas, stored.fronts), ((node,), (front,)))
+        catalog = stored.catalog
+        self.assertEqual((catalog.version, catalog.runners_at), (4, 6))
+        self.assertEqual(catalog.document, self.catalog.document)
         self.assertEqual(decode_stored(b"\xff\xff").catalog.version, 0)
         self.assertEqual(decode_stored(None).catalog.version, 0)
 
--- a/tests/test_relayed_follower.py
+++ b/tests/test_relayed_follower.py
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self.catalog = Catalog()
-        self.zones_taken: list[int] = []
+        self.zone_revisions: list[int] = []
 
     def apply_document(self, document: ServiceDocument) -> bool:
         return self.catalog.apply_document(document)
@@ -43,7 +43,7 @@
         self.catalog.replace_runners(runners, at, is_trusted)
 
     def apply_zones(self, update: ZoneUpdate) -> None:
-        self.zones_taken.append(update.zones.revision)
+        self.zone_revisions.append(update.zones.revision)
 
     def confirm_all(self, age_s: float, runners_at: int) -> None:
         pass
@@ -109,6 +109,6 @@
     def test_newer_known_closed_zones_are_kept_and_the_node_is_fresh(self) -> None:
         times = CatalogTimes.within(3.0, 20.0, 5.0)
         self.assertTrue(self.follow(RecordingRelays(zones_at=8), times, known_zones_at=9))
-        self.assertEqual(self.sink.zones_taken, [])
+        self.assertEqual(self.sink.zone_revisions, [])
         self.assertTrue(self.follow(RecordingRelays(zones_at=10), times, known_zones_at=9))
-        self.assertEqual(self.sink.zones_taken, [10])
+        self.assertEqual(self.sink.zone_revisions, [10])
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -185,8 +185,8 @@
         self.assertEqual((reply.zones_at, list(reply.closed_zones)), (9, []))
 
     def test_closed_zones_are_stored_with_the_catalog(self) -> None:
-        kept = decode_stored(encode_stored(StoredCatalog(zones=update(9, "b", a=2.5))))
-        self.assertEqual(kept.zones, update(9, "b", a=2.5))
+        stored = decode_stored(encode_stored(StoredCatalog(zones=update(9, "b", a=2.5))))
+        self.assertEqual(stored.zones, update(9, "b", a=2.5))
 
     def test_file_of_an_earlier_version_has_no_closed_zones(self) -> None:
         earlier = wire.CatalogReply(document_version=0, has_runners=True, runners_at=4)
