--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of a whole simulated installation; the same verdict every time."""
+"""Deterministic stateful fuzzing of a complete simulated installation."""
 
 import logging
 import unittest
@@ -6,31 +6,33 @@
 
 from bendshed.rehearsal.search import STEPS_PER_WORLD, Step
 from bendshed.rehearsal.simulator.fuzz import INSTALLATION, Action
-from tests.search_machine import machine_of, same_verdict
+from tests.search_machine import build_state_machine, stateful_settings
 
 EXAMPLES = 25
 STEPS = 30
 LOAD = (Action.START_PROGRAM, Action.START_BRANCHES, Action.SUBMIT_TWICE)
 REPAIR = (Action.ADVANCE, Action.RESTART_NODE, Action.RESUME_NODE, Action.HEAL, Action.STORE_UP)
-LOST_MAJORITY = (5123, 5137)
+LOST_MAJORITY_SEEDS = (5123, 5137)
 FAULTS = tuple(action for action in Action if action not in (*LOAD, *REPAIR))
 
-InstallationMachine = machine_of(INSTALLATION, {"load": LOAD, "fault": FAULTS, "repair": REPAIR})
+InstallationMachine = build_state_machine(
+    INSTALLATION, {"load": LOAD, "fault": FAULTS, "repair": REPAIR}
+)
 
 
 class FuzzTest(InstallationMachine.TestCase):  # type: ignore[misc, name-defined]
-    settings: ClassVar = same_verdict(EXAMPLES, STEPS)
+    settings: ClassVar = stateful_settings(EXAMPLES, STEPS)
 
 
-class SearchedInstallationsTest(unittest.TestCase):
-    """A group lost its majority for good: of a dead voter and one that stopped, which still
-    answered, the latter was removed first.
+class RegressionSeedsTest(unittest.TestCase):
+    """Guards against a group that loses its majority permanently: a stopping voter that still
+    replied was removed before a dead one.
     """
 
-    def test_a_node_that_stops_outlasts_a_lost_disk(self) -> None:
+    def test_lost_disk_is_removed_before_a_stopping_node(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        for seed in LOST_MAJORITY:
+        for seed in LOST_MAJORITY_SEEDS:
             with self.subTest(seed=seed):
                 steps = INSTALLATION.random_steps(seed, STEPS_PER_WORLD)
                 world, violations = INSTALLATION.run(seed, steps)
@@ -39,7 +41,7 @@
 
 
 class TraceTest(unittest.TestCase):
-    def test_a_written_trace_reads_back(self) -> None:
+    def test_written_trace_can_be_read(self) -> None:
         steps = [Step(Action.KILL_NODE, 3, 0.25), Step(Action.ADVANCE, 0, 1.0)]
         trace = INSTALLATION.write_trace(7, steps)
         self.assertEqual(INSTALLATION.read_trace(trace), (7, steps))
--- a/tests/test_site_fuzz.py
+++ b/tests/test_site_fuzz.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of a simulated site; the same verdict every time."""
+"""Deterministic stateful fuzzing of a simulated site."""
 
 import logging
 import unittest
@@ -7,41 +7,41 @@
 from bendshed.rehearsal.search import STEPS_PER_WORLD
 from bendshed.rehearsal.site.actions import CALM, WITHIN_A_REGION
 from bendshed.rehearsal.site.fuzz import REGIONS, SITE
-from tests.search_machine import machine_of, same_verdict
+from tests.search_machine import build_state_machine, stateful_settings
 
 EXAMPLES = 15
 STEPS = 25
-SEARCHED_WORLDS = 8
-FAILED_ONCE = (1024, 1113, 189)
-"""Numbers of an allowance that had lapsed, and been counted seconds before, were used anew; turns
-that left on a lost leader's promise were counted nowhere."""
-REFUSED_BY_ANOTHER_REGION = (3022, 3026)
-"""A budget was called spent by reservations of refused turns in the other region's group."""
-SEARCHED_REGIONS = 4
+NUM_SEEDS = 8
+QUOTA_REGRESSION_SEEDS = (1024, 1113, 189)
+"""Seeds that failed when numbers of an expired allowance, counted seconds before, were reused, and
+when turns admitted on the promise of a lost leader were not counted at all."""
+REGION_BUDGET_REGRESSION_SEEDS = (3022, 3026)
+"""Seeds that failed when reservations of refused turns in the other region counted as spent."""
+NUM_REGION_SEEDS = 4
 FAULTS = tuple(action for action in WITHIN_A_REGION if action not in CALM)
 
-SiteMachine = machine_of(SITE, {"fault": FAULTS, "calm": CALM})
+SiteMachine = build_state_machine(SITE, {"fault": FAULTS, "calm": CALM})
 
 
 class SiteFuzzTest(SiteMachine.TestCase):  # type: ignore[misc, name-defined]
-    settings: ClassVar = same_verdict(EXAMPLES, STEPS)
+    settings: ClassVar = stateful_settings(EXAMPLES, STEPS)
 
 
-class SearchedWorldsTest(unittest.TestCase):
-    def test_seeds_of_the_search(self) -> None:
+class SeededWorldsTest(unittest.TestCase):
+    def test_seeded_worlds(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        for seed in (*range(SEARCHED_WORLDS), *FAILED_ONCE):
+        for seed in (*range(NUM_SEEDS), *QUOTA_REGRESSION_SEEDS):
             with self.subTest(seed=seed):
                 steps = SITE.random_steps(seed, STEPS_PER_WORLD)
                 world, violations = SITE.run(seed, steps)
                 world.close()
                 self.assertEqual(violations, [])
 
-    def test_seeds_of_the_search_over_two_regions(self) -> None:
+    def test_seeded_worlds_of_two_regions(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        for seed in range(SEARCHED_REGIONS):
+        for seed in range(NUM_REGION_SEEDS):
             with self.subTest(seed=seed):
                 steps = REGIONS.random_steps(seed, STEPS_PER_WORLD)
                 world, violations = REGIONS.run(seed, steps)
@@ -51,14 +51,14 @@
     def test_turns_are_not_refused_by_reservations_of_another_region(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
-        broken = []
-        for seed in REFUSED_BY_ANOTHER_REGION:
+        found = []
+        for seed in REGION_BUDGET_REGRESSION_SEEDS:
             world, violations = REGIONS.run(seed, REGIONS.random_steps(seed, STEPS_PER_WORLD))
             world.close()
-            broken += violations
-        self.assertEqual(broken, [])
+            found += violations
+        self.assertEqual(found, [])
 
-    def test_a_search_reports_what_it_played(self) -> None:
+    def test_a_search_reports_its_steps(self) -> None:
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
         *_, report = SITE.search(seed=3, max_steps=60, max_s=600.0)
