--- a/src/bendshed/catalog/cold_runner_tracker.py
+++ b/src/bendshed/catalog/cold_runner_tracker.py
@@ -1,4 +1,4 @@
-"""Cold runners as one process knows them: the state, its clock and its log lines."""
+"""Tracks which runners are cold in one process, with a clock and log messages."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -12,42 +12,42 @@
 log = PartLog("cold")
 
 
-def _no_clock() -> float:
-    """Stands in until the process sets its clock; nothing ages before."""
+def _zero_clock() -> float:
+    """Default until the process sets its clock; no time passes before that."""
     return 0.0
 
 
 @dataclass(slots=True)
 class ColdRunnerTracker:
-    """Keeps which runners are cold, from the entries of the list and from openings of zones.
+    """Tracks which runners are cold, from runner list entries and reopened zones.
 
     Attributes:
-        clock: steady time in seconds, of the event loop.
+        clock: monotonic time of the event loop, in seconds.
 
     """
 
-    clock: Callable[[], float] = _no_clock
+    clock: Callable[[], float] = _zero_clock
     _state: ColdRunners = field(default_factory=ColdRunners)
 
     # --- updates ---------------------------------------------------------------------------
 
-    def take_document(self, document: ServiceDocument) -> None:
-        """Take the bounds and times of cold starts from a configuration that is in force."""
+    def apply_document(self, document: ServiceDocument) -> None:
+        """Use the rate limits and cold start times of the configuration in force."""
         self._state.services = document.services
 
-    def put(self, runner: ServiceRunner) -> None:
-        """A runner's entry is new or has changed."""
-        self._note(runner, self._state.note_listed, "its entry")
+    def note_listed(self, runner: ServiceRunner) -> None:
+        """Record a runner's entry that is new or has changed."""
+        self._update(runner, self._state.note_listed, "runner list entry")
 
-    def put_stored(self, runner: ServiceRunner) -> None:
-        """Take a runner's entry that an earlier incarnation persisted."""
-        self._note(runner, self._state.note_persisted, "kept, and of unknown age")
+    def note_persisted(self, runner: ServiceRunner) -> None:
+        """Record a runner's entry that was persisted before the process restarted."""
+        self._update(runner, self._state.note_persisted, "persisted, age unknown")
 
-    def confirm(self, runner: ServiceRunner) -> None:
-        """A runner's entry was received again, unchanged."""
-        self._note(runner, self._state.note_confirmed, "its entry")
+    def note_confirmed(self, runner: ServiceRunner) -> None:
+        """Record that a runner's entry was received again unchanged."""
+        self._update(runner, self._state.note_confirmed, "runner list entry")
 
-    def _note(
+    def _update(
         self,
         runner: ServiceRunner,
         note: Callable[[ServiceRunner, float], float],
@@ -56,19 +56,19 @@
         was_cold = self.is_cold(runner.runner_id)
         left_s = note(runner, self.clock())
         if left_s > 0 and not was_cold:
-            self._say_cold(runner.runner_id, left_s, reason)
+            self._log_cold(runner.runner_id, left_s, reason)
 
-    def vanish(self, runner_id: str) -> None:
-        """A runner is not listed any more."""
+    def note_removed(self, runner_id: str) -> None:
+        """Record that a runner is no longer listed."""
         self._state.note_vanished(runner_id)
 
-    def reopen(self, zone: str, at_s: float) -> None:
-        """A zone was opened again, at a time of ``clock``."""
+    def note_zone_reopened(self, zone: str, at_s: float) -> None:
+        """Record that a zone was reopened, at a time of ``clock`` in seconds."""
         for runner_id in self._state.note_reopened(zone, at_s):
             left_s = self._state.cold_left_ms(runner_id, self.clock()) / 1000
-            self._say_cold(runner_id, left_s, "its zone was opened again")
+            self._log_cold(runner_id, left_s, "zone reopened")
 
-    def _say_cold(self, runner_id: str, left_s: float, reason: str) -> None:
+    def _log_cold(self, runner_id: str, left_s: float, reason: str) -> None:
         rate = self._state.rate_of(runner_id)
         if rate > 0:
             log.say("runner is cold", runner=runner_id, for_s=left_s, reason=reason, rate=rate)
@@ -77,34 +77,34 @@
 
     @property
     def has_cold(self) -> bool:
-        """Whether any runner may be cold; checked first, since usually none is."""
+        """Whether any runner may be cold; a cheap check for the usual case of none."""
         return bool(self._state.cold_until_s)
 
     def is_cold(self, runner_id: str) -> bool:
-        """Whether a runner's rate is bounded now."""
+        """Whether a runner is cold, so that its request rate is limited."""
         if not self.has_cold:
             return False
         now_s = self.clock()
-        for warm in self._state.pop_warm(now_s):
-            if self._state.rate_of(warm) > 0:
-                log.say("runner is warm again", runner=warm)
+        for warm_id in self._state.pop_warm(now_s):
+            if self._state.rate_of(warm_id) > 0:
+                log.say("runner is warm again", runner=warm_id)
         return self._state.is_cold(runner_id, now_s)
 
-    def only_warm(self, records: Sequence[RunnerRecord]) -> Sequence[RunnerRecord]:
-        """The runners that get work without a permit."""
+    def filter_warm(self, records: Sequence[RunnerRecord]) -> Sequence[RunnerRecord]:
+        """Return the runners that need no permit because they are not cold."""
         if not self.has_cold:
             return records
         return [record for record in records if not self.is_cold(record.listed.runner_id)]
 
     def rate_of(self, runner_id: str) -> float:
-        """Requests a second that a runner serves while it is cold; 0: no bound."""
+        """Requests per second that a runner serves while it is cold; 0: no limit."""
         return self._state.rate_of(runner_id)
 
     def left_ms(self, runner_id: str) -> int:
-        """Time for which a runner is still cold, in milliseconds; 0: warm, as far as known."""
+        """Time until a runner is warm, in milliseconds; 0: warm, as far as known."""
         return self._state.cold_left_ms(runner_id, self.clock())
 
     @property
     def num_cold(self) -> int:
-        """Cold runners that are listed, of services with a bound."""
+        """Number of listed cold runners of services that limit the rate of cold runners."""
         return self._state.num_cold(self.clock()) if self.has_cold else 0
--- a/src/bendshed/catalog/server.py
+++ b/src/bendshed/catalog/server.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from bendshed.catalog.codec import add_zones, write_reply
+from bendshed.catalog.codec import add_zones, make_reply
 from bendshed.catalog.demand import Demand
-from bendshed.catalog.messages import ReadRequest, read_request
+from bendshed.catalog.messages import ReadRequest, decode_request
 from bendshed.catalog.relay_list import RelayList
 from bendshed.catalog.replica_catalog import ReplicaCatalog
 from bendshed.catalog.upstream import Upstream
@@ -18,7 +18,7 @@
 
 
 class CatalogServer:
-    """Sends each requesting node what it lacks, at once or when something changes."""
+    """Sends each requesting node what it lacks, at once or after the next change."""
 
     def __init__(
         self,
@@ -37,47 +37,49 @@
         self._upstream = upstream
 
     def start(self, transport: Transport) -> None:
-        """Answer from now on."""
-        transport.handlers[CATALOG_METHOD] = self.answer
-
-    async def answer(self, payload: bytes) -> bytes:
-        """Reply to a request as it came; one that brings no news waits as long as it may."""
-        request = read_request(payload)
-        self._note(request)
-        if not self._has_news(request):
+        """Register the request handler."""
+        transport.handlers[CATALOG_METHOD] = self.handle
+
+    async def handle(self, payload: bytes) -> bytes:
+        """Reply to an encoded request; with nothing new, wait for a change as long as allowed."""
+        request = decode_request(payload)
+        self._record_requester(request)
+        if not self._has_changes(request):
             await self._catalog.wait_for_change(request.wait_s)
         return self._reply(request).SerializeToString()
 
-    def _note(self, request: ReadRequest) -> None:
-        """Remember the requesting node, its zone, and whether it is cut off."""
-        if self._demand.note(request):
-            self._catalog.note_unsaved()
+    def _record_requester(self, request: ReadRequest) -> None:
+        """Record the requesting node, its zone, and whether it is cut off."""
+        if self._demand.record_request(request):
+            self._catalog.schedule_save()
         self._host_locations.put(request.requester.host, request.requester_zone)
         if not request.is_replica:
             self._relay_list.note_requester(request.requester, request.is_cut_off)
-        self._demand.follow()
+        self._demand.update_pace()
 
-    def _has_news(self, request: ReadRequest) -> bool:
-        """Whether a node must not wait for its reply."""
+    def _has_changes(self, request: ReadRequest) -> bool:
+        """Whether something is new for a node, so that it gets its reply at once."""
         catalog, zones = self._catalog.catalog, self._catalog.zones.record
         is_newer = catalog.version > request.document_version
         is_newer = is_newer or zones.changed_revision > request.zones_at
-        if is_newer or self._is_lost_for(request) or self._has_other_directory(request):
+        if is_newer or self._is_lost_for(request) or self._has_directory_changed(request):
             return True
         if request.runners_at > catalog.runners_at:
             return False
         changes = catalog.changes_since(request.runners_at)
         return bool(changes.runners or changes.removed)
 
-    def _has_other_directory(self, request: ReadRequest) -> bool:
+    def _has_directory_changed(self, request: ReadRequest) -> bool:
         return self._directory.digest() != request.directory_digest
 
     def _reply(self, request: ReadRequest) -> wire.CatalogReply:
-        reply = write_reply(self._catalog.catalog, request.runners_at, request.document_version)
+        reply = make_reply(self._catalog.catalog, request.runners_at, request.document_version)
         now_s = asyncio.get_running_loop().time()
         add_zones(reply, self._catalog.zones.record.make_update(now_s), request.zones_at)
         reply.age_ms = self._catalog.confirmations.age_ms()
-        reply.num_askers = max(self._demand.num_relying, self._upstream.num_relying_across_regions)
+        reply.num_askers = max(
+            self._demand.num_dependents, self._upstream.num_dependents_across_regions
+        )
         reply.is_lost = self._is_lost_for(request)
         self._add_directory(reply, request)
         if not request.is_replica:
@@ -85,19 +87,19 @@
         return reply
 
     def _relays_for(self, requester: Address) -> list[wire.PeerAddress]:
-        return self._relay_list.some_for(requester, self._demand.fronts_at_s)
+        return self._relay_list.choose_for(requester, self._demand.front_requested_at_s)
 
     def _is_lost_for(self, request: ReadRequest) -> bool:
-        """Whether a node must request the catalog elsewhere.
+        """Whether a node must follow another machine, since this one lost the registry.
 
-        A machine that lost the registry and follows one of another region may serve fronts, on
-        which no machine relies. Replica machines must not rely on it: it may follow them.
+        A machine that lost the registry and follows one of another region may serve fronts, which
+        no machine follows. Replica machines must not follow it, since it may follow them.
         """
         is_updated = self._upstream.is_updated_across_regions
         return self._catalog.is_lost and (request.is_replica or not is_updated)
 
     def _add_directory(self, reply: wire.CatalogReply, request: ReadRequest) -> None:
-        """Add the replica machines, unless the node has them as they are."""
+        """Add the replica machines, unless the node knows the current directory."""
         reply.directory_digest = self._directory.digest()
         if reply.directory_digest == request.directory_digest:
             return
--- a/src/bendshed/catalog/state.py
+++ b/src/bendshed/catalog/state.py
@@ -1,7 +1,7 @@
-"""What a replica machine knows of configuration and runners, by revision. Pure.
+"""Configuration and runners that a replica machine knows, by revision. Pure.
 
-Revisions are the registry's: one counter over all its changes. So updates of two machines can be
-compared, and a node that names the revision it knows gets just what changed since.
+Revisions come from the registry, which has one counter for all its changes. Hence updates of two
+machines can be compared, and a node that sends the revision it knows gets only later changes.
 """
 
 from collections import OrderedDict
@@ -14,7 +14,7 @@
 from bendshed.placement.zones import RunnerFilter
 
 MAX_REMOVED = 1_000
-"""Removals remembered; a node that knows less than the oldest gets the whole list."""
+"""Number of removals kept; a node that knows an older revision gets the whole list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,10 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Removal:
-    """A runner that is not listed any more.
+    """A runner that is no longer listed.
 
     Attributes:
-        is_trusted: the registry was well when it said so.
+        is_trusted: the registry had not failed recently when it reported the removal.
 
     """
 
@@ -44,12 +44,12 @@
     """What changed between two revisions.
 
     Attributes:
-        since: the requesting node's revision; 0: ``runners`` are all there are.
+        since: the requesting node's revision; 0: ``runners`` is the whole list.
 
     """
 
     since: int
-    at: int
+    revision: int
     runners: tuple[KnownRunner, ...]
     removed: tuple[Removal, ...]
 
@@ -58,13 +58,13 @@
 class Catalog:
     """The newest known configuration and runners.
 
-    Invariants: neither the document's version nor ``runners_at`` ever falls.
+    Invariants: neither the document's version nor ``runners_at`` ever decreases.
 
     Attributes:
         document: ``None``: none is known.
         runners_at: revision up to which the runners are known; 0: no list was read.
-        filter: which runners may get new work at all.
-        cold: cold runners, each from the time at which that was known here.
+        filter: which runners may get new work.
+        cold: cold runners, from the time at which this process learned of each.
 
     """
 
@@ -76,16 +76,16 @@
     _ready: dict[str, dict[str, ServiceRunner]] = field(default_factory=dict)
     _removed: "OrderedDict[str, Removal]" = field(default_factory=OrderedDict)
     _history_from: int = 0
-    _written: bytes = b""
-    _written_version: int = -1
+    _encoded: bytes = b""
+    _encoded_version: int = -1
 
-    def written(self, write: Callable[[ServiceDocument], bytes]) -> bytes:
-        """The document as it is sent, encoded once a version and not once a request."""
+    def encoded_document(self, encode: Callable[[ServiceDocument], bytes]) -> bytes:
+        """The encoded document, encoded once per version instead of once per request."""
         assert self.document is not None
-        if self._written_version != self.version:
-            self._written = write(self.document)
-            self._written_version = self.version
-        return self._written
+        if self._encoded_version != self.version:
+            self._encoded = encode(self.document)
+            self._encoded_version = self.version
+        return self._encoded
 
     @property
     def version(self) -> int:
@@ -94,90 +94,92 @@
 
     @property
     def runner_ids(self) -> Collection[str]:
-        """All that are listed, ready or not."""
+        """Identities of all listed runners, ready or not."""
         return self._runners.keys()
 
     def ready_runners(self, service: str, regions: Collection[str] | None) -> list[ServiceRunner]:
-        """Runners of a service that may get new work of some regions; ``None``: of any."""
+        """Ready runners of a service in allowed regions; ``None``: in all regions."""
         ready = self._ready.get(service, {}).values()
         if self.filter.allows_all(regions):
             return list(ready)
         return [runner for runner in ready if self.filter.allows(runner, regions)]
 
-    def take_document(self, document: ServiceDocument) -> bool:
-        """Take a newer document; ``False``: it is not newer."""
+    def apply_document(self, document: ServiceDocument) -> bool:
+        """Apply a newer document; ``False``: it is not newer."""
         if document.version <= self.version:
             return False
         self.document = document
-        self.cold.take_document(document)
+        self.cold.apply_document(document)
         return True
 
-    def list_runners(self, runners: Collection[KnownRunner], at: int, is_trusted: bool) -> bool:
-        """Take the whole list at a revision; ``False``: nothing changed."""
-        if at < self.runners_at:
+    def replace_runners(
+        self, runners: Collection[KnownRunner], revision: int, is_trusted: bool
+    ) -> bool:
+        """Replace the whole list as of a revision; ``False``: nothing changed."""
+        if revision < self.runners_at:
             return False
         listed = {known.runner.runner_id: known for known in runners}
         changed = False
         for runner_id in [name for name in self._runners if name not in listed]:
-            changed |= self.remove_runner(runner_id, at, is_trusted)
+            changed |= self.remove_runner(runner_id, revision, is_trusted)
         for known in runners:
             changed |= self.put_runner(known)
         if self.runners_at == 0:
-            self._history_from = at
+            self._history_from = revision
             changed = True
-        self.advance(at)
+        self.advance(revision)
         return changed
 
     def put_runner(self, known: KnownRunner) -> bool:
-        """Take one runner's state; ``False``: it is not newer."""
+        """Apply one runner's state; ``False``: it is not newer."""
         runner_id = known.runner.runner_id
-        held = self._runners.get(runner_id)
-        if held is not None and held.revision >= known.revision:
-            if held.revision == known.revision:
-                self.cold.confirm(known.runner)
+        current = self._runners.get(runner_id)
+        if current is not None and current.revision >= known.revision:
+            if current.revision == known.revision:
+                self.cold.note_confirmed(known.runner)
             return False
-        if held is not None:
-            self._set_ready(held.runner, False)
+        if current is not None:
+            self._set_ready(current.runner, False)
         self._runners[runner_id] = known
         self._set_ready(known.runner, known.runner.state is RunnerState.READY)
         self._removed.pop(runner_id, None)
-        self.cold.put(known.runner)
+        self.cold.note_listed(known.runner)
         return True
 
     def _set_ready(self, runner: ServiceRunner, is_ready: bool) -> None:
-        of_service = self._ready.setdefault(runner.service, {})
+        ready = self._ready.setdefault(runner.service, {})
         if is_ready:
-            of_service[runner.runner_id] = runner
+            ready[runner.runner_id] = runner
         else:
-            of_service.pop(runner.runner_id, None)
+            ready.pop(runner.runner_id, None)
 
-    def remove_runner(self, runner_id: str, at: int, is_trusted: bool) -> bool:
-        """A runner vanished from the list; ``False``: it was not known."""
-        held = self._runners.pop(runner_id, None)
-        if held is None:
+    def remove_runner(self, runner_id: str, revision: int, is_trusted: bool) -> bool:
+        """Remove a runner that is no longer listed; ``False``: it was not known."""
+        current = self._runners.pop(runner_id, None)
+        if current is None:
             return False
-        self._set_ready(held.runner, False)
-        self.cold.vanish(runner_id)
-        self._removed[runner_id] = Removal(runner_id, at, is_trusted)
+        self._set_ready(current.runner, False)
+        self.cold.note_removed(runner_id)
+        self._removed[runner_id] = Removal(runner_id, revision, is_trusted)
         while len(self._removed) > MAX_REMOVED:
             _, dropped = self._removed.popitem(last=False)
             self._history_from = max(self._history_from, dropped.revision)
         return True
 
     def begin_incarnation(self, clock: Callable[[], float]) -> None:
-        """What is known so far was saved by an earlier incarnation; time passes from now on."""
+        """Treat what is known so far as saved before a restart, and start the clock."""
         self.cold.clock = clock
         for known in self._runners.values():
-            self.cold.put_stored(known.runner)
+            self.cold.note_persisted(known.runner)
 
-    def advance(self, at: int) -> None:
-        """All changes up to this revision have been taken."""
-        self.runners_at = max(self.runners_at, at)
+    def advance(self, revision: int) -> None:
+        """Record that all changes up to a revision have been applied."""
+        self.runners_at = max(self.runners_at, revision)
 
     def changes_since(self, since: int) -> RunnerChanges:
-        """What a node that knows ``since`` lacks; everything, if that is too long ago."""
+        """Changes after revision ``since``, or everything if that is before the kept history."""
         if since < self._history_from or since > self.runners_at:
             return RunnerChanges(0, self.runners_at, tuple(self._runners.values()), ())
         runners = tuple(known for known in self._runners.values() if known.revision > since)
-        removed = tuple(gone for gone in self._removed.values() if gone.revision > since)
+        removed = tuple(removal for removal in self._removed.values() if removal.revision > since)
         return RunnerChanges(since, self.runners_at, runners, removed)
--- a/src/bendshed/platform/front.py
+++ b/src/bendshed/platform/front.py
@@ -12,7 +12,7 @@
 from bendshed.adapters.tcp_transport import TcpTransport
 from bendshed.catalog.reading import RegistryReading
 from bendshed.catalog.watcher import MAX_RETRY_GROWTH, KindHandler, KindWatcher
-from bendshed.catalog.zones import update_of_listing
+from bendshed.catalog.zones import make_registry_update
 from bendshed.gateway.forwarding import ForwardingApplication
 from bendshed.logs import PartLog
 from bendshed.model.service_document import ServiceDocument
@@ -79,26 +79,26 @@
         self._server = make_server(self._application)
         self._runners = self._watcher(
             names.RUNNER_KIND,
-            KindHandler(self._list_runners, self._on_runner, self._node.catalog.note_registry),
+            KindHandler(self._list_runners, self._on_runner, self._node.catalog.note_registry_read),
             self._short_watch_s(),
         )
         long_watch_s = times.idle_wait_s
         self._others = [
             self._watcher(
                 names.CONFIGURATION_KIND,
-                KindHandler.of_states(self._take_configuration),
+                KindHandler.of_items(self._take_configuration),
                 long_watch_s,
             ),
             self._watcher(
                 names.REPLICA_KIND,
-                KindHandler.of_states(self._take_replica),
+                KindHandler.of_items(self._take_replica),
                 long_watch_s,
             ),
         ]
         if times.follows_zones:
             handler = KindHandler.of_names(self._take_zones)
             zones = self._watcher(names.ZONE_CLOSURE_KIND, handler, times.zones_wait_s)
-            zones.is_quick_again = True
+            zones.is_first_watch_short = True
             self._others.append(zones)
         self._reading = RegistryReading(self._node.catalog, self._runners, self._others)
         self._node.forwarder.is_current = self._is_current
@@ -188,11 +188,11 @@
 
     def _list_runners(self, listed: ObjectList) -> None:
         runners = [read_runner(item) for item in listed.items]
-        self._node.replace_runners(runners, is_trusted=not self._runners.is_in_doubt)
+        self._node.replace_runners(runners, is_trusted=not self._runners.failed_recently)
 
     def _on_runner(self, event: ObjectEvent) -> None:
         if event.is_deleted:
-            trusted = not self._runners.is_in_doubt
+            trusted = not self._runners.failed_recently
             self._node.remove_runner(event.object.name, trusted)
         else:
             self._node.put_runner(read_runner(event.object))
@@ -202,7 +202,7 @@
             self._node.apply_document(read_document(item.spec))
 
     def _take_zones(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self._node.apply_zones(update_of_listing(names, at, gone))
+        self._node.apply_zones(make_registry_update(names, at, gone))
         self._node.zones.confirm(0.0)
 
     def _take_replica(self, item: StoredObject) -> None:
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -14,7 +14,7 @@
 from bendshed.catalog.state import KnownRunner
 from bendshed.catalog.times import ReadingPace
 from bendshed.catalog.watcher import KindHandler, KindWatcher
-from bendshed.catalog.zones import update_of_listing
+from bendshed.catalog.zones import make_registry_update
 from bendshed.consensus.sqlite_storage import open_or_replace
 from bendshed.logs import PartLog
 from bendshed.platform import names
@@ -74,12 +74,12 @@
         )
         self._configuration = self._watcher(
             names.CONFIGURATION_KIND,
-            KindHandler.of_states(self._take_configuration, partial(confirm, CatalogPart.DOCUMENT)),
+            KindHandler.of_items(self._take_configuration, partial(confirm, CatalogPart.DOCUMENT)),
         )
         self._replicas = KindWatcher(
             self._api,
             names.REPLICA_KIND,
-            KindHandler.of_states(self._take_replica),
+            KindHandler.of_items(self._take_replica),
             WATCH_S,
             self._rng,
             REPLICA_PACE_S,
@@ -93,7 +93,7 @@
             self._rng,
         )
         self._zones = self._watcher(names.ZONE_CLOSURE_KIND, KindHandler.of_names(self._take_zones))
-        self._zones.is_quick_again = True
+        self._zones.is_first_watch_short = True
         others = [self._configuration, self._replicas, self._retirements]
         if settings.catalog_times.follows_zones:
             others.append(self._zones)
@@ -101,7 +101,7 @@
         self._reading = RegistryReading(
             self._node.follower, self._runners, others, self._node.set_registry_lost
         )
-        self._node.demand.on_pace.append(self._set_pace)
+        self._node.demand.on_pace_change.append(self._set_pace)
 
     async def run(self, stopping: asyncio.Event) -> None:
         """Serve until ``stopping`` is set."""
@@ -120,32 +120,32 @@
     def _watcher(self, kind: str, handler: KindHandler) -> KindWatcher:
         pace = self._node.demand.pace
         return KindWatcher(
-            self._api, kind, handler, pace.wait_s, self._rng, pace.pace_s, RETRY_GROWTH
+            self._api, kind, handler, pace.wait_s, self._rng, pace.pause_s, RETRY_GROWTH
         )
 
     # --- what others rely on ---------------------------------------------------------------
 
     def _confirm_runners(self, at: int) -> None:
         self._node.catalog.confirm(CatalogPart.RUNNERS, at)
-        self._node.follower.note_registry(at)
+        self._node.follower.note_registry_read(at)
 
     def _set_pace(self, pace: ReadingPace) -> None:
         for watcher in (self._runners, self._configuration):
-            watcher.set_pace(pace.wait_s, pace.pace_s)
-        self._zones.set_pace(pace.zones_wait_s, pace.pace_s)
+            watcher.set_pace(pace.wait_s, pace.pause_s)
+        self._zones.set_pace(pace.zones_wait_s, pace.pause_s)
 
     def _take_zones(self, names: frozenset[str], at: int, gone: frozenset[str]) -> None:
-        self._node.take_zones(update_of_listing(names, at, gone))
+        self._node.apply_zones(make_registry_update(names, at, gone))
 
     def _list_runners(self, listed: ObjectList) -> None:
         runners = [KnownRunner(read_runner(item), item.revision) for item in listed.items]
-        trusted = not self._runners.is_in_doubt
-        self._node.catalog.list_runners(runners, listed.revision, trusted)
+        trusted = not self._runners.failed_recently
+        self._node.catalog.replace_runners(runners, listed.revision, trusted)
 
     def _on_runner(self, event: ObjectEvent) -> None:
         item = event.object
         if event.is_deleted:
-            trusted = not self._runners.is_in_doubt
+            trusted = not self._runners.failed_recently
             self._node.catalog.remove_runner(item.name, event.revision, trusted)
         else:
             self._node.catalog.put_runner(KnownRunner(read_runner(item), item.revision))
@@ -153,8 +153,8 @@
     def _take_configuration(self, item: StoredObject) -> None:
         if item.name == names.CONFIGURATION_NAME:
             document = read_document(item.spec)
-            self._node.catalog.take_document(document)
-            self._node.follower.note_known(document.version, 0)
+            self._node.catalog.apply_document(document)
+            self._node.follower.note_revisions(document.version, 0)
 
     # --- replicas and retirements ----------------------------------------------------------
 
--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -11,7 +11,7 @@
 from bendshed.catalog.server import CATALOG_METHOD
 from bendshed.catalog.state import KnownRunner
 from bendshed.catalog.times import CatalogTimes
-from bendshed.catalog.zones import ZoneKeeper
+from bendshed.catalog.zones import ClosedZoneTracker
 from bendshed.consensus.directory import ReplicaDirectory
 from bendshed.consensus.group_client import GroupClient
 from bendshed.logs import PartLog
@@ -108,7 +108,7 @@
         self._places = location.places
         self._zones_lag_s = times.zones_lag_s
         self._pool = connections
-        self.zones = ZoneKeeper(location.places)
+        self.zones = ClosedZoneTracker(location.places)
         self._table = self._build_table()
         self._relayed_requests = RelayedRequests(
             transport, rng, self._other_nodes, RELAYED_METHODS, self.host_locations
@@ -142,7 +142,7 @@
 
     def _build_table(self) -> RunnerTable:
         table = RunnerTable(filter=self.zones.filter, cold=ColdRunnerTracker(clock=_loop_time))
-        self.zones.on_zone_opened.append(table.cold.reopen)
+        self.zones.on_zone_opened.append(table.cold.note_zone_reopened)
         return table
 
     def _build_turn_ports(
@@ -272,8 +272,8 @@
         if before is not None and document.version <= before:
             return False
         self.forwarder.index = RouteIndex(document)
-        self._table.cold.take_document(document)
-        self.catalog.note_known(document.version, 0)
+        self._table.cold.apply_document(document)
+        self.catalog.note_revisions(document.version, 0)
         log.say(
             "configuration in force",
             version=document.version,
@@ -315,9 +315,9 @@
 
         Requests already running there complete; no new request is dispatched there.
         """
-        self.zones.take(update)
+        self.zones.apply(update)
         self._table.filter = self.zones.filter
-        self.catalog.note_zones(update.zones.revision)
+        self.catalog.note_zones_revision(update.zones.revision)
 
     def confirm_zones(self, age_s: float) -> None:
         """Record the age of the registry's last confirmation; closed zones may lag behind it."""
@@ -345,7 +345,7 @@
     def __init__(self, node: ServiceNode) -> None:
         self._node = node
 
-    def take_document(self, document: ServiceDocument) -> bool:
+    def apply_document(self, document: ServiceDocument) -> bool:
         """Apply a configuration; an older one changes nothing."""
         return self._node.apply_document(document)
 
@@ -357,11 +357,11 @@
         """Remove a runner that is no longer listed."""
         self._node.remove_runner(runner_id, is_trusted)
 
-    def list_runners(self, runners: list[KnownRunner], _at: int, is_trusted: bool) -> None:
+    def replace_runners(self, runners: list[KnownRunner], _at: int, is_trusted: bool) -> None:
         """Replace the list of runners."""
         self._node.replace_runners([known.runner for known in runners], is_trusted)
 
-    def take_zones(self, update: ZoneUpdate) -> None:
+    def apply_zones(self, update: ZoneUpdate) -> None:
         """Apply an update of the closed zones."""
         self._node.apply_zones(update)
 
--- a/src/bendshed/turns/node.py
+++ b/src/bendshed/turns/node.py
@@ -6,7 +6,7 @@
 
 from bendshed.admission.quota_limits import NO_TOLERANCE, QuotaTolerance
 from bendshed.catalog.confirmations import CatalogPart
-from bendshed.catalog.replica_parts import CatalogSurroundings, ReplicaCatalogParts
+from bendshed.catalog.replica_parts import CatalogDependencies, ReplicaCatalogParts
 from bendshed.catalog.times import CatalogTimes
 from bendshed.consensus.directory import ReplicaDirectory
 from bendshed.consensus.election_timer import SINGLE_REGION_ORDER, ElectionOrder
@@ -126,7 +126,7 @@
             ports.transport, rng, settings.groups, self.directory, self.host_locations
         )
         self.supervisor = self._build_supervisor(location, ports, settings, peers)
-        surroundings = CatalogSurroundings(
+        surroundings = CatalogDependencies(
             ports.transport,
             self.directory,
             self.host_locations,
@@ -250,14 +250,14 @@
 
     def set_registry_lost(self, is_lost: bool) -> None:
         """Record whether this machine has lost the registry; if so, nodes use other replicas."""
-        self.catalog.set_lost(is_lost)
-        self.follower.note_own_reading(is_lost)
+        self.catalog.set_registry_lost(is_lost)
+        self.follower.note_registry_lost(is_lost)
 
-    def take_zones(self, update: ZoneUpdate) -> None:
+    def apply_zones(self, update: ZoneUpdate) -> None:
         """Apply the closed zones as read from the registry itself."""
-        self.catalog.take_zones(update)
+        self.catalog.apply_zones(update)
         self.catalog.confirm(CatalogPart.ZONES, update.zones.revision)
-        self.follower.note_zones(update.zones.revision)
+        self.follower.note_zones_revision(update.zones.revision)
 
     def start(self) -> None:
         """Start all parts."""
@@ -266,7 +266,7 @@
         self._service.start()
         self._catalog_parts.start()
         self._tasks = [
-            *(start_loop(loop, "catalog") for loop in self._catalog_parts.loops()),
+            *(start_loop(loop, "catalog") for loop in self._catalog_parts.background_loops()),
             start_loop(self._load_exchange.run(), "loads"),
             start_loop(self._service.monitor_majority(), "turns"),
             start_loop(self._service.withdraw_unanswered(), "turns"),
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -6,7 +6,7 @@
 import orjson
 
 from bendshed.admission.access import AccessIndex
-from bendshed.catalog.codec import StoredCatalog, decode_stored, encode_stored, read_document
+from bendshed.catalog.codec import StoredCatalog, decode_document, decode_stored, encode_stored
 from bendshed.catalog.state import Catalog
 from bendshed.errors import Refusal
 from bendshed.identifiers import credential_digest
@@ -156,9 +156,9 @@
     def test_no_credential_stands_in_what_is_kept_told_or_shown(self) -> None:
         known = document()
         catalog = Catalog()
-        catalog.take_document(known)
+        catalog.apply_document(known)
         kept = encode_stored(StoredCatalog(catalog))
-        told = catalog.written(lambda row: orjson.dumps(orjson.loads(_plain(row))))
+        told = catalog.encoded_document(lambda row: orjson.dumps(orjson.loads(_plain(row))))
         asked = request(authorization(f"Token {KEY}"))
         for place in (kept, told, repr(known).encode(), repr(asked).encode()):
             self.assertNotIn(KEY.encode(), place)
@@ -167,7 +167,7 @@
 
     def test_a_document_kept_as_plain_json_opens(self) -> None:
         known = document()
-        self.assertEqual(read_document(_plain(known)), known)
+        self.assertEqual(decode_document(_plain(known)), known)
 
 
 def _plain(known: ServiceDocument) -> bytes:
--- a/tests/test_follower_ways.py
+++ b/tests/test_relayed_follower.py
@@ -1,4 +1,4 @@
-"""An asker of the catalog behind a cut: relays give up what waits, so it does not wait there."""
+"""A follower that reaches its source only through relays, which time out requests that wait."""
 
 import asyncio
 import random
@@ -20,18 +20,18 @@
 
 TIMES = CatalogTimes.within(3.0, 20.0)
 STORE = Address("store", 7000)
-PLAYED_S = 6.0
+SIMULATED_S = 6.0
 
 
-class Taker:
-    """Takes what it is told."""
+class RecordingSink:
+    """Applies updates to a catalog and records the revisions of closed zones."""
 
     def __init__(self) -> None:
         self.catalog = Catalog()
-        self.zones_taken: list[int] = []
+        self.zone_revisions: list[int] = []
 
-    def take_document(self, document: ServiceDocument) -> bool:
-        return self.catalog.take_document(document)
+    def apply_document(self, document: ServiceDocument) -> bool:
+        return self.catalog.apply_document(document)
 
     def put_runner(self, known: KnownRunner) -> None:
         self.catalog.put_runner(known)
@@ -39,18 +39,18 @@
     def remove_runner(self, runner_id: str, at: int, is_trusted: bool) -> None:
         self.catalog.remove_runner(runner_id, at, is_trusted)
 
-    def list_runners(self, runners: list[KnownRunner], at: int, is_trusted: bool) -> None:
-        self.catalog.list_runners(runners, at, is_trusted)
+    def replace_runners(self, runners: list[KnownRunner], at: int, is_trusted: bool) -> None:
+        self.catalog.replace_runners(runners, at, is_trusted)
 
-    def take_zones(self, word: ZoneUpdate) -> None:
-        self.zones_taken.append(word.zones.revision)
+    def apply_zones(self, update: ZoneUpdate) -> None:
+        self.zone_revisions.append(update.zones.revision)
 
     def confirm_all(self, age_s: float, runners_at: int) -> None:
         pass
 
 
-class Relays:
-    """Requests that only others pass on; remembers how long each was to wait."""
+class RecordingRelays:
+    """Replies to relayed requests and records the wait that each asked for."""
 
     def __init__(self, zones_at: int = 0) -> None:
         self.waits_ms: list[int] = []
@@ -68,9 +68,9 @@
         return reply.SerializeToString()
 
 
-class BehindACutTest(unittest.TestCase):
-    def follow(self, relays: Relays, times: CatalogTimes, knows_zones_at: int = 0) -> bool:
-        """Whether an asker counts as informed that is told this for some seconds."""
+class RelayedFollowerTest(unittest.TestCase):
+    def follow(self, relays: RecordingRelays, times: CatalogTimes, known_zones_at: int = 0) -> bool:
+        """Whether a follower that gets these replies for some seconds is fresh."""
         loop = VirtualTimeLoop()
         asyncio.set_event_loop(loop)
         self.addCleanup(loop.close)
@@ -78,37 +78,37 @@
         transport = SimTransport(network, SimProcess("front"), Address("front", 7000))
         directory = ReplicaDirectory()
         directory.put(ReplicaNode("store", "n1", STORE, "a"))
-        self.taker = taker = Taker()
+        self.sink = sink = RecordingSink()
         follower = CatalogFollower(
-            FollowerPaths(transport, relays, HostLocations(), is_cut=lambda _peer: True),
+            FollowerPaths(transport, relays, HostLocations(), is_relay_only=lambda _peer: True),
             directory,
-            taker,
+            sink,
             Address("front", 7000),
             times,
             random.Random(2),
         )
-        follower.note_zones(knows_zones_at)
-        asking = loop.create_task(follower.run())
-        loop.run_until_complete(asyncio.sleep(PLAYED_S))
-        asking.cancel()
+        follower.note_zones_revision(known_zones_at)
+        following = loop.create_task(follower.run())
+        loop.run_until_complete(asyncio.sleep(SIMULATED_S))
+        following.cancel()
         return follower.is_fresh
 
-    def test_it_asks_without_waiting_there_and_no_more_often(self) -> None:
-        relays = Relays()
+    def test_relayed_requests_do_not_wait_and_keep_the_interval(self) -> None:
+        relays = RecordingRelays()
         self.assertTrue(self.follow(relays, TIMES))
         self.assertEqual(set(relays.waits_ms), {0})
-        self.assertLessEqual(len(relays.waits_ms), PLAYED_S / TIMES.interval_s + 2)
-        self.assertGreater(len(relays.waits_ms), PLAYED_S / TIMES.interval_s / 2)
+        self.assertLessEqual(len(relays.waits_ms), SIMULATED_S / TIMES.interval_s + 2)
+        self.assertGreater(len(relays.waits_ms), SIMULATED_S / TIMES.interval_s / 2)
 
-    def test_it_is_informed_only_by_who_knows_the_closed_zones_as_well(self) -> None:
+    def test_fresh_only_if_the_source_knows_the_closed_zones(self) -> None:
         times = CatalogTimes.within(3.0, 20.0, 5.0)
-        self.assertFalse(self.follow(Relays(zones_at=0), times))
-        self.assertTrue(self.follow(Relays(zones_at=9), times, knows_zones_at=9))
-        self.assertTrue(self.follow(Relays(zones_at=0), TIMES))
+        self.assertFalse(self.follow(RecordingRelays(zones_at=0), times))
+        self.assertTrue(self.follow(RecordingRelays(zones_at=9), times, known_zones_at=9))
+        self.assertTrue(self.follow(RecordingRelays(zones_at=0), TIMES))
 
-    def test_who_heard_newer_closed_zones_elsewhere_keeps_them_and_is_informed(self) -> None:
+    def test_newer_known_closed_zones_are_kept_and_the_node_is_fresh(self) -> None:
         times = CatalogTimes.within(3.0, 20.0, 5.0)
-        self.assertTrue(self.follow(Relays(zones_at=8), times, knows_zones_at=9))
-        self.assertEqual(self.taker.zones_taken, [])
-        self.assertTrue(self.follow(Relays(zones_at=10), times, knows_zones_at=9))
-        self.assertEqual(self.taker.zones_taken, [10])
+        self.assertTrue(self.follow(RecordingRelays(zones_at=8), times, known_zones_at=9))
+        self.assertEqual(self.sink.zone_revisions, [])
+        self.assertTrue(self.follow(RecordingRelays(zones_at=10), times, known_zones_at=9))
+        self.assertEqual(self.sink.zone_revisions, [10])
--- a/tests/test_zone_worlds.py
+++ b/tests/test_zone_worlds.py
@@ -161,7 +161,7 @@
     def test_no_front_is_fresh_while_its_zones_are_outdated(self) -> None:
         """The registry answers all other reads, but replica machines take in no zones any more."""
         self.assertTrue(self.is_fresh())
-        with mock.patch.object(TurnLogNode, "take_zones", lambda _node, _update: None):
+        with mock.patch.object(TurnLogNode, "apply_zones", lambda _node, _update: None):
             self.world.close_zone(ZONE)
             assert TIMES.zones_lag_s is not None
             self.world.run_for(TIMES.max_age_s + TIMES.zones_lag_s + 0.2)
@@ -195,7 +195,7 @@
             zones_at=zones_at,
         )
         began_s = self.world.loop.time()
-        answering = reader._catalog_parts.server.answer(request.SerializeToString())
+        answering = reader._catalog_parts.server.handle(request.SerializeToString())
         content = self.world.loop.run_until_complete(answering)
         return wire.CatalogReply.FromString(content), self.world.loop.time() - began_s
 
