--- a/src/bendshed/services/node.py
+++ b/src/bendshed/services/node.py
@@ -257,7 +257,8 @@
             await client.find_leader(client.home_group)
             while True:
                 await asyncio.sleep(PROBE_INTERVAL_S)
-                # A request that its caller gave up shows a failed path but no loss of the turn log.
+                # A request that its caller gave up shows that a path failed, not that the turn log
+                # is lost.
                 # While the node rejects turns as isolated, only a probe shows that others answer.
                 if client.unreachable_since_s is not None or client.is_isolated:
                     await client.probe()
--- a/src/bendshed/services/turn_codec.py
+++ b/src/bendshed/services/turn_codec.py
@@ -44,7 +44,7 @@
     tenant: str
 
     def encode_begin(self, num_groups: int) -> wire.BeginTurn:
-        """Encode the reservation of the turn's maximum cost; the groups share its budget."""
+        """Encode the reservation of the maximum cost; ``num_groups`` groups share the budget."""
         turn = self._turn
         return wire.BeginTurn(
             program_id=self.request.program_id,
