--- a/src/bendshed/turns/cold_admission.py
+++ b/src/bendshed/turns/cold_admission.py
@@ -88,7 +88,7 @@
     are withheld from new programs.
 
     Attributes:
-        tracker: knows which runners are cold.
+        tracker: tracks which runners are cold.
         rate_limit: bound on the request rate to a cold runner.
         num_leaders: number of turn log groups, whose leaders share the bound.
         permit_counts: recently granted permits.
--- a/src/bendshed/turns/refused_begins.py
+++ b/src/bendshed/turns/refused_begins.py
@@ -1,7 +1,7 @@
 """Remembers begins that the leader has refused, so that duplicates get the same answer; no I/O.
 
 A node resends a begin that was not answered, and also sends it through a relay while the direct
-path is silent. A duplicate that is granted after the caller was told of the refusal would reserve
+path is silent. A duplicate that is granted after the refusal was sent to the caller would reserve
 tokens that no end ever releases. Owns the recent refusals of one group, kept only in the leader's
 memory.
 """
--- a/src/bendshed/turns/service.py
+++ b/src/bendshed/turns/service.py
@@ -150,7 +150,7 @@
         The answer is ``BUDGET_SPENT`` or ``BUDGET_RESERVED`` only if every other group has answered
         and all shares together do not cover the turn. Otherwise it remains ``OTHER_GROUP``: the
         requesting node may reach a group that did not answer here, and tokens in transit between
-        groups count a moment later.
+        groups count only once they have arrived.
         """
         state, _ = group.leader_state()
         refusal = self._rejected_by_preview(command.begin, state)
@@ -171,7 +171,7 @@
         turn_id = command.begin.turn_id
         group = self._groups.get(command.group)
         if group is not None and reply.answer != wire.TURN_ANSWER_UNAVAILABLE:
-            # An unavailable begin may be committed later: its reservation expires by itself.
+            # A begin of unknown outcome may be committed later: its reservation expires by itself.
             group.quotas.settle_turn(turn_id)
         if reply.answer in NOT_DISPATCHED_ANSWERS:
             self._placement.cancel_turn(turn_id, asyncio.get_running_loop().time())
--- a/src/bendshed/turns/shares.py
+++ b/src/bendshed/turns/shares.py
@@ -40,8 +40,8 @@
         """Return why this group's share does not cover a turn, given the use in all groups.
 
         ``SUFFICIENT``: neither spent nor reserved tokens explain it. While groups take shares from
-        each other at the same time, tokens in transit belong to no group for a moment; a group that
-        did not answer may hold them too.
+        each other at the same time, tokens in transit belong to no group until they arrive; a group
+        that did not answer may hold them too.
         """
         if not self.is_complete:
             return BudgetStatus.SUFFICIENT
--- a/src/bendshed/turns/turn_placement.py
+++ b/src/bendshed/turns/turn_placement.py
@@ -93,7 +93,10 @@
     def _choose_permitted(
         self, ask: wire.RunnerAsk, runners: Sequence[ServiceRunner], now_s: float
     ) -> str:
-        """Place a turn by cluster load, another request by permits: its end is not reported."""
+        """Place a turn by cluster load, and any other request by its permits.
+
+        The cluster load excludes other requests, since their ends are not reported.
+        """
         demand = ask.demand
         if not demand.parts:
             avoided = frozenset(demand.avoided)
@@ -134,7 +137,7 @@
         self.cluster_load.end(ended, now_s)
 
     def cancel_turn(self, turn_id: str, now_s: float) -> None:
-        """Remove a placed turn from the load that was rejected afterwards."""
+        """Remove from the load a turn that was rejected after its placement."""
         self.cluster_load.end(EndedTurn(turn_id), now_s)
 
     def _memory_tokens(self, service: str) -> int:
