--- a/src/bendshed/placement/cold_runners.py
+++ b/src/bendshed/placement/cold_runners.py
@@ -72,7 +72,7 @@
     def note_listed(self, runner: ServiceRunner, now_s: float) -> float:
         """Record a runner's new entry; return for how long the runner is cold, in seconds.
 
-        If the entry had vanished, the runner may have stopped meanwhile, so it counts as just
+        If the entry had vanished, the runner may have stopped in that time, so it counts as just
         started.
         """
         left_s = runner.cold_left_ms / 1000
--- a/src/bendshed/placement/distance.py
+++ b/src/bendshed/placement/distance.py
@@ -22,8 +22,8 @@
 leader's start. Measured were 1 to 3 ms between zones of a region and 60 ms between regions."""
 NEW_CONNECTION_COST_MS = 30.0
 """Cost, in milliseconds, of a new connection in addition to its round trip: the handshake occupies
-a slot, and operators pay for connections. At 60 ms, bursts gathered on few runners, and a day's
-score of worth served was 0.60 to 0.73 in the burst."""
+a slot, and operators pay for connections. At 60 ms, bursts were concentrated on few runners, and
+the score for the worth of the work served in a day's burst was 0.60 to 0.73."""
 ANSWER_TOKEN_BYTES = 8
 """Estimated bytes of an answer per token: four of text and four of event framing. Used only if the
 cost of bytes or the link's rate is configured; both are unset by default."""
--- a/src/bendshed/placement/placement_cost.py
+++ b/src/bendshed/placement/placement_cost.py
@@ -43,8 +43,8 @@
 turn, which costs the length of a turn."""
 STALL_TURN_LENGTHS = 4.0
 """A runner counts as slow if turns run there and none has ended for this many mean turn lengths.
-Counted from the latest end: counted from the oldest turn's begin, one stuck turn in 24 marked its
-runner as slow."""
+The time counts from the latest end. When it counted from the oldest turn's begin, one stuck turn in
+24 marked its runner as slow."""
 SLOWNESS_THRESHOLD = 2.5
 """Ratio to the pool's median time between events from which on a runner counts as slow. Smaller
 ratios occur by chance: in a burst, prefills in between make a mean of three turns 1.5 times as
--- a/src/bendshed/placement/zones.py
+++ b/src/bendshed/placement/zones.py
@@ -78,7 +78,7 @@
     Attributes:
         zones: closed zones of the newest update.
         changed_revision: revision of the update that last changed which zones are closed.
-        closed_since_s: steady time at which this node learned of each closing.
+        closed_since_s: steady time at which this node received each closing.
         opened_at_s: steady time of reopenings, for ``REOPENED_KNOWN_S``.
 
     """
