--- a/src/bendshed/routing/scheduler.py
+++ b/src/bendshed/routing/scheduler.py
@@ -18,7 +18,8 @@
 """Waiting time, in seconds, that makes a call more urgent by one priority."""
 RECHECK_INTERVAL_S = 0.25
 KV_MOVE_COST_REQUESTS = 3.0
-"""Queued requests that leaving the runner with the cache must save at least."""
+"""A call leaves the runner with its cache only if at least this many requests, the call included,
+would be queued there."""
 
 
 @dataclass(slots=True)
