--- a/tests/test_budget_shares.py
+++ b/tests/test_budget_shares.py
@@ -66,14 +66,14 @@
         self.apply(group, finish=finish)
 
     def release(self, releasing_group: int) -> wire.TurnReply:
-        ask = wire.ReleaseShare(
+        request = wire.ReleaseShare(
             program_id="p",
             to_group=1 - releasing_group,
             budget_tokens=BUDGET,
             num_groups=2,
             retention_ms=RETENTION_MS,
         )
-        return self.apply(releasing_group, release=ask)
+        return self.apply(releasing_group, release=request)
 
     def take(self, taking_group: int, released: int) -> None:
         share = wire.TakeShare(
--- a/tests/test_cold_runner_dispatch.py
+++ b/tests/test_cold_runner_dispatch.py
@@ -280,15 +280,15 @@
     def is_permitted(self, program: int, left: int, now_s: float) -> bool:
         """Whether a turn may be dispatched."""
         while self.cold.permit_counts.leadership._updated_s < now_s:
-            looked_s = self.cold.permit_counts.leadership._updated_s
-            self.cold.permit_counts.leadership.update(1, True, min(now_s, looked_s + 0.1))
+            updated_s = self.cold.permit_counts.leadership._updated_s
+            self.cold.permit_counts.leadership.update(1, True, min(now_s, updated_s + 0.1))
         is_new = left == self.TURNS
         message = PermitRequest(f"t{program}.{left}", f"p{program}", is_new)
-        openings = self.cold.permitted_runners(self.pool, message, now_s)
-        if not openings.runners:
+        permitted = self.cold.permitted_runners(self.pool, message, now_s)
+        if not permitted.runners:
             self.cold.reject(self.pool, message, now_s)
             return False
-        chosen = self.cold.least_loaded(openings.runners, message.request_id, "z", (), now_s)
+        chosen = self.cold.least_loaded(permitted.runners, message.request_id, "z", (), now_s)
         self.cold.grant(chosen, message, now_s)
         return True
 
@@ -420,12 +420,12 @@
         )
 
     async def test_permit_expiry_counts_from_the_request(self) -> None:
-        asked_s = asyncio.get_running_loop().time()
+        requested_s = asyncio.get_running_loop().time()
         permit = await self.request_permit(wire.TurnReply(runner_id="a", permit_ms=250))
         assert isinstance(permit, RunnerPermit)
         self.assertEqual(permit.runner_id, "a")
         answered_s = asyncio.get_running_loop().time()
-        self.assertTrue(asked_s + 0.25 <= permit.permit.until_s <= answered_s + 0.25)
+        self.assertTrue(requested_s + 0.25 <= permit.permit.until_s <= answered_s + 0.25)
 
     async def test_no_room_refusal_has_a_retry_time(self) -> None:
         no_room = wire.TurnReply(answer=wire.TURN_ANSWER_NO_ROOM, retry_after_ms=400)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -321,8 +321,8 @@
     def test_no_call_is_admitted_without_a_valid_allowance(self) -> None:
         self.assertFalse(self.allowances.try_admit("t", 0.0))
         self.allowances.add_allowance("t", 2, 0.0)
-        spent = [self.allowances.try_admit("t", 0.1) for _ in range(3)]
-        self.assertEqual(spent, [True, True, False])
+        admitted = [self.allowances.try_admit("t", 0.1) for _ in range(3)]
+        self.assertEqual(admitted, [True, True, False])
         self.allowances.add_allowance("t", 4, 0.2)
         self.assertFalse(self.allowances.try_admit("t", 0.2 + ALLOWANCE_VALID_S))
 
@@ -337,8 +337,8 @@
     def test_new_allowance_does_not_revive_an_expired_one(self) -> None:
         self.allowances.add_allowance("t", 5, 0.0)
         self.allowances.add_allowance("t", 2, 5.0)
-        spent = [self.allowances.try_admit("t", 5.1) for _ in range(3)]
-        self.assertEqual(spent, [True, True, False])
+        admitted = [self.allowances.try_admit("t", 5.1) for _ in range(3)]
+        self.assertEqual(admitted, [True, True, False])
 
     def test_admitted_calls_are_reported_until_committed(self) -> None:
         self.allowances.record_admitted("t", 1, 0.0)
--- a/tests/test_turn_groups.py
+++ b/tests/test_turn_groups.py
@@ -306,8 +306,8 @@
             assert machine.replica is not None
             for number, group in machine.replica.host.groups.items():
                 tenants = {tenant for tenant, _ in group.state.turns}  # type: ignore[attr-defined]
-                held = {self.layout.groups.home_group_of_tenant(tenant) for tenant in tenants}
-                self.assertLessEqual(held, {number})
+                homes = {self.layout.groups.home_group_of_tenant(tenant) for tenant in tenants}
+                self.assertLessEqual(homes, {number})
         self.assert_no_violations()
 
 
