--- a/src/bendshed/admission/standing_reservations.py
+++ b/src/bendshed/admission/standing_reservations.py
@@ -11,7 +11,7 @@
 (``turn_ends.py``: a pause and a timeout). A reservation that lasts longer belongs to a long-running
 turn, or to a turn whose front is unreachable."""
 RESERVED_RETRY_AFTER_MS = 300
-"""Retry time of a turn that is blocked only by reservations: after some commits."""
+"""Retry time of a turn that is blocked only by reservations; several commits take less."""
 STANDING_RETRY_AFTER_MS = 1_000
 """Retry time of a turn that is blocked by standing reservations."""
 MAX_PROGRAMS = 10_000
