--- a/src/bendshed/placement/spill.py
+++ b/src/bendshed/placement/spill.py
@@ -25,7 +25,7 @@
 """Share of the link's rate for bodies and answers of redirected turns. Protects other traffic on
 the link (replication, catalog) from delays."""
 LINK_BURST_S = 0.5
-"""Size of a burst of redirected bytes, in seconds of their rate."""
+"""Size of a burst of redirected bytes, in seconds of the rate that they may use."""
 BYTES_PER_MBIT = 125_000
 
 
