--- a/src/bendshed/consensus/bootstrap.py
+++ b/src/bendshed/consensus/bootstrap.py
@@ -89,7 +89,10 @@
         return True
 
     async def _initial_voters(self, group_id: int) -> list[str]:
-        """Read the bootstrap record, or write it if there is none; empty: the registry is down."""
+        """Read the bootstrap record, or write it if there is none.
+
+        Returns an empty list if the registry is unavailable.
+        """
         try:
             voters = await self._registry.bootstrap_voters(group_id)
             if voters:
--- a/src/bendshed/consensus/election_timer.py
+++ b/src/bendshed/consensus/election_timer.py
@@ -9,7 +9,7 @@
 RANK_DELAY_TICKS = 3
 """Delay between the first attempts of two followers: enough for an election within a region."""
 CROSS_REGION_RANK_DELAY_TICKS = 5
-"""The same where votes may come from another region: enough for two round trips of 60 ms."""
+"""The same delay where votes may come from another region: enough for two round trips of 60 ms."""
 RANK_JITTER_TICKS = 2
 STARTUP_DELAY_TICKS = 2
 STARTUP_RANK_DELAY_TICKS = 2
--- a/src/bendshed/consensus/group_client.py
+++ b/src/bendshed/consensus/group_client.py
@@ -23,7 +23,7 @@
 MIN_CONCLUSIVE_ROUND_TRIPS = 2.0
 """A timeout shorter than this many round trips does not show that the node is unavailable."""
 MIN_CONCLUSIVE_TIMEOUT_S = 0.06
-"""The same for a nearby node, whose commit may wait for remote replicas."""
+"""The same bound for a nearby node, whose commit may wait for remote replicas."""
 RETRY_MIN_S = 0.02
 RETRY_MAX_S = 0.2
 
@@ -43,8 +43,8 @@
 class GroupClient:
     """Sends commands to group leaders; every command must be safe to send again.
 
-    Invariant: a failed attempt clears only the leader that it assumed itself; what another attempt
-    has learned meanwhile stays.
+    Invariant: a failed attempt clears only the leader that it assumed itself, not one that another
+    attempt has recorded since.
 
     Attributes:
         leaders: group -> node id of the last reported leader (a hint).
@@ -160,16 +160,15 @@
         return LeaderAnswer(target, content)
 
     def round_trip_to_leader_s(self, group_id: int) -> float:
-        """Expected round trip to the presumed leader: its minimum response time; 0: none known."""
+        """Minimum response time of the presumed leader: the expected round trip; 0 without one."""
         address = self._resolve(self.leaders.get(group_id, ""))
         return self._expected_round_trip_s(address) if address is not None else 0.0
 
     def follow_hint(self, group_id: int, hint: str, hinted_by: str) -> None:
-        """Follow the leader hint of a node that does not lead the group; empty: it knows none.
+        """Follow the leader hint of a node that does not lead the group; may be empty.
 
-        Followers name a dead leader until they miss it, so one that was silent within
-        ``SILENT_NODE_BACKOFF_S``
-        is not tried again for their hint.
+        Followers name a dead leader until their election timeout, so a leader that was silent
+        within ``SILENT_NODE_BACKOFF_S`` is not tried again because of their hint.
         """
         if hint and not self._is_backed_off(hint):
             self.leaders[group_id] = hint
--- a/src/bendshed/consensus/host.py
+++ b/src/bendshed/consensus/host.py
@@ -346,7 +346,7 @@
             self._report_persisted(writes)
 
     async def _commit_with_retries(self, writes: list[GroupWrite]) -> None:
-        """Commit, and retry while the disk is full or fails; nothing is acknowledged meanwhile."""
+        """Commit, and retry while the disk is full or fails; until then nothing is acknowledged."""
         failures = 0
         while True:
             try:
--- a/src/bendshed/consensus/introductions.py
+++ b/src/bendshed/consensus/introductions.py
@@ -82,7 +82,7 @@
             )
         except PeerUnreachable:
             return  # no answer, or a version without this method: asked again at the next interval
-        # An announcement that arrived meanwhile may be newer than this reply: ask again later.
+        # An announcement that arrived during the request may be newer than this reply: ask again.
         if reply and self._directory.by_name.get(node.name) == node:
             found = from_wire(wire.ReplicaHello.FromString(reply))
             self._directory.put_direct_reply(found)
--- a/src/bendshed/consensus/membership_plan.py
+++ b/src/bendshed/consensus/membership_plan.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanInputs:
-    """What the leader knows when it plans a membership change.
+    """Data on which the leader bases its plan of a membership change.
 
     Attributes:
         leader_id: identity of the leader, which makes the plan.
@@ -78,9 +78,9 @@
     """Replace a voter by a learner that has caught up.
 
     A silent voter is removed before its successor votes: with both as voters a majority would need
-    one voter more, and losing the successor's disk would leave too few. Of two voters none is
-    removed first: the other one forms a majority with the learner, but alone it would hold the only
-    copy.
+    one voter more, and losing the successor's disk would leave too few. With two voters the silent
+    one stays until its successor votes: the live voter and the successor are a majority of three,
+    whereas the live voter alone would hold the only copy.
     """
     ready = [node for node in current.learners if node in inputs.caught_up]
     silent_voters = [
--- a/src/bendshed/consensus/raft.py
+++ b/src/bendshed/consensus/raft.py
@@ -41,8 +41,8 @@
     """A replica of one group.
 
     Invariants: at most one leader per term; a committed entry is in the log of every later
-    leader; ``applied_index <= commit_index <= last_index``; a vote or an acknowledgement leaves
-    only after the state that it refers to is durable.
+    leader; ``applied_index <= commit_index <= last_index``; a vote or an acknowledgement is
+    sent only after the state that it refers to is durable.
 
     Attributes:
         term, voted_for: hard state.
--- a/src/bendshed/consensus/replica_candidates.py
+++ b/src/bendshed/consensus/replica_candidates.py
@@ -17,7 +17,7 @@
 
 
 class ReplicaCandidates:
-    """What a leader knows about machines that it may add. All times are event loop times."""
+    """Answers and failures of machines that a leader may add. All times are event loop times."""
 
     def __init__(self) -> None:
         self._backoff_until_s: dict[str, float] = {}
@@ -56,8 +56,8 @@
         """Sort machines that answered recently first; ``None``: wait for the first answer.
 
         The registry also lists machines that were removed. Adding one of them costs a wait for its
-        replies while the voter to be replaced still counts in every quorum. A machine whose version
-        does not answer comes after those that do.
+        replies while the voter to be replaced still counts in every quorum. A machine of a
+        version that does not answer comes after those that do.
 
         Args:
             group_id: group that needs a machine.
--- a/src/bendshed/consensus/replica_placement.py
+++ b/src/bendshed/consensus/replica_placement.py
@@ -56,7 +56,7 @@
         self._task = start_loop(self._run(), "placement")
 
     async def stop(self) -> None:
-        """Stop."""
+        """Stop placing and repairing groups."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
--- a/src/bendshed/consensus/retirement.py
+++ b/src/bendshed/consensus/retirement.py
@@ -12,7 +12,7 @@
 from bendshed.wire import turns_pb2 as wire
 
 EMPTIED_METHOD = "replica.emptied"
-"""Request of the first group's leader to another group's: whether a machine is emptied there."""
+"""Request of the first group's leader to other leaders: whether their group emptied a machine."""
 REPORTING_GROUP = 0
 """The leader of this group reports the status."""
 CHECK_INTERVAL_S = 0.1
@@ -102,7 +102,7 @@
                 await self._report(name)
 
     async def answer(self, payload: bytes) -> bytes:
-        """Tell the first group's leader whether a group led here has emptied a machine."""
+        """Report to the first group's leader whether a group led here no longer needs a machine."""
         request = wire.EmptiedAsk.FromString(payload)
         group = self._host.groups.get(request.group)
         if group is None or not group.replica.is_ready_leader:
--- a/src/bendshed/consensus/stall.py
+++ b/src/bendshed/consensus/stall.py
@@ -6,7 +6,7 @@
 
 SYNC_STALL_S = 0.6
 """A commit that takes this long counts as a stall; disks of current sites take 2 to 5 ms per sync.
-The other replicas commit meanwhile, but what is acknowledged then is on one disk fewer."""
+The other replicas still commit, but what is acknowledged then is on one disk fewer."""
 MAX_MEAN_TICK_DELAY_S = 0.1
 """Mean delay of ticks (25 ms apart) that counts as a stalled loop; answers are delayed as much."""
 TICK_WINDOW = 40
--- a/src/bendshed/consensus/supervisor.py
+++ b/src/bendshed/consensus/supervisor.py
@@ -22,7 +22,8 @@
 
 CHECK_INTERVAL_S = 0.1
 UNRESPONSIVE_S = 0.2
-"""A member without a reply for this long is asked for its identity; no live voter is removed."""
+"""A member without a reply for this long is asked for its identity. Until it replies or is
+replaced, no live voter is removed."""
 SILENT_S = 1.0
 """A member without a reply for this long is replaced when a machine is available."""
 MAX_LEARNER_LAG = 100
