--- a/src/bendshed/membership/service.py
+++ b/src/bendshed/membership/service.py
@@ -89,11 +89,11 @@
         self._perform(self.swim.broadcast_leader_hint(hint))
 
     def broadcast_revision(self, revision: int) -> None:
-        """Tell peers which configuration revision this node holds."""
+        """Announce to peers which configuration revision this node holds."""
         self._perform(self.swim.broadcast_revision(revision))
 
     def zone_readers(self) -> list[str]:
-        """Return the live nodes of this node's zone; the first ones read the store."""
+        """Return the live nodes of this node's zone by rank; the first ones read the store."""
         zone = self.swim.local_member.zone
         nodes = [member.node_id for member in self.view.live() if member.zone == zone]
         return rendezvous_rank(READER_RANK_KEY, nodes)
--- a/src/bendshed/membership/swim.py
+++ b/src/bendshed/membership/swim.py
@@ -188,7 +188,7 @@
         return self._drain_effects()
 
     def leave(self) -> list[Effect]:
-        """Tell all members that this node accepts no new work."""
+        """Announce to all members that this node accepts no new work."""
         self._set_own_status(LEAVING)
         self._spread()
         return self._drain_effects()
@@ -206,7 +206,7 @@
         return self._drain_effects()
 
     def broadcast_revision(self, revision: int) -> list[Effect]:
-        """Tell peers immediately that this node holds a newer configuration."""
+        """Announce immediately to peers that this node holds a newer configuration."""
         self.configuration_revision = revision
         self._spread()
         return self._drain_effects()
--- a/src/bendshed/programs/service.py
+++ b/src/bendshed/programs/service.py
@@ -322,7 +322,7 @@
                     self._report_ended(group, program.program_id)
 
     async def _due_commands(self, program: wire.ProgramRecord) -> list[wire.ProgramCommand]:
-        """Return the commands that a program's elapsed times make due.
+        """Return the commands that are due for a program because of elapsed time.
 
         They forget or end the program, abandon calls past their deadline and finish orphaned
         calls.
