--- a/src/bendshed/paths/adaptive_timeout.py
+++ b/src/bendshed/paths/adaptive_timeout.py
@@ -22,7 +22,7 @@
 way, 235 to 241 requests were relayed although nothing had failed; with this factor none were
 (simulated: twelve fronts, four stores)."""
 ANSWER_SLACK_S = 0.03
-"""Added to that: the extra time that a commit takes during a burst."""
+"""Added to that multiple, for the extra time that a commit takes during a burst."""
 RELAY_TARGET_SLACK_S = 0.08
 """A relay waits for the target this much longer than the target's fastest answer takes."""
 RELAY_MARGIN_S = 0.02
--- a/src/bendshed/paths/relay_search.py
+++ b/src/bendshed/paths/relay_search.py
@@ -16,7 +16,7 @@
 MAX_CONCURRENT_RELAYS = 2
 """Relays that one request tries at the same time; each may deliver a copy of it to the target."""
 MAX_FAILED_RELAYS = 2
-"""When this many relays do not reach a target, the cause is not that this node is cut off."""
+"""When this many relays do not reach a target, it is not this node that is cut off."""
 
 
 @dataclass(slots=True)
@@ -171,7 +171,7 @@
 
 
 def _retrieve_exception(task: "asyncio.Task[bytes]") -> None:
-    """Retrieve the exception of a task that nobody awaits, so that the loop does not report it."""
+    """Retrieve the exception of a task that is not awaited, so that the loop does not report it."""
     if not task.cancelled():
         task.exception()
 
