--- a/src/bendshed/dispatch/attempt_sender.py
+++ b/src/bendshed/dispatch/attempt_sender.py
@@ -167,7 +167,7 @@
             request = run.request
             self._steps.history.put(request.program_id, request.branch, request.call_number, turn)
             return result
-        run.is_stream_complete = False  # another attempt won
+        run.is_stream_complete = False  # another attempt ended the call
         return result
 
     async def _settle_not_started(self, run: CallRun, granted: wire.CallResult) -> wire.CallResult:
