--- a/tests/region_defects.py
+++ b/tests/region_defects.py
@@ -1,4 +1,4 @@
-"""Injected defects of groups, budget shares and zones of voters, and scenarios for them."""
+"""Injected defects of groups, budget shares and voter zones, and scenarios that detect them."""
 
 import asyncio
 import contextlib
@@ -42,7 +42,7 @@
 
 
 def start_program_in_region(site: SiteWorld, program_id: str, at: str, budget_tokens: int) -> None:
-    """Start the part of a program that enters through region ``at``; another enters elsewhere."""
+    """Start the part of a program that enters through region ``at``; others enter elsewhere."""
     program = site.start_program(LOOPING_PLAN, budget_tokens=budget_tokens)
     program.program_id = program_id
     fronts = [front.name for front in site.fronts.values() if region(site, front) == at]
@@ -70,7 +70,7 @@
 
 
 def a_leader_is_lost_after_it_released(seed: int) -> list[Violation]:
-    """Its last entries reached no peer, since it was cut off from them just before."""
+    """The leader's last entries reach no peer, because its links to them were cut just before."""
     with world(seed) as site:
         far, near = site.leader(0), site.leader(1)
         assert far is not None
--- a/tests/site_budget_defects.py
+++ b/tests/site_budget_defects.py
@@ -206,8 +206,8 @@
 def an_answered_begin_follows_an_unanswered_one(seed: int) -> list[Violation]:
     """Disks are slow for one commit: the first begins of two turns are late, the next are answered.
 
-    The turns stream for longer than it takes to withdraw an unanswered begin; meanwhile their
-    program requests more than the rest of its budget.
+    The turns stream for longer than it takes to withdraw an unanswered begin, during which
+    their program requests more than the rest of its budget.
     """
     with world(seed) as site:
         stored = store_first_turn(site)
--- a/tests/site_defects.py
+++ b/tests/site_defects.py
@@ -99,7 +99,7 @@
 
 
 def leader_loses_its_disk_in_three_worlds(seed: int) -> list[Violation]:
-    """Run it in three worlds, since a world that serves nothing cannot lose a turn either."""
+    """Run the scenario in three worlds, since one that serves nothing cannot lose a turn either."""
     violations: list[Violation] = []
     not_served: AssertionError | None = None
     for each in (seed, seed + 2, seed + 4):
--- a/tests/site_zone_defects.py
+++ b/tests/site_zone_defects.py
@@ -82,7 +82,7 @@
 def _retry_in_any_zone(
     placement: RunnerPlacement, tried: Collection[str], now_s: float
 ) -> Choice | None:
-    """Consider all runners in a retry, including those in closed zones."""
+    """Defect: a retry considers all runners, including those in closed zones."""
     if not tried:
         return _REAL_CHOOSE(placement, tried, now_s)
     with mock.patch.object(placement.ports.table, "filter", RunnerFilter()):
@@ -99,7 +99,7 @@
 
 
 def _apply_any_update(record: ZoneRecord, update: ZoneUpdate, now_s: float) -> ZoneChanges:
-    """Apply an older update like a newer one."""
+    """Defect: an older update is applied like a newer one."""
     changes = _REAL_APPLY(record, update, now_s)
     record.zones = update.zones
     return changes
--- a/tests/test_distance_relays.py
+++ b/tests/test_distance_relays.py
@@ -32,7 +32,7 @@
 
 
 class RelaysBetweenRegionsTest(unittest.TestCase):
-    """A front, a store in each region, three other fronts in each."""
+    """One front, and in each region a store and three further fronts."""
 
     def setUp(self) -> None:
         self.loop = VirtualTimeLoop()
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -29,12 +29,12 @@
 
 
 class SavedFrontsTest(PowerLossCase):
-    """Stores must save fronts that they learned of from other stores.
+    """Stores must save the fronts that other stores report to them.
 
     All fronts follow one store, which loses its disk when all machines lose power while the
     platform's store is down. No request was served while the platform's store did not answer,
     although a leader was elected within half a second: the fronts waited for the hello of a store,
-    but the other stores had learned of them from the lost store and had not saved them, since only
+    but the other stores had received them from the lost store and had not saved them, since only
     catalog changes were saved. Their files named no front, although their memory had named all.
     """
 
@@ -75,7 +75,7 @@
     A store is replaced; its successor is cut off for some seconds and then reachable for long
     enough to catch up; then all lose power and another store loses its disk. There was no leader
     afterwards: a machine that had been added and did not answer was not added again for 3 s, 6 s
-    and so on, even if it answered meanwhile, so the removed store was still a voter. The voters at
+    and so on, even if it answered by then, so the removed store was still a voter. The voters at
     the power loss were the first three stores.
     """
 
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -1,9 +1,9 @@
 """Regression test: a leader must not resend the same entries for each rejection of a follower.
 
-A leading store exceeded its memory limit of 320 MB, where leaders use about 55 MB, when a follower
-resumed after a pause of 3.8 s. The connections had been replaced meanwhile, so the first of the
-messages queued for the follower were lost. It rejected each of the hundreds that followed, and the
-leader answered each rejection with the same entries.
+The process of a leading store ended with its memory over the limit of 320 MB, where leaders use
+about 55 MB, when a follower resumed after a pause of 3.8 s. The connections had been replaced by
+then, so the first of the messages queued for the follower were lost. It rejected each of the
+hundreds that followed, and the leader answered each rejection with the same entries.
 """
 
 import random
--- a/tests/test_zone_worlds.py
+++ b/tests/test_zone_worlds.py
@@ -71,7 +71,7 @@
 
 
 class ClosingTest(ZoneWorldTestCase):
-    def test_all_machines_learn_of_it_and_no_run_starts_there(self) -> None:
+    def test_closing_reaches_all_machines_and_no_run_starts_there(self) -> None:
         self.world.close_zone(ZONE)
         self.world.run_for(PROPAGATION_S)
         self.assert_closed_everywhere(ZONE)
@@ -170,7 +170,7 @@
         self.world.run_for(3.0)
         self.assertTrue(self.is_fresh())
 
-    def test_a_front_that_starts_while_the_registry_is_down_learns_of_it(self) -> None:
+    def test_a_front_that_starts_while_the_registry_is_down_receives_the_closing(self) -> None:
         self.world.close_zone(ZONE)
         self.world.run_for(PROPAGATION_S)
         self.world.registry.is_down = True
@@ -183,7 +183,7 @@
 
 class AnswerTest(ZoneWorldTestCase):
     def answer(self, zones_at: int) -> tuple[wire.CatalogReply, float]:
-        """Reader's reply to a request that can only lack zone updates, and the time taken in s."""
+        """Reader's reply to a request that is current but for zones, and the time taken in s."""
         reader = self.ranked_stores()[0].replica
         assert reader is not None
         request = wire.CatalogRequest(
@@ -225,14 +225,14 @@
         self.world.run_for(1.0)
         return opened_s, received
 
-    def test_a_paused_front_learns_of_an_opening_without_its_closing(self) -> None:
+    def test_a_paused_front_receives_an_opening_without_its_closing(self) -> None:
         self.cut(("registry", self.front))
         opened_s, received = self.open_zone_during_pause()
         self.assertEqual([zone for zone, _ in received], [ZONE])
         self.assertAlmostEqual(received[0][1], opened_s, delta=PROPAGATION_S)
 
     def test_a_paused_front_that_reads_the_registry_dates_the_opening_late(self) -> None:
-        """The registry does not report when it was; a time that is too late is safe."""
+        """The registry does not report the time of the opening; one that is too late is safe."""
         opened_s, received = self.open_zone_during_pause()
         self.assertEqual([zone for zone, _ in received], [ZONE])
         self.assertGreaterEqual(received[0][1], opened_s)
