--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -67,7 +67,7 @@
                 world.restart(leader)
 
     def is_caught_up(self, world: SiteWorld, faulty: SimMachine) -> bool:
-        """Whether the target number of voters, without the faulty one, hold all committed entries."""
+        """Whether the target number of voters, without the faulty one, hold all committed data."""
         leader = world.leader()
         if leader is None or leader is faulty or leader.replica is None:
             return False
