--- a/src/bendshed/catalog/replica_parts.py
+++ b/src/bendshed/catalog/replica_parts.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from bendshed.catalog.codec import StoredCatalog
-from bendshed.catalog.demand import GREETED_S, Demand
+from bendshed.catalog.demand import SILENT_FRONT_EXPIRY_S, Demand
 from bendshed.catalog.follower import CatalogFollower, FollowerPaths
 from bendshed.catalog.front_exchange import FrontExchange
 from bendshed.catalog.persistence import CatalogPersistence
@@ -31,81 +31,88 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CatalogSurroundings:
-    """What a replica machine's catalog shares with other parts of the process.
+class CatalogDependencies:
+    """Objects that a replica machine's catalog shares with the rest of the process.
 
     Attributes:
-        me: this machine's address.
+        own_address: this machine's address.
 
     """
 
     transport: Transport
     directory: ReplicaDirectory
     host_locations: HostLocations
-    me: Address
+    own_address: Address
     storage: CatalogStorage
 
 
 class ReplicaCatalogParts:
-    """The catalog, who relies on it, and the machine that it follows.
+    """The catalog, its dependent nodes, its server, and the follower of another machine.
 
     Attributes:
         catalog: what this machine knows.
-        demand: which nodes rely on this machine, and how it reads the registry for them.
+        demand: which nodes depend on this machine, and how often it reads the registry for them.
         follower: requests the catalog of another machine, so that one reads the registry for all.
         server: answers nodes that request the catalog.
 
     """
 
     def __init__(
-        self, around: CatalogSurroundings, times: CatalogTimes, policy: Policy, rng: random.Random
+        self,
+        dependencies: CatalogDependencies,
+        times: CatalogTimes,
+        policy: Policy,
+        rng: random.Random,
     ) -> None:
-        self._around = around
-        self._persistence = CatalogPersistence(around.storage, policy.kept_catalog)
-        self.catalog = ReplicaCatalog(self._persistence, times, around.host_locations.places)
+        self._dependencies = dependencies
+        self._persistence = CatalogPersistence(dependencies.storage, policy.kept_catalog)
+        self.catalog = ReplicaCatalog(self._persistence, times, dependencies.host_locations.places)
         self.demand = Demand(times)
-        self._relay_list = RelayList(around.host_locations, rng, times.interval_s)
+        self._relay_list = RelayList(dependencies.host_locations, rng, times.interval_s)
         self._exchange = FrontExchange(
-            around.transport,
-            around.directory,
-            around.me,
+            dependencies.transport,
+            dependencies.directory,
+            dependencies.own_address,
             self.demand,
             self._relay_list,
             self._persistence,
             lambda: self.catalog.is_lost,
         )
         self.follower = CatalogFollower(
-            FollowerPaths(around.transport, around.transport, around.host_locations),
-            around.directory,
+            FollowerPaths(
+                dependencies.transport, dependencies.transport, dependencies.host_locations
+            ),
+            dependencies.directory,
             self.catalog,
-            around.me,
+            dependencies.own_address,
             times,
             rng,
             may_share=policy.shared_reading and policy.replicas_follow,
-            num_behind=lambda: self.demand.num_fronts,
+            num_dependent_fronts=lambda: self.demand.num_fronts,
             is_replica=True,
         )
         self.server = CatalogServer(
             self.catalog,
-            around.directory,
+            dependencies.directory,
             self.demand,
             self._relay_list,
-            around.host_locations,
+            dependencies.host_locations,
             self.follower.upstream,
         )
 
     def start(self) -> None:
-        """Begin to answer, with what the disk held."""
+        """Begin to answer requests from the stored catalog."""
         self._persistence.start()
         self.catalog.start()
-        # First: an older announcement would else make a live voter count as lost.
-        self._around.directory.wiped.update(self._persistence.stored.lost)
-        self._around.directory.proven_lost.update(self._persistence.stored.proven_lost)
+        # Before the stored replicas: otherwise an older announcement makes a live voter count as
+        # lost.
+        self._dependencies.directory.wiped.update(self._persistence.stored.lost)
+        self._dependencies.directory.proven_lost.update(self._persistence.stored.proven_lost)
         for node in self._persistence.stored.replicas:
-            self._around.directory.put(node)
-        self._around.directory.on_change.append(self.catalog.announce)
-        self.catalog.note_unsaved()
-        self.server.start(self._around.transport)
+            self._dependencies.directory.put(node)
+        self._dependencies.directory.on_change.append(self.catalog.notify_change)
+        self.catalog.schedule_save()
+        self.server.start(self._dependencies.transport)
         self._exchange.start()
         catalog, zones_at = self.catalog.catalog, self.catalog.zones.record.zones.revision
         log.say(
@@ -114,40 +121,40 @@
             runners_at=catalog.runners_at,
             zones_at=zones_at,
         )
-        self.follower.note_known(catalog.version, catalog.runners_at)
-        self.follower.note_zones(zones_at)
+        self.follower.note_revisions(catalog.version, catalog.runners_at)
+        self.follower.note_zones_revision(zones_at)
 
-    def loops(self) -> list[Coroutine[Any, Any, None]]:
-        """What runs in the background until cancelled."""
+    def background_loops(self) -> list[Coroutine[Any, Any, None]]:
+        """Coroutines that run in the background until cancelled."""
         return [
-            self._exchange.greet(),
-            self._tend(),
+            self._exchange.send_hellos(),
+            self._run_maintenance(),
             self._persistence.run(self._snapshot),
             self.follower.run(),
         ]
 
-    async def _tend(self) -> None:
-        """Forget who is silent, follow the demand, name fronts to the other machines."""
+    async def _run_maintenance(self) -> None:
+        """Forget silent nodes, adapt the read interval, name fronts to the other machines."""
         zones = self.catalog.zones.record
         while True:
             await asyncio.sleep(SHARE_INTERVAL_S)
             is_lost = self.catalog.is_lost
-            self.demand.forget_silent(keeps_fronts=is_lost)
-            # While the registry is away the fronts are lost with the last machine that knows them.
-            self._relay_list.forget_silent(math.inf if is_lost else GREETED_S)
-            self._relay_list.retain_only(self.demand.fronts_at_s)
+            self.demand.expire_silent(keep_fronts=is_lost)
+            # While the registry is lost, fronts are known only to the machines that keep them.
+            self._relay_list.forget_unnamed(math.inf if is_lost else SILENT_FRONT_EXPIRY_S)
+            self._relay_list.retain_only(self.demand.front_requested_at_s)
             if zones.forget_old(asyncio.get_running_loop().time()):
-                self.catalog.note_unsaved()
-            self.demand.follow()
-            self._exchange.share()
+                self.catalog.schedule_save()
+            self.demand.update_pace()
+            self._exchange.share_fronts()
 
     def _snapshot(self) -> StoredCatalog:
-        """What the disk is to hold now."""
+        """The content to save now."""
         return StoredCatalog(
             self.catalog.catalog,
-            tuple(self._around.directory.by_name.values()),
+            tuple(self._dependencies.directory.by_name.values()),
             self._exchange.all_fronts(),
             self.catalog.zones.record.make_update(asyncio.get_running_loop().time()),
-            tuple(sorted(self._around.directory.wiped)),
-            tuple(sorted(self._around.directory.proven_lost)),
+            tuple(sorted(self._dependencies.directory.wiped)),
+            tuple(sorted(self._dependencies.directory.proven_lost)),
         )
--- a/src/bendshed/platform/replica.py
+++ b/src/bendshed/platform/replica.py
@@ -14,7 +14,7 @@
 from bendshed.catalog.state import KnownRunner
 from bendshed.catalog.times import ReadingPace
 from bendshed.catalog.watcher import KindHandler, KindWatcher
-from bendshed.catalog.zones import update_of_listing
+from bendshed.catalog.zones import make_registry_update
 from bendshed.consensus.sqlite_storage import open_or_replace
 from bendshed.logs import PartLog
 from bendshed.platform import names
@@ -70,16 +70,16 @@
         confirm = self._node.catalog.confirm
         self._runner_watch = self._watch(
             names.RUNNER_KIND,
-            KindHandler(self._replace_runners, self._on_runner, self._confirm_runners),
+            KindHandler(self._set_runners, self._on_runner, self._confirm_runners),
         )
         self._configuration_watch = self._watch(
             names.CONFIGURATION_KIND,
-            KindHandler.of_states(self._put_configuration, partial(confirm, CatalogPart.DOCUMENT)),
+            KindHandler.of_items(self._put_configuration, partial(confirm, CatalogPart.DOCUMENT)),
         )
         self._replica_watch = KindWatcher(
             self._api,
             names.REPLICA_KIND,
-            KindHandler.of_states(self._put_replica),
+            KindHandler.of_items(self._put_replica),
             WATCH_WAIT_S,
             self._rng,
             REPLICA_BATCH_INTERVAL_S,
@@ -93,7 +93,7 @@
             self._rng,
         )
         self._zone_watch = self._watch(names.CLOSED_ZONE_KIND, KindHandler.of_names(self._on_zones))
-        self._zone_watch.is_quick_again = True
+        self._zone_watch.is_first_watch_short = True
         other_watches = [self._configuration_watch, self._replica_watch, self._retirement_watch]
         if settings.catalog_times.follows_zones:
             other_watches.append(self._zone_watch)
@@ -101,7 +101,7 @@
         self._reading = RegistryReading(
             self._node.follower, self._runner_watch, other_watches, self._node.set_registry_lost
         )
-        self._node.demand.on_pace.append(self._set_pace)
+        self._node.demand.on_pace_change.append(self._set_pace)
 
     async def run(self, stopping: asyncio.Event) -> None:
         """Serve until ``stopping`` is set."""
@@ -120,32 +120,32 @@
     def _watch(self, kind: str, handler: KindHandler) -> KindWatcher:
         pace = self._node.demand.pace
         return KindWatcher(
-            self._api, kind, handler, pace.wait_s, self._rng, pace.pace_s, MAX_RETRY_GROWTH
+            self._api, kind, handler, pace.wait_s, self._rng, pace.pause_s, MAX_RETRY_GROWTH
         )
 
     # --- changes read from the store --------------------------------------------------------
 
     def _confirm_runners(self, at: int) -> None:
         self._node.catalog.confirm(CatalogPart.RUNNERS, at)
-        self._node.follower.note_registry(at)
+        self._node.follower.note_registry_read(at)
 
     def _set_pace(self, pace: ReadingPace) -> None:
         for watcher in (self._runner_watch, self._configuration_watch):
-            watcher.set_pace(pace.wait_s, pace.pace_s)
-        self._zone_watch.set_pace(pace.zones_wait_s, pace.pace_s)
+            watcher.set_pace(pace.wait_s, pace.pause_s)
+        self._zone_watch.set_pace(pace.zones_wait_s, pace.pause_s)
 
     def _on_zones(self, zones: frozenset[str], revision: int, deleted: frozenset[str]) -> None:
-        self._node.take_zones(update_of_listing(zones, revision, deleted))
+        self._node.apply_zones(make_registry_update(zones, revision, deleted))
 
-    def _replace_runners(self, listed: ObjectList) -> None:
+    def _set_runners(self, listed: ObjectList) -> None:
         runners = [KnownRunner(read_runner(item), item.revision) for item in listed.items]
-        is_trusted = not self._runner_watch.is_in_doubt
-        self._node.catalog.list_runners(runners, listed.revision, is_trusted)
+        is_trusted = not self._runner_watch.failed_recently
+        self._node.catalog.replace_runners(runners, listed.revision, is_trusted)
 
     def _on_runner(self, event: ObjectEvent) -> None:
         item = event.object
         if event.is_deleted:
-            is_trusted = not self._runner_watch.is_in_doubt
+            is_trusted = not self._runner_watch.failed_recently
             self._node.catalog.remove_runner(item.name, event.revision, is_trusted)
         else:
             self._node.catalog.put_runner(KnownRunner(read_runner(item), item.revision))
@@ -153,8 +153,8 @@
     def _put_configuration(self, item: StoredObject) -> None:
         if item.name == names.CONFIGURATION_NAME:
             document = read_document(item.spec)
-            self._node.catalog.take_document(document)
-            self._node.follower.note_known(document.version, 0)
+            self._node.catalog.apply_document(document)
+            self._node.follower.note_revisions(document.version, 0)
 
     # --- replicas and retirements ----------------------------------------------------------
 
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -6,7 +6,7 @@
 import orjson
 
 from bendshed.admission.access import AccessIndex
-from bendshed.catalog.codec import StoredCatalog, decode_stored, encode_stored, read_document
+from bendshed.catalog.codec import StoredCatalog, decode_document, decode_stored, encode_stored
 from bendshed.catalog.state import Catalog
 from bendshed.errors import Refusal
 from bendshed.identifiers import credential_digest
@@ -156,9 +156,9 @@
     def test_credentials_are_absent_from_stored_sent_and_printed_data(self) -> None:
         known = document()
         catalog = Catalog()
-        catalog.take_document(known)
+        catalog.apply_document(known)
         stored = encode_stored(StoredCatalog(catalog))
-        sent = catalog.written(lambda row: orjson.dumps(orjson.loads(_to_plain_json(row))))
+        sent = catalog.encoded_document(lambda row: orjson.dumps(orjson.loads(_to_plain_json(row))))
         incoming = request(authorization(f"Token {KEY}"))
         for data in (stored, sent, repr(known).encode(), repr(incoming).encode()):
             self.assertNotIn(KEY.encode(), data)
@@ -167,7 +167,7 @@
 
     def test_document_stored_as_plain_json_is_readable(self) -> None:
         known = document()
-        self.assertEqual(read_document(_to_plain_json(known)), known)
+        self.assertEqual(decode_document(_to_plain_json(known)), known)
 
 
 def _to_plain_json(known: ServiceDocument) -> bytes:
