--- a/src/bendshed/operators/answers.py
+++ b/src/bendshed/operators/answers.py
@@ -1,4 +1,4 @@
-"""Answers the operators' statements, across all nodes where that is needed."""
+"""Executes operators' statements, querying all nodes where needed."""
 
 import asyncio
 import operator
@@ -22,9 +22,9 @@
 STATUS_METHOD = "operators.status"
 PEER_TIMEOUT_S = 2.0
 IN_FORCE_TIMEOUT_S = 13.0
-"""Limit within which a change is applied on all nodes (first letter)."""
-SPREAD_TABLES = frozenset({"programs", "calls", "groups"})
-"""Tables whose rows lie on several nodes."""
+"""Required time limit for applying a change on all nodes."""
+DISTRIBUTED_TABLES = frozenset({"programs", "calls", "groups"})
+"""Tables whose rows are spread over several nodes."""
 
 Row = dict[str, Any]
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Rows, a sentence, and the nodes that did not reply."""
+    """Result of a statement: rows, a message and the nodes that did not reply."""
 
     rows: list[Row] = field(default_factory=list)
     message: str = ""
@@ -48,14 +48,14 @@
 
 
 class OperatorService:
-    """Serves statements on one node."""
+    """Executes statements on one node."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
         node.ports.transport.handlers[STATUS_METHOD] = self._on_status
 
     async def ask(self, text: str, author: str) -> Answer | Refusal:
-        """Parse and carry out one statement."""
+        """Parse and execute one statement."""
         statement = language.parse(text)
         match statement:
             case Refusal():
@@ -68,12 +68,15 @@
                 accepted = await self._node.configuration.submit(body, author)
                 if isinstance(accepted, Refusal):
                     return accepted
-                return await self._report_in_force(accepted)
+                return await self._wait_and_report(accepted)
             case language.StopProgram(program_id):
                 return await self._stop(program_id, author)
 
     async def require_tenant(self, program_id: str, tenant: str) -> Row:
-        """Row of a program that belongs to the tenant, else refuse as not found."""
+        """Return the row of a tenant's program; raise a not-found refusal for any other program.
+
+        Raise a group-unavailable refusal if the program is not found while nodes do not reply.
+        """
         answer = await self._show(
             language.Show("programs", (language.Condition("program", "=", program_id),))
         )
@@ -85,15 +88,15 @@
             raise BendshedError(Refusal(ErrorKind.NOT_FOUND, "you have no such program"))
         return answer.rows[0]
 
-    # --- questions -----------------------------------------------------------------------
+    # --- queries -------------------------------------------------------------------------
 
     async def _show(self, show: language.Show) -> Answer:
         silent: list[str] = []
-        if show.table in SPREAD_TABLES:
+        if show.table in DISTRIBUTED_TABLES:
             rows, silent = await self._gather(peer_pb2.StatusRequest(what=show.table))
         else:
             rows = self._local_rows(peer_pb2.StatusRequest(what=show.table))
-        rows = [row for row in rows if all(_holds(row, c) for c in show.conditions)]
+        rows = [row for row in rows if all(_matches(row, c) for c in show.conditions)]
         if show.order_by:
             rows.sort(key=lambda row: _sort_key(row.get(show.order_by)), reverse=show.descending)
         return Answer(rows[: show.limit], "", silent)
@@ -105,17 +108,17 @@
         return Answer(rows, message, silent)
 
     async def _gather(self, request: peer_pb2.StatusRequest) -> tuple[list[Row], list[str]]:
-        """Rows of all live nodes, and who did not reply."""
-        me = self._node.node_id
-        others = [m for m in self._node.membership.view.live() if m.node_id != me]
+        """Return the rows of all live nodes and the names of nodes that did not reply."""
+        own_node_id = self._node.node_id
+        others = [m for m in self._node.membership.view.live() if m.node_id != own_node_id]
         replies = await asyncio.gather(*(self._request_node(m.node_id, request) for m in others))
         rows = self._local_rows(request)
         silent = []
-        for member, reply in zip(others, replies, strict=True):
-            if reply is None:
+        for member, reply_rows in zip(others, replies, strict=True):
+            if reply_rows is None:
                 silent.append(member.name)
             else:
-                rows.extend(reply)
+                rows.extend(reply_rows)
         return rows, silent
 
     async def _request_node(
@@ -137,21 +140,21 @@
         rows = self._local_rows(peer_pb2.StatusRequest.FromString(payload))
         return peer_pb2.StatusReply(rows=orjson.dumps(rows)).SerializeToString()
 
-    # --- orders --------------------------------------------------------------------------
+    # --- commands ------------------------------------------------------------------------
 
-    async def _report_in_force(self, accepted: Accepted) -> Answer:
+    async def _wait_and_report(self, accepted: Accepted) -> Answer:
         state = await self._node.configuration.wait_for_rollout(
             accepted.revision, IN_FORCE_TIMEOUT_S
         )
         members = self._node.membership.view.members
-        late = [
+        late_nodes = [
             members[n].name if n in members else n for n in (*state.lagging, *state.unreachable)
         ]
-        if late:
-            sentence = f"accepted as revision {state.revision}; not yet in force on some nodes"
+        if late_nodes:
+            message = f"accepted as revision {state.revision}; not yet in force on some nodes"
         else:
-            sentence = f"accepted as revision {state.revision}; in force on all {state.num_applied}"
-        return Answer([], sentence, late)
+            message = f"accepted as revision {state.revision}; in force on all {state.num_applied}"
+        return Answer([], message, late_nodes)
 
     async def _stop(self, program_id: str, author: str) -> Answer | Refusal:
         end = programs_pb2.EndProgram(program_id=program_id, reason=f"stopped by {author}")
@@ -323,14 +326,14 @@
     }
 
 
-def _holds(row: Row, condition: language.Condition) -> bool:
-    found = row.get(condition.field)
-    wanted: Any = condition.value
-    if isinstance(found, bool):
-        wanted = str(wanted).lower() == "true"
-    if found is None or isinstance(found, str) != isinstance(wanted, str):
+def _matches(row: Row, condition: language.Condition) -> bool:
+    actual = row.get(condition.field)
+    expected: Any = condition.value
+    if isinstance(actual, bool):
+        expected = str(expected).lower() == "true"
+    if actual is None or isinstance(actual, str) != isinstance(expected, str):
         return False
-    return _COMPARISONS[condition.comparison](found, wanted)
+    return _COMPARISONS[condition.comparison](actual, expected)
 
 
 def _sort_key(value: Any) -> tuple[str, Any]:
--- a/src/bendshed/platform/caller_protocol.py
+++ b/src/bendshed/platform/caller_protocol.py
@@ -1,4 +1,4 @@
-"""The platform's client protocol: request headers, and how refusals are answered."""
+"""The platform's client protocol: parses request headers and maps refusals to responses."""
 
 from bendshed.errors import ErrorKind, Refusal, WasRun
 from bendshed.identifiers import credential_digest
@@ -14,7 +14,7 @@
     ErrorKind.TURN_LOG_UNAVAILABLE: 0.2,
     ErrorKind.NOT_READY: 0.5,
 }
-"""Seconds, fractions allowed."""
+"""Retry-After by kind of refusal, in seconds; the platform's clients accept fractions."""
 
 _STATUS = {
     ErrorKind.BAD_REQUEST: 400,
@@ -26,24 +26,24 @@
     ErrorKind.OUTCOME_UNKNOWN: 504,
 }
 _NOT_RUN_STATUS, _MAY_HAVE_RUN_STATUS = 503, 502
-_OWN = names.SET_BY_THE_SYSTEM | {
+_EXCLUDED = names.SYSTEM_HEADERS | {
     names.DEADLINE_MS,
     names.AUTHORIZATION,
     b"content-length",
     b"expect",
 }
-"""Headers that are dropped, or replaced by ours."""
+"""Clients' headers that are dropped or replaced before a request is forwarded."""
 MAX_CREDENTIAL_BYTES = 512
-"""A longer credential is none: the platform's keys are 20 bytes long."""
+"""A longer credential counts as missing: the platform's keys are 20 bytes long."""
 
 
 class PlatformCallerProtocol(CallerProtocol):
-    """Requests of the platform's clients."""
+    """Protocol of the platform's clients."""
 
     def read(self, received: ReceivedRequest) -> ServiceRequest | Refusal:
-        """Translate a client's request; refuse one whose fields cannot be read."""
-        fields = dict(reversed(received.headers))  # the first of a name counts
-        request_id = _text(fields, names.REQUEST_ID)
+        """Parse a client's request; refuse one with a missing request id or invalid headers."""
+        fields = dict(reversed(received.headers))  # the first of repeated headers wins
+        request_id = _header_text(fields, names.REQUEST_ID)
         if not request_id:
             detail = "X-Request-Id: (missing): send an id of the attempt"
             return Refusal(ErrorKind.BAD_REQUEST, detail)
@@ -52,28 +52,28 @@
             turn = _read_turn(fields)
         except ValueError as error:
             return Refusal(ErrorKind.BAD_REQUEST, str(error))
-        program_id = _text(fields, names.PROGRAM_ID)
+        program_id = _header_text(fields, names.PROGRAM_ID)
         return ServiceRequest(
             request_id=request_id,
             method=received.method,
             target=received.target,
-            host=_text(fields, b"host"),
+            host=_header_text(fields, b"host"),
             path=received.raw_path.decode("latin-1"),
-            headers=_passed_on(received.headers),
+            headers=_forwarded_headers(received.headers),
             body=received.body,
             wait_ms=wait_ms,
             program_id=program_id,
-            session=program_id or _text(fields, names.SESSION_ID),
-            last_event_id=_text(fields, names.LAST_EVENT_ID),
+            session=program_id or _header_text(fields, names.SESSION_ID),
+            last_event_id=_header_text(fields, names.LAST_EVENT_ID),
             turn=turn if program_id else None,
             arrived_s=received.arrived_s,
             credential=_read_credential(received.headers),
             authorization=[row for row in received.headers if row[0] == names.AUTHORIZATION],
-            affinity_key=_text(fields, names.AFFINITY),
+            affinity_key=_header_text(fields, names.AFFINITY),
         )
 
     def response_for(self, refusal: Refusal) -> RefusalAnswer:
-        """A 503 promises that nothing was run; 502 and 504 promise nothing."""
+        """Return status and Retry-After; 503 guarantees nothing was run, 502 and 504 do not."""
         retry_after_s = refusal.retry_after_s
         if retry_after_s is None:
             retry_after_s = RETRY_AFTER_S.get(refusal.kind)
@@ -82,19 +82,19 @@
 
 
 def status_of(refusal: Refusal) -> int:
-    """Status of a refusal."""
+    """Return the HTTP status of a refusal."""
     status = _STATUS.get(refusal.kind)
     if status is not None:
         return status
     return _NOT_RUN_STATUS if refusal.answer.ran is WasRun.NO else _MAY_HAVE_RUN_STATUS
 
 
-def _text(fields: dict[bytes, bytes], name: bytes) -> str:
+def _header_text(fields: dict[bytes, bytes], name: bytes) -> str:
     return fields.get(name, b"").decode("latin-1")
 
 
 def _read_credential(received: Headers) -> str:
-    """Digest of the client's key; empty: there is none, more than one, or none that can be read."""
+    """Return the digest of the client's key; empty if it is missing, repeated or malformed."""
     values = [value for name, value in received if name == names.AUTHORIZATION]
     if len(values) != 1 or len(values[0]) > MAX_CREDENTIAL_BYTES:
         return ""
@@ -104,33 +104,33 @@
     return credential_digest(key)
 
 
-def _passed_on(received: Headers) -> Headers:
-    """The client's headers for the runner; length, deadline and ours are replaced."""
-    return [(name, value) for name, value in end_to_end_headers(received) if name not in _OWN]
+def _forwarded_headers(received: Headers) -> Headers:
+    """Return the client's end-to-end headers without those that are dropped or replaced."""
+    return [(name, value) for name, value in end_to_end_headers(received) if name not in _EXCLUDED]
 
 
 def _read_turn(fields: dict[bytes, bytes]) -> TurnDetails | None:
     counts = fields.get(names.TOKEN_COUNTS)
     if counts is None:
         return None
-    prompt, _, most = counts.partition(b",")
-    if not most.strip().isdigit():
+    prompt, _, max_output = counts.partition(b",")
+    if not max_output.strip().isdigit():
         raise ValueError(f"X-Token-Counts: {counts!r}: write the prompt's tokens, the most out")
-    line = _text(fields, names.SESSION_ID)
-    parts = _read_parts(_text(fields, names.PROMPT_PARTS))
+    chain_id = _header_text(fields, names.SESSION_ID)
+    parts = _read_parts(_header_text(fields, names.PROMPT_PARTS))
     if not parts and prompt.strip().isdigit():
-        parts = (PromptPart(line, int(prompt)),)
+        parts = (PromptPart(chain_id, int(prompt)),)
     return TurnDetails(
-        previous_turn=_text(fields, names.PREVIOUS_TURN),
+        previous_turn=_header_text(fields, names.PREVIOUS_TURN),
         budget_tokens=_read_int(fields, names.TOKEN_BUDGET),
-        max_answer_tokens=int(most),
+        max_answer_tokens=int(max_output),
         parts=parts,
-        chain_id=line,
+        chain_id=chain_id,
     )
 
 
 def _read_parts(text: str) -> tuple[PromptPart, ...]:
-    """Parts of the prompt, as ID:TOKENS by commas; a hint: what cannot be read ends it."""
+    """Parse comma-separated ID:TOKENS prompt parts; just a hint: stop at the first invalid one."""
     parts = []
     for part in text.split(","):
         part_id, _, tokens = part.strip().partition(":")
--- a/src/bendshed/platform/roles.py
+++ b/src/bendshed/platform/roles.py
@@ -1,4 +1,4 @@
-"""Runs one role in this process: logs, metrics, signals, then the role itself."""
+"""Runs one role in this process after setting up logging, metrics and signal handlers."""
 
 import asyncio
 import gc
@@ -22,7 +22,7 @@
 def run_role(
     role: str, metrics_port: int | None, settings: SiteSettings, listeners: Listeners
 ) -> None:
-    """Run a role until a signal stops it; ``metrics_port``: of the metrics page, if any."""
+    """Run a role until a signal stops it; ``metrics_port``: of the metrics endpoint, if any."""
     writer = log_to(sys.stdout.fileno())
     name_process(settings.nodeName, f"{random.getrandbits(32):08x}")
     asyncio.run(_run(role, metrics_port, settings, listeners, writer))
@@ -41,36 +41,36 @@
         MetricsPage(registry, METRICS_PATH).listen(settings.ip, metrics_port)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    loop.add_signal_handler(signal.SIGHUP, _log_changes, settings)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
+    loop.add_signal_handler(signal.SIGHUP, _log_changed_settings, settings)
     if role == "node":
-        from bendshed.platform.front import FrontProcess  # noqa: PLC0415 (a role loads its part)
+        from bendshed.platform.front import FrontProcess  # noqa: PLC0415 (each role imports only its own modules)
 
-        _collect_garbage()
+        _enable_garbage_collection()
         await FrontProcess(settings, listeners, registry).run(stopping)
         return
     from bendshed.platform.replica import StoreProcess  # noqa: PLC0415
 
     if settings.dataDir is None:
         raise SiteSettingsInvalid("dataDir: (missing): run the role store where there is a disk")
-    _collect_garbage()
+    _enable_garbage_collection()
     await StoreProcess(settings, Path(settings.dataDir), registry).run(stopping)
 
 
-def _collect_garbage() -> None:
-    """From now on; what was loaded stays for good and is not looked at again."""
+def _enable_garbage_collection() -> None:
+    """Enable garbage collection; imported objects live forever and are excluded from it."""
     gc.freeze()
     gc.enable()
 
 
-def _log_changes(in_force: SiteSettings) -> None:
-    """Read the settings again and say what differs from the old ones."""
+def _log_changed_settings(current: SiteSettings) -> None:
+    """Read the settings again and log the fields that differ from the current ones."""
     try:
-        fresh = load_site_settings()
+        reloaded = load_site_settings()
     except SiteSettingsInvalid as error:
         log.say("new settings rejected: old ones stay in force", reason=str(error))
         return
     names = SiteSettings.__struct_fields__
-    changed = [name for name in names if getattr(fresh, name) != getattr(in_force, name)]
+    changed = [name for name in names if getattr(reloaded, name) != getattr(current, name)]
     log.say("settings reloaded", changed=changed)
--- a/src/bendshed/platform/runner_protocol.py
+++ b/src/bendshed/platform/runner_protocol.py
@@ -1,4 +1,4 @@
-"""How the platform's runners are spoken to."""
+"""The platform's protocol towards runners."""
 
 from bendshed.platform import names
 from bendshed.ports.http_messages import ClientRequest, ResponseHead
@@ -6,12 +6,12 @@
 
 
 class PlatformRunnerProtocol(RunnerProtocol):
-    """Headers towards runners, and what their answers say."""
+    """Builds requests to runners and classifies their responses."""
 
     def build_request(
         self, request: ServiceRequest, body: bytes, dispatch: RunnerDispatch
     ) -> ClientRequest:
-        """Pass the caller's headers on, with the tenant, the time left and the runner meant."""
+        """Forward the caller's headers with tenant, remaining time and intended runner."""
         headers = list(request.headers)
         headers.append((names.DEADLINE_MS, str(dispatch.remaining_ms).encode()))
         headers.append((names.EXPECT_RUNNER, dispatch.runner.runner_id.encode()))
@@ -22,13 +22,13 @@
         if dispatch.route.is_sticky:
             urgency = min(max(dispatch.urgency, names.MOST_URGENT), names.LEAST_URGENT)
             headers.append((names.URGENCY, str(urgency).encode()))
-        wanted = request.request_id.encode()
+        expected = request.request_id.encode()
         return ClientRequest(
-            request.method, request.target, headers, body, lambda head: _owns(head, wanted)
+            request.method, request.target, headers, body, lambda head: _matches(head, expected)
         )
 
     def classify(self, head: ResponseHead) -> ResponseClass:
-        """Read the proofs that a request was not run."""
+        """Classify the response by status and headers that prove the request was not run."""
         if head.status == names.OTHER_RUNNER_STATUS:
             return ResponseClass.OTHER_RUNNER
         if head.get(names.NOT_RUN) is not None:
@@ -36,9 +36,9 @@
         return ResponseClass.ANSWERED
 
 
-def _owns(head: ResponseHead, wanted: bytes) -> bool:
-    """An answer carries the request's id; one that says "not run" may lack it."""
+def _matches(head: ResponseHead, expected: bytes) -> bool:
+    """Return whether a response belongs to a request; one that proves "not run" may lack the id."""
     found = head.get(names.REQUEST_ID)
     if found is None:
         return head.get(names.NOT_RUN) is not None or head.status == names.OTHER_RUNNER_STATUS
-    return found == wanted
+    return found == expected
